--- a/crates/directory/src/book.rs
+++ b/crates/directory/src/book.rs
@@ -185,7 +185,7 @@
     /// The whole list as it is held.
     #[must_use]
     pub fn listing(&self) -> Listing {
-        let entries = self.delivered.values().filter(|e| e.state != State::Gone).cloned().collect();
+        let entries = self.delivered.values().filter(|e| e.state != State::Removed).cloned().collect();
         Listing { rev: self.rev, whole: true, entries, passed_over: Vec::new() }
     }
 
@@ -239,7 +239,7 @@
         if before >= 4 && after * 2 < before {
             odd.push(Odd::Loss { before, after });
         }
-        let kind = if whole { ListKind::Whole } else { ListKind::Changes };
+        let kind = if whole { ListKind::Full } else { ListKind::Changes };
         Delivery { kind, rev: self.rev, entries, odd }
     }
 
@@ -269,7 +269,7 @@
 
     fn tell(&mut self, now: Time, mut entry: Entry, odd: &mut Vec<Odd>) {
         self.order += 1;
-        if entry.state == State::Gone {
+        if entry.state == State::Removed {
             return self.bury(&entry.uid);
         }
         let held = self.held.get(&entry.uid);
@@ -335,7 +335,7 @@
         };
         let mine = self.held.values().filter(|held| self.interest.wants(&held.entry));
         let entries = mine.map(|held| {
-            let state = if there(held) { held.entry.state } else { State::Gone };
+            let state = if there(held) { held.entry.state } else { State::Removed };
             (held.entry.uid.clone(), Entry { state, ..held.entry.clone() })
         });
         let entries = entries.collect();
@@ -348,8 +348,8 @@
         let mut entries: Vec<Entry> = Vec::new();
         // Who went is told first: a newcomer may have its address.
         for (uid, entry) in &self.delivered {
-            if !effective.contains_key(uid) && entry.state != State::Gone {
-                entries.push(Entry { state: State::Gone, ..entry.clone() });
+            if !effective.contains_key(uid) && entry.state != State::Removed {
+                entries.push(Entry { state: State::Removed, ..entry.clone() });
             }
         }
         for (uid, entry) in &effective {
@@ -359,8 +359,8 @@
         }
         // Told to be gone, and never held or gone already.
         for uid in mentioned.iter().filter(|uid| !effective.contains_key(*uid)) {
-            if self.delivered.get(uid).is_none_or(|entry| entry.state == State::Gone) && !whole {
-                entries.push(Entry::leaving(uid.clone(), State::Gone));
+            if self.delivered.get(uid).is_none_or(|entry| entry.state == State::Removed) && !whole {
+                entries.push(Entry::leaving(uid.clone(), State::Removed));
             }
         }
         self.delivered = effective;
--- a/crates/directory/src/entry.rs
+++ b/crates/directory/src/entry.rs
@@ -130,7 +130,7 @@
 
 /// Nothing new is sent to a server of which it is not known that it wants any: an unknown state is a drain.
 fn leaving_state(state: &str) -> State {
-    if state == "removed" { State::Gone } else { State::Draining }
+    if state == "removed" { State::Removed } else { State::Draining }
 }
 
 impl Entry {
@@ -145,7 +145,7 @@
         let state = if raw.state == "up" { State::Ready } else { leaving_state(&raw.state) };
         let endpoint = match raw.endpoint.parse() {
             Ok(address) => Some(address),
-            Err(_) if state == State::Gone => None,
+            Err(_) if state == State::Removed => None,
             Err(error) => {
                 return Err(error)
                     .with_context(|| format!("server {}: endpoint '{}'", raw.uid, raw.endpoint));
@@ -173,7 +173,7 @@
             state: match self.state {
                 State::Ready => "up",
                 State::Draining => "draining",
-                State::Gone => "removed",
+                State::Removed => "removed",
             }
             .to_owned(),
             capacity_hint: Some(self.weight),
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -590,7 +590,7 @@
 
     /// Asks for the whole list where a word was odd: at once, or once what was told before is surely over.
     fn judge(&mut self, now: Time, delivery: &Delivery) {
-        let kept_out = self.book.keeps_out() && delivery.kind == ListKind::Whole;
+        let kept_out = self.book.keeps_out() && delivery.kind == ListKind::Full;
         let odd = delivery.odd.iter().any(|odd| matches!(odd, Odd::Behind { .. } | Odd::Loss { .. }));
         if odd {
             self.check_at(now);
--- a/crates/directory/tests/interest.rs
+++ b/crates/directory/tests/interest.rs
@@ -34,7 +34,7 @@
 
     /// Servers that take work or finish what they have, of the services wanted.
     fn there(&self) -> Vec<&Entry> {
-        let there = self.servers.values().filter(|entry| entry.state != State::Gone);
+        let there = self.servers.values().filter(|entry| entry.state != State::Removed);
         there.filter(|entry| WANTED.contains(&entry.model.as_str())).collect()
     }
 }
@@ -163,7 +163,7 @@
     };
     assert_eq!(told(1, "stock"), None);
     assert_eq!(told(2, "cart"), Some(State::Ready));
-    assert_eq!(told(3, "stock"), Some(State::Gone));
+    assert_eq!(told(3, "stock"), Some(State::Removed));
     assert_eq!(told(4, "pay"), Some(State::Ready));
 }
 
--- a/crates/directory/tests/schedules.rs
+++ b/crates/directory/tests/schedules.rs
@@ -85,7 +85,7 @@
         let safety = Safety { ask_within, ..Safety::default() };
         // Its windows, a second long, have nothing to do with lists.
         let (discovery, tick) = (Discovery::OnRequest, Span(1000 * MS));
-        let settings = Settings { balancers, discovery, safety, tick, ..Settings::default() };
+        let settings = Settings { instance_count: balancers, discovery, safety, tick, ..Settings::default() };
         Module { balancer: Balancer::new(settings, seed), timers: BTreeMap::new() }
     }
 }
@@ -177,7 +177,9 @@
                     self.sent += 1;
                     module.timers.insert((now + delay.0.max(1), self.sent), token);
                 }
-                Action::Watch => self.flight.extend([((now, self.sent + 1), (Input::Wanted, self.count))]),
+                Action::WatchServers => {
+                    self.flight.extend([((now, self.sent + 1), (Input::Wanted, self.count))])
+                }
                 _ => {}
             }
         }
@@ -193,13 +195,13 @@
         let mut targets = Vec::new();
         for (uid, (state, boot, port, changed)) in &self.truth {
             if *changed > rev || whole {
-                if whole && *state == State::Gone {
+                if whole && *state == State::Removed {
                     continue;
                 }
                 let state = match state {
                     State::Ready => "up",
                     State::Draining => "draining",
-                    State::Gone => "removed",
+                    State::Removed => "removed",
                 };
                 let endpoint = format!("127.0.0.2:{port}");
                 targets.push(serde_json::json!(
@@ -322,7 +324,7 @@
         for entry in &delivery.entries {
             match entry.state {
                 State::Ready => drop(self.usable.insert(entry.uid.clone(), entry.boot_ms)),
-                State::Draining | State::Gone => drop(self.usable.remove(&entry.uid)),
+                State::Draining | State::Removed => drop(self.usable.remove(&entry.uid)),
             }
         }
         for (uid, boot) in self.drains.keys() {
@@ -393,7 +395,7 @@
                 // All that is still listed is listed anew, from version 1 on.
                 self.act(Act::Reset);
                 self.count += 1;
-                self.truth.retain(|_, (state, ..)| *state != State::Gone);
+                self.truth.retain(|_, (state, ..)| *state != State::Removed);
                 self.rev = 1;
                 self.truth.values_mut().for_each(|(.., changed)| *changed = 1);
             }
@@ -505,10 +507,12 @@
                 let (uid, (state, boot, port, _)) = live[rng.random_range(0..live.len())].clone();
                 match state {
                     State::Ready => Act::List(uid, State::Draining, boot, port),
-                    State::Draining => Act::List(uid, State::Gone, boot, port),
+                    State::Draining => Act::List(uid, State::Removed, boot, port),
                     // A successor at the same address, or the same server started anew.
-                    State::Gone if rng.random_bool(0.5) => Act::List(uid, State::Ready, world.now / MS, port),
-                    State::Gone => {
+                    State::Removed if rng.random_bool(0.5) => {
+                        Act::List(uid, State::Ready, world.now / MS, port)
+                    }
+                    State::Removed => {
                         born += 1;
                         Act::List(format!("s{born}"), State::Ready, world.now / MS, 1000 + born)
                     }
--- a/crates/engine/src/core.rs
+++ b/crates/engine/src/core.rs
@@ -331,7 +331,7 @@
         let longest = longest(site);
         Engine {
             max_attempts: site.settings.limits.max_attempts,
-            cancel: site.settings.limits.cancel,
+            cancel: site.settings.limits.cancellation,
             windows: windows(site),
             remembered: longest,
             pools: Pools::new(site, seed, longest),
@@ -461,7 +461,7 @@
                     self.tally.gone += 1;
                     // An attempt that still waited for its connection was sent on long after its client had left.
                     self.out_of(id, out, |id, attempt, server| Output::Withdraw { id, attempt, server });
-                    self.event(now, slot, Event::Gone { id }, out);
+                    self.event(now, slot, Event::ClientLeft { id }, out);
                 }
                 self.forget(id);
             }
@@ -475,7 +475,7 @@
             }
             Input::Uploads { id, server, over } => {
                 if let Some(slot) = self.requests.get(&id).map(|entry| entry.slot) {
-                    self.event(now, slot, Event::Uploads { id, server, over }, out);
+                    self.event(now, slot, Event::Upload { id, server, finished: over }, out);
                 }
             }
             Input::Ended { id, attempt, server, ended } => {
@@ -489,7 +489,7 @@
             Input::Probed { server, asked, ended } => {
                 self.places.returned(now, server, ended.status);
                 let Ended { status, latency, load, .. } = ended;
-                self.event(now, asked, Event::Probed { server, status, latency, load: &load }, out);
+                self.event(now, asked, Event::ProbeFinished { server, status, latency, load: &load }, out);
             }
             Input::Listed(delivery) => self.listed(now, &delivery, out),
             Input::ListFailed => {
@@ -499,7 +499,7 @@
             }
             Input::Settings { site, watched } => {
                 self.max_attempts = site.settings.limits.max_attempts;
-                self.cancel = site.settings.limits.cancel;
+                self.cancel = site.settings.limits.cancellation;
                 self.windows = windows(&site);
                 // A request may have been taken under the longer deadline.
                 self.remembered = self.remembered.max(longest(&site));
@@ -551,7 +551,16 @@
             self.gate.waits_again(rule, &mut entry.stand);
             again = self.gate.repeat(now, rule, &mut entry.stand, entry.attempts.len() as u32);
         }
-        let outcome = Event::Outcome { id, attempt, status, closed, again, latency, server, load: &load };
+        let outcome = Event::AttemptFinished {
+            id,
+            attempt,
+            status,
+            request_closed: closed,
+            retry_allowed: again,
+            latency,
+            server,
+            load: &load,
+        };
         self.event(now, slot, outcome, out);
         self.forget(id);
     }
@@ -572,11 +581,11 @@
             let server = self.places.number(&entry.uid);
             let Some(place) = self.places.get_mut(server) else { continue };
             let state = entry.state;
-            place.gone = (state == State::Gone).then(|| place.gone.unwrap_or(now));
+            place.gone = (state == State::Removed).then(|| place.gone.unwrap_or(now));
             let at = entry.endpoint.map(|at| (at, entry.boot_ms));
             match at {
                 at if place.open => out.push(Output::Listed { server, at, state }),
-                Some((at, boot_ms)) if state != State::Gone => {
+                Some((at, boot_ms)) if state != State::Removed => {
                     place.open = true;
                     out.push(Output::Open { server, at, boot_ms });
                     // It may be listed as one that leaves from the start.
@@ -586,7 +595,7 @@
             }
             numbers.push(server);
         }
-        if kind == ListKind::Whole {
+        if kind == ListKind::Full {
             // What the whole list lacks is gone, though no entry says so.
             let listed: FxHashSet<ServerId> = numbers.iter().copied().collect();
             let lacking = self.places.taken().map(|(server, _)| server).filter(|s| !listed.contains(s));
@@ -594,7 +603,7 @@
                 let Some(place) = self.places.get_mut(server) else { continue };
                 place.gone = place.gone.or(Some(now));
                 if place.open {
-                    out.push(Output::Listed { server, at: None, state: State::Gone });
+                    out.push(Output::Listed { server, at: None, state: State::Removed });
                 }
             }
         }
@@ -642,9 +651,9 @@
                 }
             }
             Action::Timer { token, delay } => self.timers.set(now + delay, Due::Module(slot, token)),
-            Action::Watch => out.push(Output::Watch),
+            Action::WatchServers => out.push(Output::Watch),
             // Messages between instances have no protocol yet; the settings keep the module from any.
-            Action::Tell { .. } => {}
+            Action::SendToPeers { .. } => {}
             Action::Log { server, text } => out.push(Output::Say { server, text }),
         }
     }
@@ -657,7 +666,7 @@
         if entry.attempts.len() == 1 && self.gate.repeat(now, rule, &mut entry.stand, 1) {
             let slot = entry.slot;
             self.paid = Some(id);
-            self.event(now, slot, Event::Copy { id }, out);
+            self.event(now, slot, Event::HedgeDue { id }, out);
             self.paid = None;
         }
     }
@@ -703,7 +712,7 @@
         if there && !over {
             return out.push(Output::Attempt { id, attempt, server, payload, until, connect });
         }
-        let status = if over { Status::Moot } else { Status::ConnectFailed };
+        let status = if over { Status::NotSent } else { Status::ConnectFailed };
         self.own.push_back(Input::Ended { id, attempt, server, ended: Ended::unsent(status) });
     }
 
--- a/crates/engine/src/places.rs
+++ b/crates/engine/src/places.rs
@@ -86,12 +86,12 @@
         let Some(place) = self.get_mut(server) else { return };
         place.out = place.out.saturating_sub(1);
         match status {
-            Status::Ok | Status::Full => place.failed = (0, now),
+            Status::Ok | Status::Rejected => place.failed = (0, now),
             Status::Error | Status::Timeout | Status::ConnectFailed | Status::Reset => {
                 place.failed = (place.failed.0 + 1, now);
             }
             // Nothing of it says how the server is.
-            Status::Cancelled | Status::Moot => {}
+            Status::Cancelled | Status::NotSent => {}
         }
     }
 
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -121,12 +121,12 @@
             let zone = self.zones.iter().position(|z| *z == entry.zone);
             let member = Member {
                 server: *server,
-                born: Time(entry.boot_ms.saturating_mul(1000)),
+                started_at: Time(entry.boot_ms.saturating_mul(1000)),
                 weight: entry.weight,
                 zone: zone.unwrap_or(self.zones.len()) as u32,
                 cell: entry.cell,
                 state: entry.state,
-                common: common_name(&entry.uid),
+                global_id: common_name(&entry.uid),
             };
             let known = Known { member, zone: entry.zone.clone(), model: entry.model.clone() };
             told.push((member, self.listed.insert(server.0, known)));
@@ -136,14 +136,14 @@
                 let now = self.listed.get(&member.server.0).is_some_and(|known| selects(rule, known));
                 let was = before.as_ref().is_some_and(|known| selects(rule, known));
                 // One that the pool no longer selects is gone from it; a leaving one may be told without its place.
-                let state = if now { member.state } else { State::Gone };
+                let state = if now { member.state } else { State::Removed };
                 (now || was || member.state != State::Ready && rule.is_none())
                     .then_some(Member { state, ..*member })
             });
             mine.collect()
         };
         let each = self.slots.iter().map(|(id, slot)| (*id, of(slot.rule.as_ref()))).collect();
-        self.listed.retain(|_, known| known.member.state != State::Gone);
+        self.listed.retain(|_, known| known.member.state != State::Removed);
         each
     }
 
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -266,14 +266,14 @@
                     "list {} revision {}: {} up, {} draining, {} removed",
                     match delivery.kind {
                         dunlincleat::api::ListKind::Cached => "as last held",
-                        dunlincleat::api::ListKind::Whole => "in whole",
+                        dunlincleat::api::ListKind::Full => "in whole",
                         dunlincleat::api::ListKind::Changes => "changes",
                         dunlincleat::api::ListKind::Failed => "failed",
                     },
                     delivery.rev,
                     count(State::Ready),
                     count(State::Draining),
-                    count(State::Gone)
+                    count(State::Removed)
                 );
             }
             Input::Request { .. }
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -105,13 +105,13 @@
                 Action::Cancel { .. }
                 | Action::Probe { .. }
                 | Action::Timer { .. }
-                | Action::Watch
-                | Action::Tell { .. }
+                | Action::WatchServers
+                | Action::SendToPeers { .. }
                 | Action::Log { .. } => {}
             }
         }
         self.copies(now, &mut own);
-        if let Event::Outcome { id, closed: true, .. } | Event::Gone { id } = event {
+        if let Event::AttemptFinished { id, request_closed: true, .. } | Event::ClientLeft { id } = event {
             self.seen.remove(&id);
         }
         // What is undone may make room for a request that waited here.
@@ -127,15 +127,18 @@
                 Action::Timer { token, delay } => self.timers.set(now + delay, token),
                 Action::Probe { server } => {
                     self.counts.would_probe += 1;
-                    let (status, latency) = (Status::Moot, Span(0));
-                    let unsent = Event::Probed { server, status, latency, load: &[] };
+                    let (status, latency) = (Status::NotSent, Span(0));
+                    let unsent = Event::ProbeFinished { server, status, latency, load: &[] };
                     self.balancer.on_event(now, unsent, own);
                 }
                 Action::Send { id, server, .. } => self.made(id, server),
                 Action::Refuse { id, .. } | Action::Fail { id } => {
                     self.seen.entry(id).and_modify(|seen| seen.dropped = true);
                 }
-                Action::Cancel { .. } | Action::Watch | Action::Tell { .. } | Action::Log { .. } => {}
+                Action::Cancel { .. }
+                | Action::WatchServers
+                | Action::SendToPeers { .. }
+                | Action::Log { .. } => {}
             }
         }
     }
@@ -143,10 +146,19 @@
     fn feed(&mut self, now: Time, event: Event<'_>, own: &mut Vec<Action>) {
         match event {
             // Its own timers are its own, and no probe of its own is ever out.
-            Event::Timer { .. } | Event::Probed { .. } => {}
+            Event::Timer { .. } | Event::ProbeFinished { .. } => {}
             // It has settings of its own, which come by `adopt`.
             Event::Settings { .. } => {}
-            Event::Outcome { id, attempt, status, closed, again, latency, server, load } => {
+            Event::AttemptFinished {
+                id,
+                attempt,
+                status,
+                request_closed: closed,
+                retry_allowed: again,
+                latency,
+                server,
+                load,
+            } => {
                 let seen = self.seen.get(&id);
                 let mine = seen.and_then(|seen| seen.own.get(attempt.0 as usize).copied().flatten());
                 let attempt = mine.unwrap_or(Attempt(u32::MAX));
@@ -156,7 +168,16 @@
                     self.fields.iter().map(|at| load.get(*at).copied().unwrap_or(f64::NAN)).collect()
                 };
                 let load = &load;
-                let outcome = Event::Outcome { id, attempt, status, closed, again, latency, server, load };
+                let outcome = Event::AttemptFinished {
+                    id,
+                    attempt,
+                    status,
+                    request_closed: closed,
+                    retry_allowed: again,
+                    latency,
+                    server,
+                    load,
+                };
                 self.balancer.on_event(now, outcome, own);
             }
             Event::Members { kind, entries } => {
@@ -170,10 +191,10 @@
                 self.seen.insert(id, Seen::default());
                 self.balancer.on_event(now, event, own);
             }
-            Event::Gone { .. }
-            | Event::First { .. }
-            | Event::Uploads { .. }
-            | Event::Copy { .. }
+            Event::ClientLeft { .. }
+            | Event::ResponseStarted { .. }
+            | Event::Upload { .. }
+            | Event::HedgeDue { .. }
             | Event::Peer { .. } => {
                 self.balancer.on_event(now, event, own);
             }
@@ -232,7 +253,7 @@
         for (attempt, server) in seen.early.drain(..) {
             self.balancer.on_event(now, undone(id, attempt, server, true), own);
         }
-        self.balancer.on_event(now, Event::Gone { id }, own);
+        self.balancer.on_event(now, Event::ClientLeft { id }, own);
     }
 
     /// Attempts beside a real one that is out never went out.
@@ -248,6 +269,15 @@
 
 /// The end of an attempt that was never sent.
 fn undone(id: RequestId, attempt: Attempt, server: ServerId, closed: bool) -> Event<'static> {
-    let (status, latency) = (Status::Moot, Span(0));
-    Event::Outcome { id, attempt, status, closed, again: false, latency, server, load: &[] }
+    let (status, latency) = (Status::NotSent, Span(0));
+    Event::AttemptFinished {
+        id,
+        attempt,
+        status,
+        request_closed: closed,
+        retry_allowed: false,
+        latency,
+        server,
+        load: &[],
+    }
 }
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -195,7 +195,7 @@
                     let unwritten = self.rng.random_bool(0.5);
                     let out = self.out.iter_mut().find(|o| (o.request, o.attempt) == (id.0, attempt));
                     if let Some(out) = out.filter(|_| unwritten) {
-                        (out.ends, out.status) = (self.now, Status::Moot);
+                        (out.ends, out.status) = (self.now, Status::NotSent);
                     }
                     self.withdrawn.insert((id.0, attempt.0));
                 }
@@ -237,7 +237,7 @@
             faults.push("sent after its client left".to_owned());
         }
         let out = seen.attempts.iter().filter(|(.., ended)| ended.is_none()).count();
-        if out > usize::from(site.settings.limits.second_copies) {
+        if out > usize::from(site.settings.limits.hedging) {
             faults.push(format!("{} attempts at a time", out + 1));
         }
         self.copies += out;
@@ -268,7 +268,7 @@
             0 => (5, Status::Error),
             1 => (2, Status::Reset),
             2 => (1, Status::ConnectFailed),
-            3 => (1, Status::Full),
+            3 => (1, Status::Rejected),
             4 | 5 => (100_000, Status::Timeout),
             _ => (self.rng.random_range(3..120), Status::Ok),
         };
@@ -304,7 +304,7 @@
         let entries = uids.iter().map(|uid| {
             let (state, boot) = self.listed[uid];
             let port = 1 + uid.len() as u16;
-            let endpoint = (state != State::Gone).then(|| ([127, 0, 0, 1], port).into());
+            let endpoint = (state != State::Removed).then(|| ([127, 0, 0, 1], port).into());
             let (zone, model) = (zone(uid).to_owned(), String::new());
             let (uid, weight) = (uid.clone(), 1.0);
             Entry { uid, endpoint, zone, model, cell: 0, state, weight, boot_ms: boot / MS }
@@ -404,10 +404,10 @@
                 let entry = self.listed.get_mut(&uid).unwrap();
                 entry.0 = match entry.0 {
                     State::Ready => State::Draining,
-                    State::Draining | State::Gone => State::Gone,
+                    State::Draining | State::Removed => State::Removed,
                 };
                 self.list(ListKind::Changes, &[uid]);
-                let gone = |(_, (state, _)): &(&String, &(State, u64))| *state == State::Gone;
+                let gone = |(_, (state, _)): &(&String, &(State, u64))| *state == State::Removed;
                 let gone: Vec<String> = self.listed.iter().filter(gone).map(|(uid, _)| uid.clone()).collect();
                 self.listed.retain(|uid, _| !gone.contains(uid));
             }
@@ -416,7 +416,7 @@
                 self.listed.entry(uid.clone()).or_insert((State::Ready, self.now));
                 self.list(ListKind::Changes, &[uid]);
             }
-            3 if !uids.is_empty() => self.list(ListKind::Whole, &uids),
+            3 if !uids.is_empty() => self.list(ListKind::Full, &uids),
             4 => {
                 let text = FILES[self.rng.random_range(0..FILES.len())];
                 if let (_, Some(rules)) = check(text, &self.site) {
--- a/crates/engine/tests/watch.rs
+++ b/crates/engine/tests/watch.rs
@@ -45,7 +45,7 @@
             // Server 0 is told to be crowded ever more.
             let weight = |n: u32| if n == 0 { 1.0 / (1.0 + (tick / 400) as f64 * 4.0) } else { 1.0 };
             let kind = if tick == 0 {
-                dunlincleat::api::ListKind::Whole
+                dunlincleat::api::ListKind::Full
             } else {
                 dunlincleat::api::ListKind::Changes
             };
--- a/crates/fleet/src/baseline.rs
+++ b/crates/fleet/src/baseline.rs
@@ -152,7 +152,7 @@
             Input::Ended { id, server, ended, .. } => {
                 let known = self.servers.entry(server.0).or_default();
                 known.in_hand = known.in_hand.saturating_sub(1);
-                let took = ended.latency.f();
+                let took = ended.latency.as_f64();
                 known.delay = if took > known.delay { took } else { known.delay * 0.9 + took * 0.1 };
                 match (ended.status, ended.body) {
                     (Status::Ok, Some(body)) => {
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -165,7 +165,7 @@
     pub fn change(&mut self, node: usize, starts: u32, entry: Entry) {
         self.rev += 1;
         let word = Word { rev: self.rev, entry, node, starts };
-        if word.entry.state == State::Gone {
+        if word.entry.state == State::Removed {
             self.now.remove(&word.entry.uid);
         } else {
             self.now.insert(word.entry.uid.clone(), word.clone());
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -320,7 +320,7 @@
 fn entry(scenario: &Scenario, places: &[Place], node: usize, uid: u32, state: State, boot: u64) -> Entry {
     let zone = scenario.fleet.zones[places[node].zone].clone();
     let host = Ipv4Addr::from(0x7f00_0001 + node as u32);
-    let endpoint = (state != State::Gone).then(|| SocketAddr::from((host, 1)));
+    let endpoint = (state != State::Removed).then(|| SocketAddr::from((host, 1)));
     let (model, weight) = (String::new(), 1.0);
     Entry { uid: format!("n{uid}"), endpoint, zone, model, cell: 0, state, weight, boot_ms: boot / 1000 }
 }
@@ -528,7 +528,7 @@
             Step::Replace(node) => {
                 self.down(node);
                 let uid = self.places[node].uid;
-                self.list(node, uid, State::Gone, 0);
+                self.list(node, uid, State::Removed, 0);
                 self.places[node].uid += self.places.len() as u32;
                 self.anew(node);
             }
--- a/crates/fleet/src/world/nodes.rs
+++ b/crates/fleet/src/world/nodes.rs
@@ -34,7 +34,7 @@
         self.flights.insert(job, flight);
         self.at(until, Event::Until(job));
         match got {
-            Got::Full => self.at(now + 2 * network, Event::Back(job, Status::Full)),
+            Got::Full => self.at(now + 2 * network, Event::Back(job, Status::Rejected)),
             // It never comes up.
             Got::New if !reached => {
                 let failed = now + connect.unwrap_or(CONNECT).0;
@@ -55,10 +55,10 @@
     pub(super) fn ended(&mut self, job: Job, status: Status, times: &mut Histogram<u64>) {
         let Some(flight) = self.flights.remove(&job) else { return };
         self.auditor.ended(job, self.now);
-        *self.tally.outcomes.entry(format!("{status:?}")).or_default() += 1;
+        *self.tally.outcomes.entry(outcome_key(status)).or_default() += 1;
         let latency = self.now - flight.sent;
         let mut load = Vec::new();
-        if let (Some(node), Status::Ok | Status::Error | Status::Full) = (flight.node, status) {
+        if let (Some(node), Status::Ok | Status::Error | Status::Rejected) = (flight.node, status) {
             load = self.report_of(node);
         }
         let same = flight.node.filter(|node| self.places[*node].starts == flight.starts);
@@ -66,7 +66,7 @@
             self.leaves_node(job, node);
         }
         if let (Some(_), Some(node)) = (flight.link, flight.node) {
-            let kept = same.is_some() && matches!(status, Status::Ok | Status::Error | Status::Full);
+            let kept = same.is_some() && matches!(status, Status::Ok | Status::Error | Status::Rejected);
             if kept && self.places[node].node.mood != Mood::Dead {
                 self.links.free(self.now, job.instance, node as u32);
             } else {
@@ -79,10 +79,10 @@
                 times.saturating_record((self.now - request.asked.first).max(1));
             }
             request.last = match status {
-                Status::Ok | Status::Cancelled | Status::Moot => request.last,
+                Status::Ok | Status::Cancelled | Status::NotSent => request.last,
                 Status::Timeout if flight.lost => Some(Loss::NoSight),
-                Status::Timeout | Status::Full if flight.cold => Some(Loss::Cold),
-                Status::Timeout | Status::Full => Some(Loss::Queueing),
+                Status::Timeout | Status::Rejected if flight.cold => Some(Loss::Cold),
+                Status::Timeout | Status::Rejected => Some(Loss::Queueing),
                 Status::Error | Status::Reset | Status::ConnectFailed => Some(Loss::NoSight),
             };
         }
@@ -179,7 +179,7 @@
                     flight.lost = true;
                 }
             }
-            Taken::Full => self.at(back, Event::Back(job, Status::Full)),
+            Taken::Full => self.at(back, Event::Back(job, Status::Rejected)),
             Taken::Fails => {
                 self.auditor.began(job, self.now);
                 self.at(back, Event::Back(job, Status::Error));
@@ -223,3 +223,12 @@
         self.list(node, uid, State::Ready, now);
     }
 }
+
+/// The key of an attempt's status in reports: the name of the status, where two keep their earlier names.
+fn outcome_key(status: Status) -> String {
+    match status {
+        Status::Rejected => "Full".to_owned(),
+        Status::NotSent => "Moot".to_owned(),
+        other => format!("{other:?}"),
+    }
+}
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -336,7 +336,7 @@
         }
         Answer::Refused { retry_after } => {
             let mut response = Response::with_body(StatusCode::SERVICE_UNAVAILABLE, BoxBody::new(()));
-            let after = retry_after.map(|s| format!("{:.3}", s.f() / 1e6));
+            let after = retry_after.map(|s| format!("{:.3}", s.as_f64() / 1e6));
             if let Some(after) = after.and_then(|a| HeaderValue::try_from(a).ok()) {
                 response.headers_mut().insert(header::RETRY_AFTER, after);
             }
@@ -411,7 +411,7 @@
         let unseen = text(headers, &NOT_PROCESSED) == Some("1");
         let status = match status {
             StatusCode::OK => Status::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Status::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Status::Rejected,
             // Whatever is no word of the protocol's may have run.
             _ => Status::Error,
         };
@@ -424,7 +424,7 @@
     pub fn decode_probe(status: StatusCode, headers: &HeaderMap, body: &[u8], fields: &[String]) -> Reply {
         let mut reply = Reply::decode(status, headers, fields);
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            reply.status = Status::Full;
+            reply.status = Status::Rejected;
         }
         if reply.load.is_empty() {
             reply.load = load(body, fields);
--- a/crates/http/src/message/tests.rs
+++ b/crates/http/src/message/tests.rs
@@ -25,7 +25,7 @@
         (reply.status, reply.load[0])
     };
     assert_eq!(probe(StatusCode::OK), (Status::Ok, 3.0));
-    assert_eq!(probe(StatusCode::SERVICE_UNAVAILABLE), (Status::Full, 3.0));
+    assert_eq!(probe(StatusCode::SERVICE_UNAVAILABLE), (Status::Rejected, 3.0));
     assert_eq!(probe(StatusCode::NOT_FOUND), (Status::Error, 3.0));
 }
 
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -252,7 +252,7 @@
                     let sending = send(line, endpoint, &request, (until, connect), &common, of);
                     let (mut ended, line) = match Abortable::new(sending, registration).await {
                         Ok(end) => end,
-                        Err(Aborted) if wire.withdrawn() => (Ended::unsent(Status::Moot), None),
+                        Err(Aborted) if wire.withdrawn() => (Ended::unsent(Status::NotSent), None),
                         Err(Aborted) => (Ended::unsent(wire.unless_written(Status::Cancelled)), None),
                     };
                     if ended.latency == Span(0) {
@@ -322,13 +322,13 @@
             }
         }
         match done.ended.status {
-            Status::Ok | Status::Error | Status::Full | Status::Reset => self.heard = Instant::now(),
+            Status::Ok | Status::Error | Status::Rejected | Status::Reset => self.heard = Instant::now(),
             // Nothing at all came since the attempt went out: its machine may have vanished, and the idle
             // connections only look alive. What is written to one ends as a request that may have run.
             Status::Timeout if matches!(done.what, What::Attempt(..)) && self.heard < done.started => {
                 self.idle.clear();
             }
-            Status::Timeout | Status::ConnectFailed | Status::Cancelled | Status::Moot => {}
+            Status::Timeout | Status::ConnectFailed | Status::Cancelled | Status::NotSent => {}
         }
         match done.what {
             What::Attempt(id, attempt) => {
@@ -424,11 +424,11 @@
     let rest = request.rest();
     // Guards against a part of a body sent for the whole: what an attempt has read of it is not there for another.
     if rest.as_ref().is_some_and(|rest| rest.read()) {
-        return (Ended::unsent(Status::Moot), Some(line));
+        return (Ended::unsent(Status::NotSent), Some(line));
     }
     // Its permission is asked here, where the effect begins, and not where it was given.
     if request.errand().is_some_and(|errand| !errand.may()) {
-        return (Ended::unsent(Status::Moot), Some(line));
+        return (Ended::unsent(Status::NotSent), Some(line));
     }
     let length = match &rest {
         Some(rest) => rest.length,
@@ -613,13 +613,13 @@
         // awc says this of a connection that ended before the answer, after the request was written.
         SendRequestError::Connect(awc::error::ConnectError::Disconnected) => Status::Reset,
         // Guards the module's figures: a bound reached here once counted as a server out of reach.
-        SendRequestError::Connect(awc::error::ConnectError::Io(error)) if here(&error) => Status::Moot,
-        SendRequestError::Send(error) if here(&error) => Status::Moot,
+        SendRequestError::Connect(awc::error::ConnectError::Io(error)) if here(&error) => Status::NotSent,
+        SendRequestError::Send(error) if here(&error) => Status::NotSent,
         SendRequestError::Connect(_) | SendRequestError::Url(_) | SendRequestError::Http(_) => {
             Status::ConnectFailed
         }
         // The client's body broke off: nothing of it can run, and no server is at fault.
-        SendRequestError::Body(_) => Status::Moot,
+        SendRequestError::Body(_) => Status::NotSent,
         // A write failed: the kernel did not take the last byte.
         SendRequestError::Send(_) => Status::ConnectFailed,
         _ => Status::Reset,
--- a/crates/http/src/peer/tests.rs
+++ b/crates/http/src/peer/tests.rs
@@ -14,10 +14,10 @@
 
 #[test]
 fn what_was_not_sent_for_reasons_of_our_own_is_no_fault_of_the_servers() {
-    assert_eq!(failure(io(io::Error::other(Unsent("x")))), Status::Moot);
+    assert_eq!(failure(io(io::Error::other(Unsent("x")))), Status::NotSent);
     for code in [EMFILE, ENFILE, EADDRNOTAVAIL] {
         let error = awc::error::ConnectError::Io(io::Error::from_raw_os_error(code));
-        assert_eq!(failure(SendRequestError::Connect(error)), Status::Moot);
+        assert_eq!(failure(SendRequestError::Connect(error)), Status::NotSent);
     }
     let refused = awc::error::ConnectError::Io(io::ErrorKind::ConnectionRefused.into());
     assert_eq!(failure(SendRequestError::Connect(refused)), Status::ConnectFailed);
--- a/crates/lab/src/slopes/control.rs
+++ b/crates/lab/src/slopes/control.rs
@@ -231,7 +231,7 @@
             }
             decisions += cpu() - first;
         }
-        let windows = (sidecar.now - begun).f() / WINDOW.f();
+        let windows = (sidecar.now - begun).as_f64() / WINDOW.as_f64();
         let (mut requests, first) = (0, cpu());
         while cpu() - first < effort || requests < 100 {
             sidecar.serve(100);
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -248,7 +248,7 @@
         faults.error(Code::ConnectOverAttempt, connect, reason, format!("under {}", written(attempt.value)));
     }
     if let Some(copy) = &set.second_copy {
-        if !limits.second_copies {
+        if !limits.hedging {
             let reason = "the settings allow no two attempts at a time";
             faults.error(Code::CopyNotAllowed, copy, reason, "take it out");
         }
--- a/crates/limits/src/gate.rs
+++ b/crates/limits/src/gate.rs
@@ -52,13 +52,13 @@
 impl Route {
     /// Lets time pass on the budget: what first tries paid is forgotten over [`MEMORY`], the least rate comes in.
     fn settle(&mut self, now: Time, budget: &Budget) {
-        let flow = budget.least_per_s * MEMORY.f() / 1e6;
+        let flow = budget.least_per_s * MEMORY.as_f64() / 1e6;
         let (passed, from) = match self.at {
             // A new route may make a second's repeats at once.
             None => (0.0, budget.least_per_s.max(budget.part)),
-            Some(at) => ((now - at).f(), self.credit),
+            Some(at) => ((now - at).as_f64(), self.credit),
         };
-        self.credit = flow + (from - flow) * (-passed / MEMORY.f()).exp();
+        self.credit = flow + (from - flow) * (-passed / MEMORY.as_f64()).exp();
         self.at = Some(self.at.map_or(now, |at| at.max(now)));
     }
 }
@@ -175,10 +175,10 @@
         let Some(CopyAfter::Quantile(part)) = rule.second_copy else { return };
         let Some(route) = self.routes.get_mut(&rule.name) else { return };
         if route.timed == 0 {
-            route.quantile = latency.f();
+            route.quantile = latency.as_f64();
         }
         route.timed = route.timed.saturating_add(1);
-        let before = f64::from(u8::from(latency.f() <= route.quantile));
+        let before = f64::from(u8::from(latency.as_f64() <= route.quantile));
         route.quantile = (route.quantile * (MOVE * (part - before)).exp()).max(1.0);
     }
 
--- a/crates/limits/tests/files.rs
+++ b/crates/limits/tests/files.rs
@@ -271,9 +271,7 @@
     if attempts > site.settings.limits.max_attempts {
         return Some("more attempts than allowed".into());
     }
-    if rule.second_copy.is_some()
-        && (!site.settings.limits.second_copies || settings.effect == Effect::Unsafe)
-    {
+    if rule.second_copy.is_some() && (!site.settings.limits.hedging || settings.effect == Effect::Unsafe) {
         return Some("a second copy of what must not run twice".into());
     }
     let narrows = rule.attempts.is_some() || rule.attempt_timeout.is_some() || rule.timeout.is_some();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -200,8 +200,8 @@
         None => bail!("settings: deductions.{key}: {} is no number", env.deductions[key]),
     };
     Ok(Settings {
-        balancers: env.balancers,
-        me: env.me,
+        instance_count: env.balancers,
+        instance_index: env.me,
         zone: env.locality,
         classes: env.classes.iter().map(class).collect::<Result<_>>()?,
         tenants: env.tenants.iter().map(|t| Tenant { share: t.share, quota_per_s: t.quota_per_s }).collect(),
@@ -220,11 +220,11 @@
         fields: env.stats.fields.iter().map(|f| field(f)).collect(),
         limits: Limits {
             max_attempts: env.limits.try_limit.unwrap_or(1).max(1),
-            second_copies: env.limits.parallel_tries,
+            hedging: env.limits.parallel_tries,
             retry_after: env.limits.retry_after.then_some(Span(env.limits.max_retry_after)),
             probes: env.limits.probes,
-            cancel: env.limits.cancel,
-            peers: env.limits.peers,
+            cancellation: env.limits.cancel,
+            peer_messages: env.limits.peers,
             connect_timeout: Span(env.limits.connect_timeout),
             conn_idle: Span(env.limits.conn_idle.unwrap_or(5_000_000)),
         },
@@ -242,14 +242,14 @@
             cold: Span(env.safety.cold),
         },
         weights: weights(env.weight_source.as_ref())?,
-        warm_keys: match env.family_info.get("warm_keys") {
+        key_affinity: match env.family_info.get("warm_keys") {
             None | Some(Value::Null) => false,
             Some(Value::Bool(warm)) => *warm,
             Some(other) => bail!("settings: family_info.warm_keys: {other} is neither true nor false"),
         },
         tail: Tail {
-            part: part(&env.objective_mix, "objective_mix", "tail_part")?,
-            borne: part(&env.objective_mix, "objective_mix", "borne_misses")?,
+            share: part(&env.objective_mix, "objective_mix", "tail_part")?,
+            allowed_misses: part(&env.objective_mix, "objective_mix", "borne_misses")?,
         },
         tick: Span(env.tick),
     })
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -17,7 +17,7 @@
         assert_eq!((site.zones.len(), site.fields.len()), (2, 2));
         assert_eq!((site.conn_idle, site.max_open), (Some(Span(5_000_000)), Some(40_000)));
         assert_eq!(site.drain_grace, Some(Span(1_000_000)));
-        assert_eq!((site.settings.me, site.settings.zone), (1, 1));
+        assert_eq!((site.settings.instance_index, site.settings.zone), (1, 1));
         assert_eq!(site.settings.fields, [Field::Inflight, Field::Other]);
         let effect = Effect::Keyed { group: Group::All, window: Span(7_500_000) };
         assert_eq!(site.settings.classes[0].effect, effect);
@@ -46,10 +46,10 @@
     let told = r#""me":1,"weight_source":"live","family_info":{"warm_keys":true},
         "objective_mix":{"tail_part":0.3,"borne_misses":0.01}"#;
     let told = read(&EXAMPLE.replace("\"me\":1", told)).unwrap().settings;
-    assert_eq!((told.weights, told.warm_keys), (Weights::Live, true));
-    assert_eq!(told.tail, Tail { part: 0.3, borne: 0.01 });
+    assert_eq!((told.weights, told.key_affinity), (Weights::Live, true));
+    assert_eq!(told.tail, Tail { share: 0.3, allowed_misses: 0.01 });
     let left_out = read(EXAMPLE).unwrap().settings;
-    assert_eq!((left_out.weights, left_out.warm_keys), (Weights::Off, false));
+    assert_eq!((left_out.weights, left_out.key_affinity), (Weights::Off, false));
     assert_eq!(left_out.tail, Tail::default());
     let price = |text: &str| fault("\"me\":1", &format!("\"me\":1,\"deductions\":{{\"handshake\":{text}}}"));
     assert!(price("-0.1").contains("deductions.handshake: -0.1 is negative"));
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -185,7 +185,7 @@
             }
             // The protocol has no messages between sidecars.
             watch => watch.map(|mut watch| {
-                watch.settings.limits.peers = false;
+                watch.settings.limits.peer_messages = false;
                 watch.settings
             }),
         };
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -24,7 +24,7 @@
     let settings = watched(r#"{"weight_source":"live","limits":{"peers":true}}"#)?.watch.context("none")?;
     assert_eq!(settings.weights, dunlincleat::api::Weights::Live);
     assert_eq!(settings.classes.len(), 2, "what is not named stays as it is");
-    assert!(!settings.limits.peers, "there are no messages on sockets");
+    assert!(!settings.limits.peer_messages, "there are no messages on sockets");
     assert!(config("{}", "{}")?.watch.is_none());
     for (watch, told) in [
         ("7", "watch: 7 is no object of settings"),
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -66,9 +66,9 @@
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
     let (site, own) = (config.site.clone(), config.own.clone());
     let mut site = site;
-    if site.settings.limits.peers {
+    if site.settings.limits.peer_messages {
         tracing::warn!("messages between sidecars have no protocol yet: the module does without");
-        Arc::make_mut(&mut site).settings.limits.peers = false;
+        Arc::make_mut(&mut site).settings.limits.peer_messages = false;
         config.site = site.clone();
     }
     // All that can be at fault is tried before anything is served: a second process must not disturb the first.
@@ -235,7 +235,7 @@
         }
         // All is proved before any of it counts.
         let mut told = Site::clone(&new.site);
-        told.settings.limits.peers = false;
+        told.settings.limits.peer_messages = false;
         let mut succession = self.succession.clone();
         let (site, fixed) = succession.follow(self.clock.now(), &config.site, told);
         let site = Arc::new(site);
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -160,7 +160,7 @@
                 parts.maybe::<u64>("epoch")?;
                 let kind = match parts.text("scope")? {
                     "D" => ListKind::Changes,
-                    "F" => ListKind::Whole,
+                    "F" => ListKind::Full,
                     "C" => ListKind::Cached,
                     "X" => ListKind::Failed,
                     other => bail!("unknown scope '{}'", shortened(other)),
@@ -189,7 +189,7 @@
                 let hint = hint.filter(|_| bits & 1 != 0);
                 Event::Request { id, left, class, tenant, hint, key, repeat: bits & 2 != 0 }
             }
-            "WITHDRAWN" => Event::Gone { id: RequestId(parts.value("xid")?) },
+            "WITHDRAWN" => Event::ClientLeft { id: RequestId(parts.value("xid")?) },
             "RESPONSE" => {
                 let id = RequestId(parts.value("xid")?);
                 let status = parts.status("verdict")?;
@@ -199,14 +199,23 @@
                 let server = instance.known(parts.text("endpoint")?)?;
                 parts.load("pressure", &mut self.load)?;
                 let again = true;
-                Event::Outcome { id, attempt, status, closed, again, latency, server, load: &self.load }
+                Event::AttemptFinished {
+                    id,
+                    attempt,
+                    status,
+                    request_closed: closed,
+                    retry_allowed: again,
+                    latency,
+                    server,
+                    load: &self.load,
+                }
             }
             "PROBE_DONE" => {
                 let latency = parts.span("latency")?;
                 let status = parts.status("verdict")?;
                 let server = instance.known(parts.text("endpoint")?)?;
                 parts.load("pressure", &mut self.load)?;
-                Event::Probed { server, status, latency, load: &self.load }
+                Event::ProbeFinished { server, status, latency, load: &self.load }
             }
             "TICK_DUE" => Event::Timer { token: Token(parts.value("handle")?) },
             "DATAGRAM" => {
@@ -219,7 +228,7 @@
                 let id = RequestId(parts.value("xid")?);
                 instance.known(parts.text("endpoint")?)?;
                 parts.span("latency")?;
-                Event::First { id, attempt: Attempt(parts.value("shot")?) }
+                Event::ResponseStarted { id, attempt: Attempt(parts.value("shot")?) }
             }
         };
         self.actions.clear();
@@ -243,7 +252,7 @@
     let endpoint: Box<str> = parts.text("endpoint")?.into();
     let member = Member {
         server: ServerId(0),
-        born,
+        started_at: born,
         weight: parts.maybe("scale")?.unwrap_or(0.0),
         zone: parts.maybe("zone")?.unwrap_or(0),
         cell: {
@@ -253,10 +262,10 @@
         state: match parts.text("mode")? {
             "SERVING" => State::Ready,
             "DRAINING" => State::Draining,
-            "DELETED" => State::Gone,
+            "DELETED" => State::Removed,
             other => bail!("unknown mode '{}'", shortened(other)),
         },
-        common: dunlincleat_settings::common_name(&endpoint),
+        global_id: dunlincleat_settings::common_name(&endpoint),
     };
     Ok(Entry { endpoint, member })
 }
@@ -278,8 +287,8 @@
         Action::Cancel { id, attempt } => writeln!(out, "ABANDON {i} {} {}", id.0, attempt.0)?,
         Action::Probe { server } => writeln!(out, "INSPECT {i} {}", name(server)?)?,
         Action::Timer { token, delay } => writeln!(out, "DEFER {i} {} {}", token.0, delay.0)?,
-        Action::Watch => writeln!(out, "TRACK {i} 1")?,
-        Action::Tell { peer, data } => {
+        Action::WatchServers => writeln!(out, "TRACK {i} 1")?,
+        Action::SendToPeers { peer, data } => {
             let peer = peer.map_or(-1, i64::from);
             writeln!(out, "BROADCAST_TO {i} {peer} {}", STANDARD.encode(data))?;
         }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -73,12 +73,12 @@
         Ok(match self.value::<u32>(what)? {
             0 => Status::Ok,
             255 => Status::Error,
-            254 => Status::Full,
+            254 => Status::Rejected,
             253 => Status::Timeout,
             252 => Status::ConnectFailed,
             251 => Status::Reset,
             250 => Status::Cancelled,
-            249 => Status::Moot,
+            249 => Status::NotSent,
             other => bail!("{what} is no known code: {other}"),
         })
     }
--- a/src/api.rs
+++ b/src/api.rs
@@ -12,13 +12,13 @@
 
 impl Span {
     /// The span as a floating-point number of microseconds.
-    pub fn f(self) -> f64 {
+    pub fn as_f64(self) -> f64 {
         self.0 as f64
     }
 
     /// This span times a factor, never negative.
     pub fn times(self, factor: f64) -> Span {
-        Span((self.f() * factor).max(0.0) as u64)
+        Span((self.as_f64() * factor).max(0.0) as u64)
     }
 }
 
@@ -157,15 +157,15 @@
     /// Attempts a request may have.
     pub max_attempts: u32,
     /// Two attempts of a request may be out at a time.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Clients take advice when to come back, at most this far off.
     pub retry_after: Option<Span>,
     /// Probes may be sent.
     pub probes: bool,
     /// Attempts may be called off.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Messages to other instances are allowed.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// How long a connection may take.
     pub connect_timeout: Span,
     /// How long a connection is kept on which nothing is sent.
@@ -217,18 +217,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tail {
     /// That part, from 0 to 1; 0 where there is none.
-    pub part: f64,
+    pub share: f64,
     /// The part of the requests that may miss, from 0 to 1; at five times that nothing counts any more.
-    pub borne: f64,
+    pub allowed_misses: f64,
 }
 
 /// What an instance is told at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// How many instances there are.
-    pub balancers: u32,
+    pub instance_count: u32,
     /// The number of this one among them.
-    pub me: u32,
+    pub instance_index: u32,
     /// The zone of this one.
     pub zone: u32,
     /// The classes, by number.
@@ -252,7 +252,7 @@
     /// What the weights of servers tell.
     pub weights: Weights,
     /// A server does less work for a key that it met lately.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// How the part of the result that bears few misses is counted.
     pub tail: Tail,
     /// The least time between two rounds of events.
@@ -268,7 +268,7 @@
     Draining,
     /// It was taken away.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One server of a list.
@@ -277,7 +277,7 @@
     /// Which server.
     pub server: ServerId,
     /// When it last started; 0 means long ago.
-    pub born: Time,
+    pub started_at: Time,
     /// What `Settings::weights` says, 1 where nothing was told.
     pub weight: f64,
     /// Its zone.
@@ -287,7 +287,7 @@
     /// Whether it serves.
     pub state: State,
     /// A name for it that is the same at every instance.
-    pub common: u64,
+    pub global_id: u64,
 }
 
 /// What a list event holds.
@@ -296,7 +296,7 @@
     /// Changed entries only.
     Changes,
     /// The whole list.
-    Whole,
+    Full,
     /// The whole list as last held, perhaps outdated.
     Cached,
     /// A call failed or the subscription broke.
@@ -311,7 +311,7 @@
     /// The server returned an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or be running.
     Timeout,
     /// No connection; it never ran.
@@ -321,13 +321,13 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Status {
     /// Whether this proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Status::Full | Status::ConnectFailed | Status::Moot)
+        matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent)
     }
 }
 
@@ -364,19 +364,19 @@
         repeat: bool,
     },
     /// The client left; nothing is owed any more.
-    Gone {
+    ClientLeft {
         /// Which.
         id: RequestId,
     },
     /// The answer of a streamed request began.
-    First {
+    ResponseStarted {
         /// Which.
         id: RequestId,
         /// On which attempt.
         attempt: Attempt,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptFinished {
         /// Of which request.
         id: RequestId,
         /// Which attempt.
@@ -384,9 +384,9 @@
         /// How.
         status: Status,
         /// The request is over.
-        closed: bool,
+        request_closed: bool,
         /// The operator's limits allow one more attempt; they only narrow what the settings allow.
-        again: bool,
+        retry_allowed: bool,
         /// Time since it was sent.
         latency: Span,
         /// Where it was sent.
@@ -396,21 +396,21 @@
     },
     /// The body of an attempt that was just sent still comes, or comes no more. The first is followed by the second, at
     /// the latest before the attempt's end.
-    Uploads {
+    Upload {
         /// Of which request: its time counts from its last byte.
         id: RequestId,
         /// Which server.
         server: ServerId,
         /// It comes no more.
-        over: bool,
+        finished: bool,
     },
     /// A second copy of a request is due by the operator's limits, while its only attempt is out.
-    Copy {
+    HedgeDue {
         /// Which.
         id: RequestId,
     },
     /// A probe ended.
-    Probed {
+    ProbeFinished {
         /// Of which server.
         server: ServerId,
         /// How.
@@ -478,9 +478,9 @@
         delay: Span,
     },
     /// Subscribe to list changes.
-    Watch,
+    WatchServers,
     /// Tell other instances, all of them where `peer` is none.
-    Tell {
+    SendToPeers {
         /// Which one.
         peer: Option<u32>,
         /// At most 256 bytes.
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -42,7 +42,7 @@
     /// subscribed counts as told after `ask_within`.
     pub fn due(&mut self, now: Time, set: &Settings, todo: &mut Vec<Action>) {
         if set.discovery == Discovery::OnRequest && !self.subscribed && now >= self.due {
-            todo.push(Action::Watch);
+            todo.push(Action::WatchServers);
             self.after(now, Span(set.safety.ask_within.0 / 4).max(AGAIN.0), todo);
         }
     }
@@ -67,6 +67,6 @@
 
 /// The time over which calls of all instances are spread, within that for which one may go without.
 fn all(set: &Settings) -> Span {
-    let all = TAKES.0.saturating_mul(u64::from(set.balancers));
+    let all = TAKES.0.saturating_mul(u64::from(set.instance_count));
     Span(all.min(set.safety.ask_within.0 / 2))
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -265,7 +265,7 @@
         let counts = |f: &Field| matches!(f, Field::Inflight | Field::Queue);
         // What probes alone bring is as old as the report's period: asking anew brings the same again.
         self.counts_requests = set.reports == Reports::InAnswers && set.fields.iter().any(counts);
-        self.tells = set.limits.peers && set.balancers > 1 && !self.counts_requests;
+        self.tells = set.limits.peer_messages && set.instance_count > 1 && !self.counts_requests;
         self.window = aim.times(1.0 / WINDOWS_IN_AIM).max(set.tick).min(SECOND).max(Span(1));
         self.live = set.weights == Weights::Live;
         self.sees_load = self.counts_requests || self.tells;
@@ -291,7 +291,7 @@
             Event::Members { kind, entries } => self.on_members(now, kind, entries, todo),
             Event::Request { id, left, class, hint, key, .. } => {
                 self.asked += 1;
-                let key = key.filter(|_| self.set.warm_keys);
+                let key = key.filter(|_| self.set.key_affinity);
                 let aim = self.class(class).map_or(left, |c| c.aim);
                 let (most, arrived, deadline) = (self.set.limits.max_attempts, now, now + left);
                 let rest = Open::default();
@@ -312,9 +312,20 @@
                     self.advance(now, id, false, todo);
                 }
             }
-            Event::Gone { id } => drop(self.open.remove(&id)),
-            Event::First { id, .. } => self.open.get_mut(&id).into_iter().for_each(|o| o.streaming = true),
-            Event::Outcome { id, attempt, status, closed, again, latency, server, load } => {
+            Event::ClientLeft { id } => drop(self.open.remove(&id)),
+            Event::ResponseStarted { id, .. } => {
+                self.open.get_mut(&id).into_iter().for_each(|o| o.streaming = true)
+            }
+            Event::AttemptFinished {
+                id,
+                attempt,
+                status,
+                request_closed: closed,
+                retry_allowed: again,
+                latency,
+                server,
+                load,
+            } => {
                 self.note(now, server, status, Some(latency), load);
                 self.learn_turn(now, id, attempt, status, latency);
                 self.accepted -= i64::from(status.never_ran());
@@ -325,14 +336,14 @@
             // A server has nothing of a request that is still being written to it: its load and silence, and
             // the request's own time, begin with the last byte. Counted before, slow bodies had idle servers
             // refused.
-            Event::Uploads { id, server, over } => {
+            Event::Upload { id, server, finished: over } => {
                 self.server_mut(server).into_iter().for_each(|s| s.holds(now, over));
                 if let Some(open) = self.open.get_mut(&id).filter(|_| over) {
                     (open.deadline, open.arrived) = (open.deadline + (now - open.arrived), now);
                 }
             }
-            Event::Copy { id } => drop(self.copy(now, id, todo)),
-            Event::Probed { server, status, load, .. } => {
+            Event::HedgeDue { id } => drop(self.copy(now, id, todo)),
+            Event::ProbeFinished { server, status, load, .. } => {
                 if let Some(s) = self.server_mut(server).filter(|s| s.probing.is_some()) {
                     s.probing = None;
                     self.probes_out -= 1;
@@ -355,7 +366,9 @@
             Event::Timer { token: LOOKED } if self.looking => self.looked(now, todo),
             Event::Timer { token: HELD } => self.serve_held(now, usize::MAX, todo),
             Event::Timer { token: CALL } => self.calls.due(now, &self.set, todo),
-            Event::Peer { from, data } if from < self.set.balancers && from != self.set.me => {
+            Event::Peer { from, data }
+                if from < self.set.instance_count && from != self.set.instance_index =>
+            {
                 self.told.hear(now, from, data);
             }
             // Departure where two attempts may be out and called off: a few requests get one more, late.
@@ -415,12 +428,12 @@
         } else if unheard || status == Status::ConnectFailed {
             s.strike(now, aim);
         }
-        let answered = latency.is_some() && matches!(status, Status::Ok | Status::Error | Status::Full);
+        let answered = latency.is_some() && matches!(status, Status::Ok | Status::Error | Status::Rejected);
         if answered {
             (s.strikes, s.shunned, s.waiting) = (0, Time(0), Some(now));
         }
         s.waiting = s.waiting.filter(|_| s.out > 0);
-        if status == Status::Full {
+        if status == Status::Rejected {
             s.shunned = now + if live { aim } else { window };
             s.reported = s.reported.map(|r| r.max(f64::from(s.out) + 1.0));
         }
@@ -432,10 +445,10 @@
             (s.reported, s.seen, s.sent_since) = (Some(value), now, 0.0);
         }
         if let Some(latency) = latency {
-            s.delay = Some(smooth(s.delay, latency.f(), SMOOTH));
+            s.delay = Some(smooth(s.delay, latency.as_f64(), SMOOTH));
             self.served = self.served.saturating_add(1);
             let weight = SMOOTH_TURN.max(1.0 / f64::from(self.served));
-            let delay = smooth(self.delay, latency.f(), weight);
+            let delay = smooth(self.delay, latency.as_f64(), weight);
             self.delay = Some(delay);
             self.least_delay = if weight > SMOOTH_TURN { delay } else { self.least_delay.min(delay) };
         }
@@ -470,8 +483,8 @@
 
     /// How much the last report of a server still tells: in a mean delay it has had time to fill or to empty.
     fn fresh(&self, s: &Server) -> f64 {
-        let turn = self.delay.unwrap_or(tightest_aim(&self.set).f());
-        if self.counts_requests { (-(self.stepped - s.seen).f() / turn).exp() } else { 1.0 }
+        let turn = self.delay.unwrap_or(tightest_aim(&self.set).as_f64());
+        if self.counts_requests { (-(self.stepped - s.seen).as_f64() / turn).exp() } else { 1.0 }
     }
 
     /// One window: every server heard from rises by its figures, the others evaporate, both at once.
@@ -483,15 +496,15 @@
         self.told.out(now, SECOND, SECOND.times(3.0 * GREET), add);
         self.suspect(now, todo);
         self.use_enough(gap);
-        let kept = (-gap.f() / SECOND.times(f64::from(TOLD)).f()).exp();
+        let kept = (-gap.as_f64() / SECOND.times(f64::from(TOLD)).as_f64()).exp();
         self.servers.iter_mut().for_each(|s| s.faulty *= kept);
         self.timely += (1.0 - self.timely) * (1.0 - kept);
         let classes = self.set.classes.iter().enumerate();
-        let limits = classes.filter_map(|(n, c)| Some(self.allowed * c.aim.f() / self.turn(now, n)?));
+        let limits = classes.filter_map(|(n, c)| Some(self.allowed * c.aim.as_f64() / self.turn(now, n)?));
         self.load_limit = limits.fold(f64::MAX, f64::min);
         let settle = if self.sees_load { SETTLE_FRESH } else { SETTLE_SLOW };
-        let part = 1.0 - (-gap.f() / (self.window.f() * settle)).exp();
-        let silent_part = part.min(gap.f() / self.heard_for().f());
+        let part = 1.0 - (-gap.as_f64() / (self.window.as_f64() * settle)).exp();
+        let silent_part = part.min(gap.as_f64() / self.heard_for().as_f64());
         for table in 0..2 {
             let figure: Vec<Option<f64>> = self.ready.iter().map(|id| self.figure(now, *id, table)).collect();
             let mut tau: Vec<f64> = self.ready.iter().map(|id| self.server(*id).tau[table]).collect();
@@ -556,8 +569,8 @@
     /// Reports of this server stopped, while it was busy and nothing came from it since.
     fn quiet(&self, now: Time, s: &Server) -> bool {
         let Some(round) = self.round else { return false };
-        let since = s.heard.is_none_or(|t| (t - s.renewed).f() < round);
-        s.held > 0.0 && since && (now - s.renewed).f() > LATE * round
+        let since = s.heard.is_none_or(|t| (t - s.renewed).as_f64() < round);
+        s.held > 0.0 && since && (now - s.renewed).as_f64() > LATE * round
     }
 
     fn refresh_shares(&mut self, now: Time) {
@@ -585,14 +598,14 @@
         if greet && !self.ready.is_empty() {
             self.greeted = Some(now);
             let data = self.ready.iter().take(told::BYTES / 4).flat_map(word).collect();
-            todo.push(Action::Tell { peer: None, data });
+            todo.push(Action::SendToPeers { peer: None, data });
         }
         let changed = std::mem::take(&mut self.changed);
         for (peer, shared) in self.told.sharing(&changed) {
             let data: Vec<u8> = shared.iter().flat_map(word).collect();
             if self.peer_credit >= data.len() as f64 {
                 self.peer_credit -= data.len() as f64;
-                todo.push(Action::Tell { peer: Some(peer), data });
+                todo.push(Action::SendToPeers { peer: Some(peer), data });
             }
         }
     }
@@ -695,14 +708,14 @@
     /// more it sends, and others in place of silent ones.
     fn use_enough(&mut self, gap: Span) {
         let (rate, peak, counted) = self.rate;
-        let part = 1.0 - (-gap.f() / USED_OVER.f()).exp();
-        let rate = rate + part * ((self.sends - counted) as f64 / gap.f().max(1.0) - rate);
-        let peak = (peak * (-gap.f() / USED_FADE.f()).exp()).max(rate);
+        let part = 1.0 - (-gap.as_f64() / USED_OVER.as_f64()).exp();
+        let rate = rate + part * ((self.sends - counted) as f64 / gap.as_f64().max(1.0) - rate);
+        let peak = (peak * (-gap.as_f64() / USED_FADE.as_f64()).exp()).max(rate);
         self.rate = (rate, peak, self.sends);
         let own = peak * self.least_delay * USED_EACH;
         let all = self.listed.len() as f64;
         // Each of `n` servers finds its connection closed with the chance exp(-rate idle / n).
-        let (idle, dear) = (self.set.limits.conn_idle.f(), self.set.prices.handshake / CONNECTION_SPEND);
+        let (idle, dear) = (self.set.limits.conn_idle.as_f64(), self.set.prices.handshake / CONNECTION_SPEND);
         let kept = if dear > 1.0 { peak * idle / dear.ln() } else { f64::INFINITY };
         let told = if self.tells { own * USED_EACH } else { f64::INFINITY };
         let wanted = kept.min(told).max(USED_LEAST).max(own).min(all).ceil();
@@ -737,7 +750,8 @@
         let near = ring.partition_point(|id| !dear || self.server(*id).zone == self.set.zone);
         let arc = |part: &[ServerId]| -> Vec<ServerId> {
             let n = part.len();
-            let start = (u64::from(self.set.me) * n as u64 / u64::from(self.set.balancers.max(1))) as usize;
+            let start = (u64::from(self.set.instance_index) * n as u64
+                / u64::from(self.set.instance_count.max(1))) as usize;
             let mut taken = vec![false; n];
             // Those that tell each other keep to neighbours, so that few share servers with each.
             let far = if self.tells { 0 } else { n / 2 };
@@ -786,8 +800,9 @@
             return true;
         }
         let own = turn.unwrap_or(0.0);
-        let work = wanted.work.map_or(own, |work| work.f().max(own));
-        (load * own + work) / size > wanted.within.f() * self.allowed || (1.0 + load) / size > self.load_limit
+        let work = wanted.work.map_or(own, |work| work.as_f64().max(own));
+        (load * own + work) / size > wanted.within.as_f64() * self.allowed
+            || (1.0 + load) / size > self.load_limit
     }
 
     /// Enters how an attempt ended. Learns a class's turn also from time-outs: the served alone are short.
@@ -803,9 +818,9 @@
         self.timely = smooth(Some(self.timely), f64::from(in_time), SMOOTH);
         turn.seen = turn.seen.saturating_add(1);
         // Quiet balancers forget by time: turns of an overload once lasted for half a minute after it.
-        let forgotten = 1.0 - (-(now - turn.at).f() / SECOND.times(f64::from(TOLD)).f()).exp();
+        let forgotten = 1.0 - (-(now - turn.at).as_f64() / SECOND.times(f64::from(TOLD)).as_f64()).exp();
         let weight = SMOOTH_TURN.max(1.0 / f64::from(turn.seen)).max(forgotten);
-        turn.log += weight * ((latency.f().max(1.0) / (1.0 + ahead)).ln() - turn.log);
+        turn.log += weight * ((latency.as_f64().max(1.0) / (1.0 + ahead)).ln() - turn.log);
         turn.at = now;
     }
 
@@ -822,7 +837,11 @@
         let s = self.server(id);
         let (cold, from) = (self.set.safety.cold, self.set.safety.cold_from);
         let age = now - s.born;
-        if s.born == Time(0) || age >= cold { 1.0 } else { from + (1.0 - from) * age.f() / cold.f() }
+        if s.born == Time(0) || age >= cold {
+            1.0
+        } else {
+            from + (1.0 - from) * age.as_f64() / cold.as_f64()
+        }
     }
 
     /// Cold budget: a cold server gets little more than its warmth's part of what our mean server accepts. As
@@ -859,8 +878,8 @@
             }
             // Not under the tightest aim; and one long request is no sign yet where a few are out.
             let few = 1.0 + 2.0 / f64::from(s.out.max(1));
-            let limit = (SILENCE * few * s.delay.unwrap_or(mean).max(mean)).max(least.f());
-            if s.waiting.is_some_and(|t| (now - t).f() > limit) {
+            let limit = (SILENCE * few * s.delay.unwrap_or(mean).max(mean)).max(least.as_f64());
+            if s.waiting.is_some_and(|t| (now - t).as_f64() > limit) {
                 if s.strikes == 0 {
                     let text = "silent with attempts out, avoided".to_owned();
                     todo.push(Action::Log { server: Some(id), text });
@@ -875,7 +894,7 @@
     fn copy(&mut self, now: Time, id: RequestId, todo: &mut Vec<Action>) -> bool {
         let (one_out, sends) =
             (|o: &Open| o.attempts.iter().filter(|a| a.ended.is_none()).count() == 1, self.sends);
-        if self.set.limits.second_copies && self.open.get(&id).is_some_and(one_out) {
+        if self.set.limits.hedging && self.open.get(&id).is_some_and(one_out) {
             self.advance(now, id, true, todo);
         }
         self.sends > sends
@@ -883,7 +902,7 @@
 
     fn on_outcome(&mut self, now: Time, id: RequestId, closed: bool, todo: &mut Vec<Action>) {
         if closed {
-            let open = self.open.remove(&id).filter(|_| self.set.limits.cancel);
+            let open = self.open.remove(&id).filter(|_| self.set.limits.cancellation);
             let out =
                 open.iter().flat_map(|o| o.attempts.iter().enumerate()).filter(|(_, a)| a.ended.is_none());
             todo.extend(out.map(|(n, _)| Action::Cancel { id, attempt: Attempt(n as u32) }));
@@ -954,8 +973,8 @@
             open.attempts.push(Sent { server, at: now, ahead, ended: None });
         }
         todo.push(Action::Send { id, server, until: Some(until) });
-        let Limits { second_copies, cancel, .. } = self.set.limits;
-        let first = self.open.get(&id).filter(|o| second_copies && cancel && o.attempts.len() == 1);
+        let Limits { hedging, cancellation, .. } = self.set.limits;
+        let first = self.open.get(&id).filter(|o| hedging && cancellation && o.attempts.len() == 1);
         if let Some(aim) = first.map(|open| open.aim) {
             todo.push(Action::Timer { token: Token(COPY + id.0), delay: aim.times(COPY_AT) });
             self.copy_credit = (self.copy_credit + COPY_PART).min(COPY_MOST);
@@ -992,7 +1011,11 @@
         let worth = self.class(class).map_or(0.0, |c| c.worth).max(0.01 * mean);
         // Where no worth is told all are alike: 0 over 0 had nine of ten refused.
         let rank = if mean > 0.0 { mean / worth } else { 1.0 };
-        let bar = if self.set.tail.part > 0.0 { (1.0 - 2.0 * self.set.tail.borne).max(0.01) } else { TIMELY };
+        let bar = if self.set.tail.share > 0.0 {
+            (1.0 - 2.0 * self.set.tail.allowed_misses).max(0.01)
+        } else {
+            TIMELY
+        };
         let kept = (self.timely / bar).powi(2).min(1.0).powf(rank).max(0.1);
         kept >= 1.0 || self.rng.0.random::<f64>() < kept
     }
@@ -1009,10 +1032,10 @@
         match kind {
             ListKind::Failed => return self.calls.failed(now, &self.set, &mut self.rng.0, todo),
             ListKind::Cached => {}
-            ListKind::Whole | ListKind::Changes => self.calls.listed(),
+            ListKind::Full | ListKind::Changes => self.calls.listed(),
         }
         if kind != ListKind::Changes {
-            self.servers.iter_mut().for_each(|s| s.state = State::Gone);
+            self.servers.iter_mut().for_each(|s| s.state = State::Removed);
         }
         for entry in entries {
             self.list(now, entry);
@@ -1033,10 +1056,10 @@
         self.servers.resize(self.servers.len().max(at + 1), Server::default());
         let (credit, credit_mark) = (self.rng.0.random::<f64>(), self.accepted);
         let known = &mut self.servers[at];
-        if entry.born > known.born || known.heard.is_none() || entry.common != known.common {
+        if entry.started_at > known.born || known.heard.is_none() || entry.global_id != known.common {
             // New or restarted: what was known of an old process is void, and it enters at the mean.
-            let size = if entry.common == known.common { known.size } else { 0.0 };
-            let (born, common, heard) = (entry.born, entry.common, Some(now));
+            let size = if entry.global_id == known.common { known.size } else { 0.0 };
+            let (born, common, heard) = (entry.started_at, entry.global_id, Some(now));
             let (out, probing, room, rest) = (known.out, known.probing, 1.0, Server::default());
             *known = Server { born, common, heard, size, credit, credit_mark, out, probing, room, ..rest };
         }
@@ -1045,7 +1068,7 @@
             known.weight = entry.weight;
             known.size = if self.live { known.size.max(entry.weight) } else { entry.weight };
             if self.live && known.renewed > Time(0) {
-                self.round = Some(smooth(self.round, (now - known.renewed).f(), SMOOTH_TURN));
+                self.round = Some(smooth(self.round, (now - known.renewed).as_f64(), SMOOTH_TURN));
             }
             if self.live && known.strikes > 0 {
                 (known.strikes, known.shunned) = (0, now);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -31,8 +31,8 @@
 pub fn settings() -> Settings {
     let keyed = |group| Effect::Keyed { group, window: Span(400 * MS) };
     Settings {
-        balancers: 2,
-        me: 0,
+        instance_count: 2,
+        instance_index: 0,
         zone: 0,
         classes: vec![
             class(Effect::Safe),
@@ -48,18 +48,18 @@
         fields: Vec::new(),
         limits: Limits {
             max_attempts: 4,
-            second_copies: false,
+            hedging: false,
             retry_after: None,
             probes: false,
-            cancel: true,
-            peers: false,
+            cancellation: true,
+            peer_messages: false,
             connect_timeout: Span(200 * MS),
             conn_idle: Span(5_000 * MS),
         },
         prices: Prices::default(),
         safety: Safety { ask_within: Span(10_000 * MS), cold_from: 0.3, cold: Span(8_000 * MS) },
         weights: Weights::Off,
-        warm_keys: false,
+        key_affinity: false,
         tail: Tail::default(),
         tick: Span(MS),
     }
@@ -77,12 +77,12 @@
 pub fn member(n: u32, zone: u32, cell: u32) -> Member {
     Member {
         server: ServerId(n),
-        born: Time(0),
+        started_at: Time(0),
         weight: 1.0,
         zone,
         cell,
         state: State::Ready,
-        common: u64::from(n) * 977 + 13,
+        global_id: u64::from(n) * 977 + 13,
     }
 }
 
@@ -169,9 +169,9 @@
                 assert!(self.known.contains_key(&server.0));
                 self.probing.insert(server.0);
             }
-            Action::Cancel { .. } => assert!(self.set.limits.cancel),
-            Action::Tell { data, .. } => assert!(self.set.limits.peers && data.len() <= 256),
-            Action::Watch | Action::Log { .. } => {}
+            Action::Cancel { .. } => assert!(self.set.limits.cancellation),
+            Action::SendToPeers { data, .. } => assert!(self.set.limits.peer_messages && data.len() <= 256),
+            Action::WatchServers | Action::Log { .. } => {}
         }
     }
 
@@ -183,7 +183,7 @@
         assert!(asked.answer.is_none(), "sent after the final answer");
         assert!(self.now <= asked.deadline, "sent after the deadline");
         let out = asked.attempts.iter().filter(|a| a.ended.is_none()).count();
-        assert!(out <= usize::from(self.set.limits.second_copies), "too many attempts out at a time");
+        assert!(out <= usize::from(self.set.limits.hedging), "too many attempts out at a time");
         let mut bound = asked.attempts.iter().filter(|a| !a.ended.is_some_and(Status::never_ran));
         if let Some(first) = bound.next() {
             let before = self.known[&first.server.0];
@@ -276,12 +276,12 @@
         let closed = asked.answer.is_some();
         let attempt = Attempt(at as u32);
         let again = true;
-        self.event(Event::Outcome {
+        self.event(Event::AttemptFinished {
             id: RequestId(id),
             attempt,
             status,
-            closed,
-            again,
+            request_closed: closed,
+            retry_allowed: again,
             latency,
             server,
             load,
@@ -292,7 +292,7 @@
     pub fn answer_probe(&mut self, server: u32, status: Status, load: &[f64]) {
         if self.probing.remove(&server) {
             let latency = Span(MS);
-            self.event(Event::Probed { server: ServerId(server), status, latency, load });
+            self.event(Event::ProbeFinished { server: ServerId(server), status, latency, load });
         }
     }
 
@@ -306,13 +306,13 @@
     pub fn withdraw(&mut self, id: u64) {
         if let Some(asked) = self.asked.get_mut(&id) {
             asked.answer.get_or_insert("withdrawn");
-            self.event(Event::Gone { id: RequestId(id) });
+            self.event(Event::ClientLeft { id: RequestId(id) });
         }
     }
 
     pub fn list(&mut self, kind: ListKind, entries: &[Member]) {
-        if matches!(kind, ListKind::Whole | ListKind::Cached) {
-            self.known.values_mut().for_each(|m| m.state = State::Gone);
+        if matches!(kind, ListKind::Full | ListKind::Cached) {
+            self.known.values_mut().for_each(|m| m.state = State::Removed);
         }
         for entry in entries {
             self.known.insert(entry.server.0, *entry);
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -6,7 +6,7 @@
 use dunlincleat::api::*;
 
 const MAY_HAVE_RUN: [Status; 4] = [Status::Error, Status::Timeout, Status::Reset, Status::Cancelled];
-const NEVER_RAN: [Status; 3] = [Status::Full, Status::ConnectFailed, Status::Moot];
+const NEVER_RAN: [Status; 3] = [Status::Rejected, Status::ConnectFailed, Status::NotSent];
 
 /// Asks once, ends the first attempt so, and tells the attempts made and the final answer.
 fn after(class: u32, status: Status) -> (usize, Option<&'static str>) {
@@ -93,7 +93,7 @@
     let mut world = World::new(settings(), &members(8));
     world.ask(1, UNSAFE, Span(700 * MS));
     for _ in 0..10 {
-        world.end(1, Status::Full, &[]);
+        world.end(1, Status::Rejected, &[]);
     }
     assert_eq!((world.attempts_of(1), world.answer_of(1)), (4, Some("refused")));
 }
@@ -149,7 +149,7 @@
     set.classes[0].stream = true;
     let mut world = World::new(set, &members(4));
     world.ask(1, SAFE, Span(700 * MS));
-    world.event(Event::First { id: RequestId(1), attempt: Attempt(0) });
+    world.event(Event::ResponseStarted { id: RequestId(1), attempt: Attempt(0) });
     world.asked.get_mut(&1).unwrap().deadline = Time(u64::MAX);
     world.pass(Span(50 * MS));
     assert_eq!((world.attempts_of(1), world.answer_of(1)), (1, None));
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -22,12 +22,12 @@
 const STATUS: [Status; 8] = [
     Status::Ok,
     Status::Error,
-    Status::Full,
+    Status::Rejected,
     Status::Timeout,
     Status::ConnectFailed,
     Status::Reset,
     Status::Cancelled,
-    Status::Moot,
+    Status::NotSent,
 ];
 const SERVERS: u32 = 8;
 
@@ -80,14 +80,14 @@
             Step::List { kind, mask, draining, fresh } => {
                 let bit = |bits: u16, n: u32| bits >> n & 1 == 1;
                 let kind =
-                    [ListKind::Changes, ListKind::Whole, ListKind::Cached, ListKind::Failed][*kind as usize];
+                    [ListKind::Changes, ListKind::Full, ListKind::Cached, ListKind::Failed][*kind as usize];
                 let now = world.now;
                 let mut entries: Vec<Member> = (0..SERVERS)
                     .filter(|n| bit(*mask, *n))
                     .map(|n| {
                         let state = if bit(*draining, n) { State::Draining } else { State::Ready };
-                        let born = if bit(*fresh, n) { now } else { world.known[&n].born };
-                        Member { state, born, ..member(n, n % 2, n / 2) }
+                        let born = if bit(*fresh, n) { now } else { world.known[&n].started_at };
+                        Member { state, started_at: born, ..member(n, n % 2, n / 2) }
                     })
                     .collect();
                 if kind == ListKind::Failed {
@@ -119,7 +119,7 @@
     probing.limits.probes = true;
     probing.prices.probe = 0.002;
     let mut talking = settings();
-    talking.limits.peers = true;
+    talking.limits.peer_messages = true;
     talking.discovery = Discovery::OnRequest;
     talking.classes.iter_mut().for_each(|c| c.late_worth = 0.3);
     let mut on_probe = probing.clone();
@@ -158,7 +158,7 @@
         runner(60)
             .run(&proptest::collection::vec((0..14_u8, 0..12_u8, 1..60_u64), 300), |steps| {
                 let mut list = members(SERVERS);
-                list[0].born = START;
+                list[0].started_at = START;
                 let mut world = World::new(set.clone(), &list);
                 for (id, (s, load, ms)) in steps.iter().enumerate() {
                     world.ask(id as u64, SAFE, Span(700 * MS));
@@ -173,12 +173,12 @@
                 }
                 let while_cold = world.sends.iter().filter(|(at, _)| *at - START < cold);
                 let to_cold = while_cold.clone().filter(|(_, s)| s.0 == 0).count() as f64;
-                let age = (world.now - START).f().min(cold.f()) / cold.f();
+                let age = (world.now - START).as_f64().min(cold.as_f64()) / cold.as_f64();
                 let warmth = 0.3 + 0.7 * age;
                 // One that uses few servers, as others do, counts it among those few alone.
                 let used =
                     world.sends.iter().map(|(_, s)| s.0).collect::<std::collections::BTreeSet<_>>().len();
-                let others = if set.limits.peers { used.max(2) as f64 - 1.0 } else { 7.0 };
+                let others = if set.limits.peer_messages { used.max(2) as f64 - 1.0 } else { 7.0 };
                 let most = while_cold.count() as f64 * 1.25 * warmth / (others + warmth) + 3.0;
                 prop_assert!(to_cold <= most, "{} sends to the cold server, {} allowed", to_cold, most);
                 Ok(())
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_draining_or_gone_server_gets_nothing_from_that_moment() {
-    for state in [State::Draining, State::Gone] {
+    for state in [State::Draining, State::Removed] {
         let mut world = World::new(settings(), &members(3));
         world.serve(0, 100, |_| Vec::new());
         world.list(ListKind::Changes, &[Member { state, ..member(1, 1, 0) }]);
@@ -20,7 +20,7 @@
 #[test]
 fn what_a_whole_list_leaves_out_is_gone() {
     let mut world = World::new(settings(), &members(3));
-    world.list(ListKind::Whole, &members(2));
+    world.list(ListKind::Full, &members(2));
     let got = world.serve(0, 200, |_| Vec::new());
     assert!(!got.contains_key(&2) && got.len() == 2);
 }
@@ -39,7 +39,7 @@
     let mut world = World::new(counting(), &members(4));
     world.serve(0, 100, |_| vec![1.0, 0.0, 0.9]);
     let born = world.now;
-    world.list(ListKind::Changes, &[Member { born, ..member(4, 0, 2) }]);
+    world.list(ListKind::Changes, &[Member { started_at: born, ..member(4, 0, 2) }]);
     // It reports itself idle and the others busy: everything pulls the shares to it.
     let load = |s: u32| vec![if s == 4 { 0.0 } else { 1.0 }, 0.0, 0.5];
     let mut sent = 0;
@@ -67,14 +67,14 @@
 fn what_servers_turn_away_earns_no_cold_budget() {
     let mut world = World::new(settings(), &members(4));
     world.serve(0, 100, |_| Vec::new());
-    let cold = Member { born: world.now, ..member(4, 0, 2) };
+    let cold = Member { started_at: world.now, ..member(4, 0, 2) };
     world.list(ListKind::Changes, &[cold]);
     let before = world.sends.len();
     for id in 100..300 {
         world.ask(id, SAFE, Span(700 * MS));
         while world.answer_of(id).is_none() && world.attempts_of(id) > 0 {
             let accepts = world.server_of(id) == cold.server;
-            world.end_last(id, if accepts { Status::Ok } else { Status::Full });
+            world.end_last(id, if accepts { Status::Ok } else { Status::Rejected });
         }
         world.pass(Span(20 * MS));
     }
@@ -90,7 +90,7 @@
     let mut world = World::new(settings(), &members(3));
     world.serve(0, 200, |_| Vec::new());
     let born = world.now;
-    world.list(ListKind::Changes, &[Member { born, ..member(0, 0, 0) }]);
+    world.list(ListKind::Changes, &[Member { started_at: born, ..member(0, 0, 0) }]);
     let got = world.serve(200, 100, |_| Vec::new());
     // Warmth 0.3 to 0.5 beside two warm ones: at most about 100 * 1.25 * 0.5 / 2.5.
     assert!(got.get(&0).copied().unwrap_or(0) <= 28, "{got:?}");
@@ -99,7 +99,7 @@
 #[test]
 fn a_restarted_balancer_keeps_the_cold_budget_from_its_first_request() {
     let mut list = members(4);
-    list[0].born = START;
+    list[0].started_at = START;
     let mut world = World::new(settings(), &list);
     let got = world.serve(0, 40, |_| Vec::new());
     assert!(got.get(&0).copied().unwrap_or(0) <= 8, "{got:?}");
@@ -107,14 +107,14 @@
 
 #[test]
 fn with_all_servers_cold_requests_are_still_served() {
-    let list: Vec<Member> = members(4).iter().map(|m| Member { born: START, ..*m }).collect();
+    let list: Vec<Member> = members(4).iter().map(|m| Member { started_at: START, ..*m }).collect();
     let mut world = World::new(settings(), &list);
     let got = world.serve(0, 200, |_| Vec::new());
     assert!(got.values().sum::<u64>() > 180, "{got:?}");
 }
 
 fn watches(world: &World) -> usize {
-    world.said.iter().filter(|a| **a == Action::Watch).count()
+    world.said.iter().filter(|a| **a == Action::WatchServers).count()
 }
 
 #[test]
@@ -130,7 +130,7 @@
     world.list(ListKind::Failed, &[]);
     world.pass(Span(2_500 * MS));
     assert!(watches(&world) >= 2, "asked again well within the time after which it counts as told");
-    world.list(ListKind::Whole, &members(2));
+    world.list(ListKind::Full, &members(2));
     let asked = watches(&world);
     world.pass(Span(30_000 * MS));
     assert_eq!(watches(&world), asked, "a subscription that stands needs no further calls");
@@ -189,11 +189,11 @@
 fn a_hundred_that_start_at_once_are_all_answered_by_a_service_that_is_short() {
     let (turn, patience) = (Span(50 * MS), Span(2_000 * MS));
     let mut set = settings();
-    (set.discovery, set.balancers) = (Discovery::OnRequest, 100);
+    (set.discovery, set.instance_count) = (Discovery::OnRequest, 100);
     // Where they start at once, and where all their calls have just failed together.
     for broken in [false, true] {
         let start = |me: u32| {
-            let set = Settings { me, ..set.clone() };
+            let set = Settings { instance_index: me, ..set.clone() };
             World::seeded(set, &members(60), u64::from(me) + 1)
         };
         let mut worlds: Vec<(World, usize)> = (0..100).map(|me| (start(me), 0)).collect();
@@ -234,7 +234,7 @@
 fn where_handshakes_are_dear_a_quiet_balancer_keeps_to_servers_it_meets_again() {
     let used = |price: f64| {
         let mut set = counting();
-        (set.balancers, set.me, set.prices.handshake) = (100, 41, price);
+        (set.instance_count, set.instance_index, set.prices.handshake) = (100, 41, price);
         let mut world = World::new(set, &members(60));
         for id in 0..300 {
             world.ask(id, SAFE, Span(700 * MS));
@@ -253,7 +253,7 @@
 fn priced(balancers: u32, me: u32) -> Settings {
     let mut set = settings();
     set.prices.connection = 0.05;
-    (set.balancers, set.me) = (balancers, me);
+    (set.instance_count, set.instance_index) = (balancers, me);
     set
 }
 
@@ -278,11 +278,11 @@
 /// Adds up what many quiet balancers send to each of 50 servers in four seconds, `cold` of which just started.
 fn sent_by_many(cold: u32) -> Vec<u32> {
     let mut list = members(50);
-    list.iter_mut().take(cold as usize).for_each(|m| m.born = START);
+    list.iter_mut().take(cold as usize).for_each(|m| m.started_at = START);
     let mut got = vec![0; list.len()];
     for me in 0..200 {
         let mut set = counting();
-        (set.balancers, set.me) = (200, me);
+        (set.instance_count, set.instance_index) = (200, me);
         set.limits.probes = true;
         set.prices.probe = 0.002;
         let mut world = World::seeded(set, &list, u64::from(me));
@@ -339,8 +339,8 @@
             }
         }
     }
-    world.list(ListKind::Changes, &[Member { state: State::Gone, ..member(1, 1, 0) }]);
-    world.list(ListKind::Changes, &[Member { common: 4711, ..member(1, 1, 0) }]);
+    world.list(ListKind::Changes, &[Member { state: State::Removed, ..member(1, 1, 0) }]);
+    world.list(ListKind::Changes, &[Member { global_id: 4711, ..member(1, 1, 0) }]);
     let got = world.serve(id + 1, 100, |_| Vec::new());
     assert!(got.get(&1).is_some_and(|n| *n > 10), "{got:?}");
 }
@@ -356,7 +356,7 @@
             world.ask(id, UNSAFE, Span(700 * MS));
             if told && world.attempts_of(id) > 0 {
                 let server = world.server_of(id);
-                world.event(Event::Uploads { id: RequestId(id), server, over: false });
+                world.event(Event::Upload { id: RequestId(id), server, finished: false });
             }
         }
         let out = (100..130).filter(|id| world.attempts_of(*id) > 0).count();
@@ -381,8 +381,8 @@
     assert!(!silent(&world));
     // From its last byte on it counts, and its time begins: it never ran, and may be tried again.
     let server = world.server_of(100);
-    world.event(Event::Uploads { id: RequestId(100), server, over: true });
+    world.event(Event::Upload { id: RequestId(100), server, finished: true });
     world.pass(Span(10 * MS));
-    world.end(100, Status::Full, &[]);
+    world.end(100, Status::Rejected, &[]);
     assert_eq!((world.attempts_of(100), world.answer_of(100)), (2, None));
 }
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -35,7 +35,7 @@
 }
 
 fn warm(me: u32) -> Settings {
-    Settings { warm_keys: true, balancers: 10, me, ..settings() }
+    Settings { key_affinity: true, instance_count: 10, instance_index: me, ..settings() }
 }
 
 fn places_of(world: &mut World, first: u64, n: u64, key: u64) -> BTreeMap<u32, u64> {
@@ -66,13 +66,13 @@
         used.push(rare);
     }
     assert!(!used[0].is_disjoint(&used[1]), "two instances share none: {used:?}");
-    let mut world = World::new(Settings { warm_keys: false, ..warm(0) }, &members(40));
+    let mut world = World::new(Settings { key_affinity: false, ..warm(0) }, &members(40));
     assert!(places_of(&mut world, 0, 100, 5).len() > 20, "without warm keys a key says nothing");
 }
 
 fn copying() -> Settings {
     let mut set = settings();
-    set.limits.second_copies = true;
+    set.limits.hedging = true;
     set.classes[SAFE as usize].late_worth = 0.5;
     set
 }
@@ -94,10 +94,10 @@
     };
     assert_eq!(copies(copying()), (2, 1, Some("served")));
     let mut alone = copying();
-    alone.limits.second_copies = false;
+    alone.limits.hedging = false;
     assert_eq!(copies(alone).0, 1);
     let mut lasting = copying();
-    lasting.limits.cancel = false;
+    lasting.limits.cancellation = false;
     assert_eq!(copies(lasting).0, 1);
 }
 
@@ -105,7 +105,7 @@
 #[test]
 fn what_has_no_room_is_refused_at_once_with_advice() {
     let mut set = live();
-    (set.limits.peers, set.limits.retry_after) = (true, Some(Span(2_000 * MS)));
+    (set.limits.peer_messages, set.limits.retry_after) = (true, Some(Span(2_000 * MS)));
     let mut world = World::new(set, &members(2));
     for id in 0..60 {
         world.ask(id, SAFE, Span(700 * MS));
@@ -121,12 +121,12 @@
 #[test]
 fn a_change_is_told_at_once_and_only_to_those_that_use_the_server() {
     let mut set = live();
-    (set.limits.peers, set.balancers, set.prices.peer) = (true, 3, 0.01);
+    (set.limits.peer_messages, set.instance_count, set.prices.peer) = (true, 3, 0.01);
     let mut world = World::new(set, &members(6));
     world.serve(0, 30, |_| Vec::new());
     let used: BTreeSet<u32> = world.sends.iter().map(|(_, s)| s.0).collect();
     assert!(used.len() < 6, "few servers each: {used:?}");
-    let name = |n: u32| (member(n, 0, 0).common as u32).to_le_bytes();
+    let name = |n: u32| (member(n, 0, 0).global_id as u32).to_le_bytes();
     let first = *used.first().unwrap();
     let said = |n: u32| [name(n)[0], name(n)[1], name(n)[2], 0];
     world.event(Event::Peer { from: 1, data: &said(first) });
@@ -135,7 +135,7 @@
     let told: BTreeSet<Option<u32>> = world
         .said
         .iter()
-        .filter_map(|a| if let Action::Tell { peer, .. } = a { Some(*peer) } else { None })
+        .filter_map(|a| if let Action::SendToPeers { peer, .. } = a { Some(*peer) } else { None })
         .collect();
     assert!(told.contains(&Some(1)) && !told.contains(&Some(2)), "told {told:?}");
 }
@@ -144,10 +144,10 @@
 #[test]
 fn what_others_tell_counts_as_load() {
     let mut set = live();
-    set.limits.peers = true;
+    set.limits.peer_messages = true;
     let mut world = World::new(set, &members(2));
     world.serve(0, 60, |_| Vec::new());
-    let [a, b, c, _] = (member(0, 0, 0).common as u32).to_le_bytes();
+    let [a, b, c, _] = (member(0, 0, 0).global_id as u32).to_le_bytes();
     world.event(Event::Peer { from: 1, data: &[a, b, c, 9] });
     let got = world.serve(100, 30, |_| Vec::new());
     assert!(!got.contains_key(&0) && got[&1] == 30, "{got:?}");
@@ -157,8 +157,8 @@
 #[test]
 fn a_number_given_to_another_server_does_not_keep_its_size() {
     let mut world = World::new(live(), &[weighed(0, 8.0), weighed(1, 1.0)]);
-    world.list(ListKind::Whole, &[weighed(1, 1.0)]);
-    world.list(ListKind::Whole, &[Member { common: 99, ..weighed(0, 1.0) }, weighed(1, 1.0)]);
+    world.list(ListKind::Full, &[weighed(1, 1.0)]);
+    world.list(ListKind::Full, &[Member { global_id: 99, ..weighed(0, 1.0) }, weighed(1, 1.0)]);
     let got = world.serve(0, 200, |_| Vec::new());
     assert!(got[&0] < 140 && got[&1] > 60, "two of one size: {got:?}");
 }
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -81,8 +81,8 @@
 fn a_full_server_is_left_alone_for_a_moment() {
     let mut world = World::new(settings(), &members(2));
     world.ask(1, SAFE, Span(700 * MS));
-    world.end(1, Status::Full, &[]);
-    world.end(1, Status::Full, &[]);
+    world.end(1, Status::Rejected, &[]);
+    world.end(1, Status::Rejected, &[]);
     assert_eq!(world.attempts_of(1), 2, "both are full, a third attempt would only add to it");
 }
 
@@ -139,7 +139,7 @@
 #[test]
 fn odd_messages_are_passed_over() {
     let mut set = settings();
-    set.limits.peers = true;
+    set.limits.peer_messages = true;
     let mut world = World::new(set, &members(3));
     for data in [&[][..], &[1], &[1, 2], &[255; 256], &[0; 7]] {
         for from in [0, 1, 2, 900] {
