--- a/crates/directory/src/entry.rs
+++ b/crates/directory/src/entry.rs
@@ -1,4 +1,4 @@
-//! Stage: a line of discovery's to a typed list. Each message is decoded here once; nothing here is kept.
+//! Decoding of discovery messages into typed lists. Stateless; each message is decoded here exactly once.
 
 use anyhow::{Context, Result};
 use dunlincleat::api::State;
@@ -7,37 +7,37 @@
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// A list of servers, or changes to one.
+/// A full list of servers, or changes to one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listing {
-    /// Its version.
+    /// The revision of the list.
     pub rev: u64,
-    /// It is the whole list.
+    /// Whether this is the full list rather than changes.
     pub whole: bool,
-    /// Its entries, in order.
+    /// The entries, in the order received.
     pub entries: Vec<Entry>,
-    /// Why entries were passed over, for the log.
+    /// For each entry that could not be decoded in full, the reason, for the log.
     pub passed_over: Vec<String>,
 }
 
 /// A server of a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its name, the same at every sidecar.
+    /// Unique name, the same at every sidecar.
     pub uid: String,
-    /// Where it is reached; servers that leave may do without.
+    /// The address; optional for servers that are draining or removed.
     pub endpoint: Option<SocketAddr>,
-    /// The name of its zone.
+    /// The name of the zone.
     pub zone: String,
-    /// The name of its model, empty where none was told.
+    /// The service that it belongs to; empty if not given.
     pub model: String,
-    /// Its cell.
+    /// The cell.
     pub cell: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: State,
-    /// Its size against that of others.
+    /// Capacity relative to other servers.
     pub weight: f64,
-    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    /// When the process started, in milliseconds of Unix time; 0 for long ago.
     pub boot_ms: u64,
 }
 
@@ -69,7 +69,7 @@
     boot_ms: f64,
 }
 
-/// What must be readable for a server that leaves to be left alone.
+/// The fields that must be readable for a drain or removal to take effect.
 #[derive(Deserialize)]
 struct Departure {
     uid: String,
@@ -77,12 +77,12 @@
 }
 
 impl Listing {
-    /// Reads a line of a watch. An entry that can't be read is passed over, so that it keeps no other back; where
-    /// its name and a state other than `up` can be read, that much counts: a drain must not be lost to a bad port.
+    /// Decodes a message of a watch. An invalid entry is skipped and does not affect the others. If its name and a
+    /// state other than `up` are readable, the state still applies: a drain must not be lost to an invalid port.
     ///
     /// # Errors
     ///
-    /// The line is no JSON object with a list of targets.
+    /// The message is not a JSON object with a list of targets.
     pub fn decode(line: &[u8]) -> Result<Listing> {
         let raw: RawListing<'_> = serde_json::from_slice(line)?;
         let mut listing = Listing { rev: raw.rev, whole: raw.all, ..Listing::default() };
@@ -96,17 +96,17 @@
                     listing.passed_over.push(reason);
                     listing.entries.push(Entry::leaving(uid, departure_state(&state)));
                 }
-                (Err(error), _) => listing.passed_over.push(format!("entry passed over: {error:#}")),
+                (Err(error), _) => listing.passed_over.push(format!("invalid entry skipped: {error:#}")),
             }
         }
         Ok(listing)
     }
 
-    /// Reads the list in the configuration, where each fault is one to be told.
+    /// Decodes a list from the configuration or a snapshot, where every invalid entry is an error.
     ///
     /// # Errors
     ///
-    /// Names the entry and what can't be read of it.
+    /// Names the invalid entry and the field at fault.
     pub fn from_value(value: Value) -> Result<Listing> {
         #[derive(Deserialize)]
         struct StrictListing {
@@ -121,7 +121,7 @@
         Ok(Listing { rev, whole: all, entries, passed_over: Vec::new() })
     }
 
-    /// The whole list in discovery's form.
+    /// Encodes the list in the format of discovery.
     #[must_use]
     pub fn to_value(&self) -> Value {
         let targets: Vec<RawEntry> = self.entries.iter().map(Entry::to_raw).collect();
@@ -129,13 +129,14 @@
     }
 }
 
-/// Nothing new is sent to a server of which it is not known that it wants any: an unknown state is a drain.
+/// The state for a value other than `up`. An unknown value counts as draining: no new work goes to a server that is
+/// not known to accept it.
 fn departure_state(state: &str) -> State {
     if state == "removed" { State::Gone } else { State::Draining }
 }
 
 impl Entry {
-    /// One of which nothing is known but that it leaves.
+    /// A server of which only the name and a state other than ready are known.
     #[must_use]
     pub fn leaving(uid: String, state: State) -> Entry {
         Entry {
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -1,9 +1,9 @@
-//! Which watches of discovery to hold, and how fresh the list is. Owns the watches by number: each opened one ends
-//! by one [`Output::Close`] or one [`Input::Ended`], whichever comes first.
+//! Decides which watches of discovery to open and tracks how fresh the list is. Owns the watches by number: each opened
+//! watch ends with one [`Output::Close`] or one [`Input::Ended`], whichever comes first.
 //!
-//! Freshness is a value: when a watch last spoke, all that was told until then is known, as a watch brings its
-//! lines in order. When the sign of life that is due does not come, a second watch is opened beside the first, and
-//! further ones until any speaks; the first to speak is followed and the others are closed.
+//! A watch delivers its messages in order, so each message or heartbeat proves that everything announced until then has
+//! been received. When a heartbeat is overdue, a second watch is opened beside the first, and further ones until any
+//! of them delivers; the first to deliver is followed and the others are closed.
 
 use crate::entry::Listing;
 use crate::interest::Interest;
@@ -13,37 +13,41 @@
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
 
-/// How many tries in a row must fail before a drain that was never heard of could break its bound.
+/// How many consecutive tries must fail before a drain that was never received could exceed its bound.
 const RETRIES_WITHIN_BOUND: u64 = 8;
-/// The most watches open or opening at a time.
+/// The most watches open or being opened at a time.
 const MAX_WATCHES: usize = 6;
-/// The wait between tries doubles at most so often.
+/// The most times that the wait between tries doubles; keeps the shift below the width of its type.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// Times by which discovery is followed.
+/// Timing of the follower.
 #[derive(Clone, Copy, Debug)]
 pub struct Figures {
-    /// A watch from which nothing came for this long may be dead.
+    /// A watch without any message for this long may be dead.
     pub late: Span,
-    /// What a call may take until its answer begins where lists are pushed.
+    /// How long a call may wait for its response to begin if lists are pushed.
     pub call: Span,
-    /// The longest time between two tries while nothing speaks, where lists are pushed.
+    /// The longest time between two tries while no watch delivers, if lists are pushed.
     pub tries: Span,
-    /// The longest time between two calls while nothing speaks, where lists come only on request and the module asks later.
+    /// The longest time between two calls while no watch delivers, if lists come only on request and the decision
+    /// module asks later.
     pub ask: Span,
-    /// Until when after its time a word counts as told, heard or not, and its grace over.
+    /// How long after an announcement it counts as known, received or not, and its grace period as over.
     pub bound: Span,
-    /// The first and the longest wait after a call failed.
+    /// The first and the longest wait after a failed call.
     pub again: (Span, Span),
-    /// A watch is replaced by a new one at this age, nothing for never.
+    /// The age at which a watch is replaced by a new one; zero for never.
     pub renew: Span,
 }
 
 impl Figures {
-    /// Derives the times from the heartbeat of a watch, the time after which a word counts as told whether or not
-    /// it arrived, and the grace of a drain. A heartbeat may be late by a quarter of the grace; of what is then
-    /// left until a drain that nobody heard of could break its bound, eight tries get an equal part each, or two
-    /// thirds of the grace where that is less: what is told when discovery is back counts at once, however long it was away.
+    /// Derives the timing from the heartbeat interval of a watch, the time after which an announcement counts as known
+    /// whether or not it arrived, and the grace period of a drain.
+    ///
+    /// A heartbeat may be late by a quarter of the grace, or by an eighth of its interval if there is no grace. The time
+    /// that then remains until an unreceived drain could exceed its bound is split equally between eight tries, each
+    /// limited to two thirds of the grace: what discovery announces when it returns counts at once, however long it was
+    /// away.
     #[must_use]
     pub fn derive(heartbeat: Span, told_within: Span, grace: Span) -> Figures {
         let tolerance = if grace.0 > 0 { grace.times(0.25) } else { heartbeat.times(0.125) };
@@ -52,50 +56,50 @@
         let remaining = Span(bound.0.saturating_sub(late.0)).max(heartbeat);
         let call = Span((remaining.0 / RETRIES_WITHIN_BOUND).max(1000));
         let tries = if grace.0 > 0 { call.min(grace.times(2.0 / 3.0)).max(Span(1000)) } else { call };
-        // One of the eight parts is left for the answer.
+        // One of the eight parts is left for the response.
         let ask = Span(remaining.0 - remaining.0 / RETRIES_WITHIN_BOUND);
         Figures { late, call, tries, ask, bound, again: (Span(50_000), heartbeat), renew: Span(0) }
     }
 }
 
-/// A watch, numbered by the follower.
+/// Number of a watch, assigned by the follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WatchId(pub u64);
 
-/// What a call asks for.
+/// What a call to discovery requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ask {
-    /// A watch of what comes after this version.
+    /// A watch of the changes after this revision.
     After(u64),
-    /// The whole list, then a watch of what comes after its version.
+    /// The full list, then a watch of the changes after its revision.
     Whole,
-    /// The whole list alone, beside a watch that is followed.
+    /// Only the full list, beside the watch that is followed.
     Check,
 }
 
 /// Why a watch ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// No connection.
+    /// The connection could not be established.
     Unreachable(String),
-    /// Another status than 200.
+    /// The response had a status other than 200.
     Refused(u16),
-    /// No answer began in time.
+    /// The response did not begin in time.
     NoAnswer,
-    /// It was open and not even an empty line came.
+    /// The watch was open and not even a heartbeat arrived.
     Silent,
-    /// The other side ended it.
+    /// Discovery closed the watch.
     Ended,
-    /// It broke.
+    /// The connection broke.
     Broke(String),
-    /// What came is no list.
+    /// A message was not a valid list.
     Garbled(String),
-    /// A line over the bound.
+    /// A message exceeded the size limit.
     TooLong,
 }
 
 impl Cause {
-    /// The causes by name, in the order of [`Health::ended`].
+    /// Names of the causes, in the order of [`Health::ended`].
     pub const NAMES: [&'static str; 8] =
         ["unreachable", "refused", "no answer", "silent", "ended", "broke", "garbled", "too long"];
 
@@ -119,82 +123,82 @@
             Cause::Unreachable(why) => f.write_str(why),
             Cause::Refused(status) => write!(f, "refused with {status}"),
             Cause::NoAnswer => f.write_str("no answer"),
-            Cause::Silent => f.write_str("no sign of life on it"),
-            Cause::Ended => f.write_str("it ended"),
-            Cause::Broke(why) => write!(f, "it broke: {why}"),
-            Cause::Garbled(why) => write!(f, "it sent what is no list: {why}"),
-            Cause::TooLong => write!(f, "a line over {} bytes", crate::lines::LINE_BYTES),
+            Cause::Silent => f.write_str("no message or heartbeat received"),
+            Cause::Ended => f.write_str("closed by discovery"),
+            Cause::Broke(why) => write!(f, "connection broke: {why}"),
+            Cause::Garbled(why) => write!(f, "invalid list: {why}"),
+            Cause::TooLong => write!(f, "message over {} bytes", crate::lines::LINE_BYTES),
         }
     }
 }
 
-/// What the follower is told.
+/// An event for the follower.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The module wants a watch, where lists come only on request.
+    /// The decision module asks for a watch, if lists come only on request.
     Wanted,
-    /// Discovery answers elsewhere from now on.
+    /// Discovery has a new address.
     Moved(SocketAddr),
-    /// The answer to a call began.
+    /// The response to a call began.
     Opened(WatchId),
-    /// A list or changes came; nothing is an empty line.
+    /// A message arrived; `None` is a heartbeat.
     Line(WatchId, Option<Listing>),
     /// A watch ended.
     Ended(WatchId, Cause),
 }
 
-/// What the follower wants done.
+/// An action that the follower requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Call discovery.
     Open {
-        /// The number of the watch.
+        /// The number of the new watch.
         watch: WatchId,
-        /// Where.
+        /// The address of discovery.
         at: SocketAddr,
-        /// For what.
+        /// What to request.
         ask: Ask,
     },
-    /// Drop a watch; nothing more of it counts.
+    /// Drop a watch; further messages of it are ignored.
     Close(WatchId),
-    /// The list changed, or was told again.
+    /// The list changed or was received again.
     Deliver(Delivery),
-    /// A call or watch failed, where lists come only on request: the module says when to call again.
+    /// A call or watch failed, if lists come only on request: the decision module says when to call again.
     Failed,
-    /// Once an outage: discovery is not followed.
+    /// Discovery is no longer followed; reported once per outage.
     Lost {
-        /// Where.
+        /// The address of discovery.
         at: SocketAddr,
-        /// Why.
+        /// The cause of the last failure.
         why: String,
     },
-    /// A watch speaks and is followed from here on.
+    /// A watch delivers and is followed from now on.
     Followed {
-        /// Where.
+        /// The address of discovery.
         at: SocketAddr,
-        /// After which version.
+        /// The revision held when the watch delivered.
         rev: u64,
-        /// How long nothing had been heard.
+        /// The time since the last message of any watch.
         unheard: Span,
     },
 }
 
-/// The state of the list, for the log and for whoever must know how fresh it is.
+/// State and freshness of the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    /// The version held.
+    /// The current revision.
     pub rev: u64,
-    /// Servers that take work.
+    /// The number of ready servers.
     pub ready: usize,
-    /// Up to when all that was told is surely known.
+    /// The time until which everything that discovery announced is known.
     pub fresh_at: Time,
-    /// Watches open or opening.
+    /// Watches open or being opened.
     pub watches: usize,
-    /// Watches opened since the start.
+    /// Watches opened since the start of the process.
     pub opened: u64,
-    /// Watches that ended since the start, by cause, as [`Cause::NAMES`].
+    /// Watches that ended since the start of the process, by cause in the order of [`Cause::NAMES`].
     pub ended: [u64; 8],
-    /// The longest that nothing was heard since the start.
+    /// The longest time without a message since the start of the process.
     pub longest_unheard: Span,
 }
 
@@ -203,12 +207,12 @@
     id: WatchId,
     at: SocketAddr,
     ask: Ask,
-    /// The version held when it was called.
+    /// The revision held when the watch was opened.
     rev: u64,
     opened_at: Time,
     opened: bool,
     last_message: Option<Time>,
-    /// Its silence was told of.
+    /// Its heartbeat is overdue and the failure has been reported.
     silence_reported: bool,
 }
 
@@ -218,7 +222,7 @@
     }
 }
 
-/// Follows discovery.
+/// Follows discovery through a set of watches.
 #[derive(Debug)]
 pub struct Follower {
     figures: Figures,
@@ -227,24 +231,25 @@
     table: ServerTable,
     rng: SmallRng,
     watches: Vec<Watch>,
-    /// The one that is followed: the last to speak first.
+    /// The watch that is followed: the first to deliver among those opened.
     followed: Option<WatchId>,
     next_watch_id: u64,
-    /// When the next call may be made.
+    /// The earliest time of the next call.
     next_open: Time,
-    /// The module asked for a watch and has none that speaks.
+    /// The decision module asked for a watch and none delivers.
     watch_requested: bool,
-    /// Where lists come only on request and nothing speaks: when a call goes out although the module asks for none.
+    /// If lists come only on request and no watch delivers: when a call is made even if the decision module asks for
+    /// none.
     request_due: Option<Time>,
-    /// The module was told of a failure and of no success since.
+    /// A failure was reported to the decision module, and no success since.
     failure_reported: bool,
-    /// No whole list has come from the present address yet.
+    /// The address changed and no full list has arrived from the new one yet.
     address_changed: bool,
-    /// The whole list is asked for with the next call.
+    /// The next call requests the full list.
     full_list_next: bool,
-    /// When the whole list is asked for although a watch speaks.
+    /// When the full list is requested although a watch delivers.
     check_due: Option<Time>,
-    /// When that last came.
+    /// When the last such list arrived.
     last_check: Time,
     failures: u32,
     outage_reported: bool,
@@ -252,7 +257,7 @@
 }
 
 impl Follower {
-    /// A follower that holds a list from before; what that comes to is the first delivery.
+    /// A follower initialised with a known list, and its first delivery.
     #[must_use]
     pub fn new(
         now: Time,
@@ -265,7 +270,7 @@
         Follower::of(now, figures, mode, at, seed, known, Interest::default())
     }
 
-    /// The same for the servers of some services alone. The calls of its watches are best made for these.
+    /// The same, restricted to an interest set. The caller should request only these services from discovery.
     #[must_use]
     pub fn of(
         now: Time,
@@ -301,7 +306,7 @@
         (follower, delivery)
     }
 
-    /// The state of the list.
+    /// State and freshness of the list.
     #[must_use]
     pub fn health(&self) -> Health {
         Health {
@@ -312,19 +317,19 @@
         }
     }
 
-    /// How long ago this instance surely knew all that was told.
+    /// The time since everything that discovery announced was known.
     #[must_use]
     pub fn age(&self, now: Time) -> Span {
         now - self.health.fresh_at
     }
 
-    /// The list that is held.
+    /// The current list.
     #[must_use]
     pub fn book(&self) -> &ServerTable {
         &self.table
     }
 
-    /// When [`Follower::wake`] is due, if ever.
+    /// When [`Follower::wake`] must be called next.
     #[must_use]
     pub fn due(&self) -> Option<Time> {
         let figures = &self.figures;
@@ -337,7 +342,7 @@
         watches.chain(call).chain(self.request_due).chain(self.check_due).chain(self.renewal_due()).min()
     }
 
-    /// Does what is due.
+    /// Performs everything that is due.
     pub fn wake(&mut self, now: Time, out: &mut Vec<Output>) {
         for watch in self.watches.clone() {
             let silence = now - watch.last_activity();
@@ -353,7 +358,7 @@
         }
         if self.check_due.is_some_and(|at| now >= at) {
             self.check_due = None;
-            // While nothing speaks, what is followed next brings a check of its own.
+            // Without a live watch, the next watch that is followed schedules its own check.
             if self.has_live_watch() {
                 let next_open = self.next_open;
                 self.open_watch(now, Ask::Check, out);
@@ -382,7 +387,7 @@
         }
     }
 
-    /// Takes what happened.
+    /// Handles an event.
     pub fn input(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Wanted => {
@@ -410,9 +415,9 @@
         self.wake(now, out);
     }
 
-    /// How long a call may take until its answer begins. Where lists come only on request, calls wait in turn at a
-    /// service that all instances share: one given up after `call` had lost its place and left its work behind,
-    /// and with sixty that did so none was ever answered. The module says when to ask once more beside it.
+    /// How long a call may wait for its response to begin. Lists on request come from a queue that all instances
+    /// share: a call given up after `call` lost its place while its work stayed in the queue, and with sixty instances
+    /// doing so none was ever answered. The decision module says when to make another call beside it.
     fn answer_timeout(&self) -> Span {
         match self.mode {
             Discovery::Pushed => self.figures.call,
@@ -420,8 +425,8 @@
         }
     }
 
-    /// The longest time to the next try while nothing speaks. Past the bound a pushed list is asked for as often as before:
-    /// with 2 s between two tries, what was told at the return of discovery was heard long after its grace.
+    /// The longest time to the next try while no watch delivers. A pushed list is requested as often past the bound as
+    /// before it: with 2 s between tries, changes announced at the return of discovery arrived long after their grace.
     fn max_retry_interval(&self, now: Time) -> Span {
         match self.mode {
             Discovery::Pushed => self.figures.tries,
@@ -442,7 +447,7 @@
         self.followed.and_then(|id| self.watch(id))
     }
 
-    /// The watch that is followed, where it is at the present address and its last sign of life is recent.
+    /// Whether the followed watch is at the current address and its heartbeat is not overdue.
     fn has_live_watch(&self) -> bool {
         self.followed_watch().is_some_and(|watch| watch.at == self.at && !watch.silence_reported)
     }
@@ -456,9 +461,9 @@
         wanted && !self.has_live_watch() && has_slot
     }
 
-    /// The call that gives way where all places are taken: it has been out for as long as several tries and told nothing.
-    /// Six that were open and mute once kept the next from being made for 1.5 s on a grace of 0.2 s. Where lists come
-    /// only on request each keeps its place in the queue.
+    /// The call to give up when [`MAX_WATCHES`] are open: it has lasted for several tries without a message. Six silent
+    /// watches once delayed the next call by 1.5 s with a grace of 0.2 s. Calls for lists on request are never given
+    /// up here, as each has a place in the queue.
     fn oldest_unanswered(&self) -> Option<WatchId> {
         if self.mode != Discovery::Pushed {
             return None;
@@ -496,8 +501,8 @@
         out.push(Output::Open { watch: id, at, ask });
     }
 
-    /// The module spreads the calls of all instances over the time that they may take together, twenty seconds for a
-    /// hundred. What changed counts as told well before, so a call goes out in time whatever the module waits for.
+    /// Schedules a call in time, whatever the decision module waits for: the module spreads the calls of all instances
+    /// over the time that they may take together, twenty seconds for a hundred, but changes count as known well before.
     fn schedule_request(&mut self, now: Time) {
         if self.mode == Discovery::OnRequest && self.request_due.is_none() && !self.has_live_watch() {
             let wait = self.figures.ask.times(self.rng.random_range(0.75..1.0));
@@ -510,7 +515,7 @@
         self.followed = self.followed.filter(|followed| *followed != id);
     }
 
-    /// An open watch fell silent. It is kept beside the next one: it may only be late.
+    /// An open watch missed its heartbeat. The followed watch is kept beside the next one, as it may only be late.
     fn handle_silence(&mut self, now: Time, watch: Watch, out: &mut Vec<Output>) {
         self.health.ended[Cause::Silent.index()] += 1;
         if let Some(watch) = self.watch_mut(watch.id) {
@@ -520,7 +525,7 @@
             self.report_failure(now, watch.at, &Cause::Silent, out);
             self.next_open = now;
         } else {
-            // One that never spoke has nothing to keep it for.
+            // A watch that never delivered is not worth keeping.
             out.push(Output::Close(watch.id));
             self.drop_watch(watch.id);
             if self.watches.is_empty() {
@@ -541,11 +546,11 @@
             return;
         }
         self.health.ended[cause.index()] += 1;
-        // What can't be read would be written again after the same version. Where the whole list can't be had
-        // either, changes and the whole list are asked for in turn.
+        // An unreadable message would be sent again after the same revision, so the full list is requested. If that
+        // fails as well, changes and the full list are requested alternately.
         let unreadable = matches!(cause, Cause::Garbled(_) | Cause::TooLong);
         self.full_list_next = watch.ask != Ask::Whole && (self.full_list_next || unreadable);
-        // After a move the old watch is due to end; a spare that ends beside one that speaks is no loss.
+        // Neither the end of a spare watch nor that of one at a previous address is a failure.
         let spare = !followed && self.has_live_watch();
         let at_previous_address = watch.at != self.at && self.address_changed;
         if spare || at_previous_address {
@@ -553,7 +558,7 @@
         }
         self.failures = self.failures.saturating_add(1);
         let retry_at = now + self.backoff(now).times(self.rng.random_range(0.5..1.0));
-        // A try that is due before is not put off by one that ended without an answer.
+        // A failed call never postpones a try that is due earlier.
         self.next_open = if self.next_open >= now { self.next_open.min(retry_at) } else { retry_at };
         self.report_failure(now, watch.at, cause, out);
     }
@@ -598,7 +603,7 @@
         }
         match listing {
             Some(listing) => {
-                // A whole list that was asked for has come.
+                // The requested full list has arrived.
                 self.full_list_next &= !listing.whole;
                 self.failure_reported = false;
                 let delivery = self.table.apply(now, listing, from_new_address);
@@ -617,7 +622,7 @@
         }
     }
 
-    /// This watch spoke first: the others go. One at the old address goes with them after a move.
+    /// Follows the first watch to deliver and closes all others, including any at a previous address.
     fn follow_watch(&mut self, now: Time, watch: Watch, unheard: Span, out: &mut Vec<Output>) {
         let replaced = self.followed != Some(watch.id);
         let others = self.watches.iter().filter(|other| other.id != watch.id && other.ask != Ask::Check);
@@ -626,8 +631,8 @@
             out.push(Output::Close(other));
             self.drop_watch(other);
         }
-        // Discovery may have started anew between two watches, and its versions have passed those held: what it
-        // tells after the version held would then lack what changed before, and nothing would show it.
+        // Discovery may have restarted between two watches and its new revisions may already exceed the current one.
+        // The changes after the current revision then lack earlier ones, without any sign of it.
         let reconnected = replaced && self.health.opened > 1;
         if reconnected && watch.ask != Ask::Whole && self.mode == Discovery::Pushed {
             self.schedule_check(now + self.figures.call);
@@ -642,7 +647,8 @@
         self.outage_reported = false;
     }
 
-    /// Asks for the whole list where a word was odd: at once, or once what was told before is surely over.
+    /// Requests the full list after a doubtful update: at once, or, if only excluded servers are in doubt, when their
+    /// earlier drains are certainly over.
     fn check_if_doubtful(&mut self, now: Time, delivery: &Delivery) {
         let suppressed = self.table.has_suppressed() && delivery.kind == ListKind::Whole;
         let doubtful = delivery
@@ -656,19 +662,21 @@
         }
     }
 
-    /// Asks for the whole list at that time, or sooner where it is due sooner, and not twice within a call's time.
+    /// Schedules a request of the full list for that time, or earlier if one is already due earlier, but not twice
+    /// within the timeout of a call.
     fn schedule_check(&mut self, at: Time) {
         let at = at.max(self.last_check + self.figures.call);
         self.check_due = Some(self.check_due.map_or(at, |due| due.min(at)));
     }
 
-    /// The whole list came that was asked for beside the watch.
+    /// Handles the full list requested beside the followed watch.
     fn handle_check(&mut self, now: Time, watch: Watch, listing: Option<Listing>, out: &mut Vec<Output>) {
         out.push(Output::Close(watch.id));
         self.drop_watch(watch.id);
         self.last_check = now;
         let Some(listing) = listing.filter(|_| watch.at == self.at) else { return };
-        // Told of more than this meanwhile: it is only behind, versions don't count anew.
+        // The followed watch delivered newer changes meanwhile: the list is outdated, and its lower revision does not
+        // start a new sequence.
         let overtaken = (watch.rev..self.table.rev()).contains(&listing.rev);
         if overtaken {
             return self.schedule_check(now);
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,9 +1,14 @@
-//! The list of servers as discovery tells it, followed through broken, silent and lying watches.
+//! Client side of service discovery: follows the list of servers through broken, silent and inconsistent watches.
 //!
-//! Pure state machines, `(now, input) -> outputs`: no socket, no clock, no task. [`entry`] decodes what discovery
-//! writes, [`lines`] cuts a watch into lines, [`table`] holds the list and judges each word against it, [`follow`]
-//! decides which watches to open and to close, [`interest`] says whose servers are kept, [`snapshot`] keeps the list over a restart. A shell carries the
-//! calls out and hands back what came.
+//! Pure state machines, `(now, input) -> outputs`, without sockets, clocks or tasks. The caller performs the requested
+//! I/O and feeds the results back.
+//!
+//! - [`entry`] decodes discovery messages.
+//! - [`lines`] splits the byte stream of a watch into messages.
+//! - [`table`] holds the current list and validates each update against it.
+//! - [`follow`] decides which watches to open and close.
+//! - [`interest`] selects the services whose servers are kept.
+//! - [`snapshot`] encodes the list for storage across restarts.
 
 #![forbid(unsafe_code)]
 
--- a/crates/directory/src/lines.rs
+++ b/crates/directory/src/lines.rs
@@ -1,40 +1,41 @@
-//! Stage: bytes of a watch to lines. Owns the bytes of the line that is being read; they go with the watch.
+//! Splits the byte stream of a watch into messages. Buffers the incomplete message; the buffer lives as long as the
+//! watch.
 
-/// The longest line that is read, in bytes. A list of ten thousand servers fits.
+/// The longest message accepted, in bytes. A list of ten thousand servers fits.
 pub const LINE_BYTES: usize = 4 << 20;
 
-/// A line was longer than [`LINE_BYTES`]; what the watch says from here on can't be told apart.
+/// A message exceeded [`LINE_BYTES`]; the rest of the watch cannot be split into messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong;
 
-/// Cuts what a watch brings into lines, however its bytes are grouped. An object that is indented over several lines is one:
-/// a line end within its brackets does not end it.
+/// Splits the byte stream of a watch into messages, independent of how the bytes are chunked. A JSON object that is
+/// indented over several lines is one message: a line end within its brackets does not terminate it.
 #[derive(Debug, Default)]
 pub struct Lines {
     line: Vec<u8>,
-    /// Brackets that are open, outside of strings.
+    /// Nesting depth of brackets outside of strings.
     open_brackets: usize,
     string: StringState,
 }
 
-/// Where in a text the last byte stands.
+/// Position of the last byte relative to JSON strings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum StringState {
     #[default]
     Outside,
     Inside,
-    /// Behind a backslash.
+    /// After a backslash within a string.
     Escaped,
 }
 
 impl Lines {
-    /// Takes in bytes and gives the lines that they end, without their ends and without blanks around them. A
-    /// line cut off by the end of the watch is never given. An empty line ends one whose brackets are still open, so
-    /// that half an object never waits for the rest of it while signs of life come.
+    /// Appends bytes and returns the messages that they complete, trimmed of whitespace. A message cut off by the end
+    /// of the watch is never returned. An empty line terminates a message whose brackets are still open, so that a
+    /// truncated object is not kept waiting while heartbeats arrive.
     ///
     /// # Errors
     ///
-    /// [`TooLong`] where a line grows over its bound; nothing more is to be read of this watch.
+    /// [`TooLong`] if a message exceeds [`LINE_BYTES`]; the watch must not be read any further.
     pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, TooLong> {
         let mut lines = Vec::new();
         for segment in bytes.split_inclusive(|byte| *byte == b'\n') {
--- a/crates/directory/src/lines/tests.rs
+++ b/crates/directory/src/lines/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Guards lists that come indented, wherever they are cut: taken for lines of their own, each of their lines was garbage.
+/// Guards against splitting indented lists: each of their lines was taken for a message and failed to decode. Chunk
+/// boundaries may fall anywhere.
 #[test]
 fn indented_object_is_one_message_and_truncated_object_ends_at_blank_line() {
     let object = "{\n  \"rev\": 8,\n  \"x\": \"}]\\\"{\",\n  \"targets\": [\n    {}\n  ]\n}";
--- a/crates/directory/src/snapshot.rs
+++ b/crates/directory/src/snapshot.rs
@@ -1,5 +1,6 @@
-//! The list as last held, for a start without discovery, where a disk lasts. Pure: bytes in, bytes out; the shell
-//! replaces the file in one step. One line of JSON behind a line with format, version and checksum.
+//! Encoding of the current list for storage, so that a restarted sidecar can begin without discovery. No I/O: the
+//! caller replaces the file atomically. The file has a header line with format, version and checksum, followed by one
+//! line of JSON.
 
 use crate::entry::Listing;
 use crate::interest::Interest;
@@ -7,25 +8,25 @@
 use dunlincleat::api::{Span, Time};
 
 const FORMAT: &str = "dunlincleat-list";
-/// Of a list of all servers.
+/// Format version of a list of all servers.
 const VERSION_ALL_SERVERS: &str = "1";
-/// Of a list of the servers of some services alone: a program that knows nothing of services must not take it for a
-/// list of all.
+/// Format version of a list restricted to some services: a program without support for services must not read it as
+/// the list of all servers.
 const VERSION_SOME_SERVICES: &str = "2";
 
-/// A list and when it was surely all that discovery had told.
+/// A list and the time up to which it is known to be complete.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// Unix time in microseconds up to which it was surely complete.
+    /// Unix time in microseconds up to which the list includes everything that discovery announced.
     pub fresh_at: Time,
-    /// The whole list.
+    /// The full list.
     pub listing: Listing,
-    /// Of which services' servers it is the whole list.
+    /// The services that the list is restricted to.
     pub interest: Interest,
 }
 
 impl Snapshot {
-    /// The file's bytes.
+    /// Encodes the snapshot as the content of a file.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut body = serde_json::json!({"fresh_at_us": self.fresh_at.0, "list": self.listing.to_value()});
@@ -39,14 +40,14 @@
         format!("{FORMAT} {version} {checksum:08x}\n{body}\n").into_bytes()
     }
 
-    /// Reads a file's bytes.
+    /// Decodes the content of a file.
     ///
     /// # Errors
     ///
-    /// Says what the file is not: this format, this version, whole, a list. It is then to be started without.
+    /// Unknown format or version, truncation, a wrong checksum or an invalid list. The caller then starts without it.
     pub fn decode(bytes: &[u8]) -> Result<Snapshot> {
         let text = std::str::from_utf8(bytes).context("it is not UTF-8")?;
-        let (header, body) = text.split_once('\n').context("it has no first line")?;
+        let (header, body) = text.split_once('\n').context("it has no header line")?;
         let mut header = header.split(' ');
         if header.next() != Some(FORMAT) {
             bail!("it is no list of servers (the first word is not {FORMAT})");
@@ -61,10 +62,10 @@
         let body = body.strip_suffix('\n').context("it was cut off")?;
         let checksum = format!("{:08x}", crc32fast::hash(body.as_bytes()));
         if header.next() != Some(&checksum) {
-            bail!("its checksum does not fit: it is damaged");
+            bail!("its checksum does not fit: the file is damaged");
         }
         let mut body: serde_json::Value = serde_json::from_str(body)?;
-        let fresh_at = Time(body["fresh_at_us"].as_u64().context("fresh_at_us is no number")?);
+        let fresh_at = Time(body["fresh_at_us"].as_u64().context("fresh_at_us is not a number")?);
         let interest = match body["services"].take() {
             serde_json::Value::Null => Interest::default(),
             services => Interest::of(serde_json::from_value::<Vec<String>>(services).context("services")?),
@@ -72,7 +73,7 @@
         Ok(Snapshot { fresh_at, listing: Listing::from_value(body["list"].take())?, interest })
     }
 
-    /// How old the list is; nothing where its time lies ahead, as after a clock was set back.
+    /// The age of the list; zero if its time is in the future, as after the clock was set back.
     #[must_use]
     pub fn age(&self, now: Time) -> Span {
         now - self.fresh_at
--- a/crates/directory/src/table.rs
+++ b/crates/directory/src/table.rs
@@ -1,14 +1,14 @@
-//! The list that is held, and what each word of discovery's does to it. Owns the entries and the memory of servers
-//! that left; both are bounded here.
+//! The current list of servers and how updates from discovery change it. Owns the entries and the tombstones of
+//! removed servers; tombstones are bounded here.
 //!
-//! What is judged, and how (docs/list.md weighs the ways):
-//! - A word that a server leaves counts whatever version it comes with; a word that one is up counts only from a
-//!   version that is not behind.
-//! - A whole list of a lower version begins a new count of versions (discovery restarted or moved). What was told
-//!   to leave before stays so until a later word of that count.
-//! - Of two servers at one address the one that started last is there.
-//! - A start that lies ahead is taken as the time at which it was first heard.
-//! - A server of a service that is not wanted is passed over; one that was wanted and is no more is gone.
+//! Rules for applying updates (docs/list.md weighs the alternatives):
+//! - A drain or removal applies whatever its revision; a server is added or made ready only by an update whose
+//!   revision is not behind the current one.
+//! - A full list with a lower revision starts a new sequence of revisions (discovery restarted or moved). Servers
+//!   that were draining or removed before stay excluded until a later update of the new sequence.
+//! - Of two servers at one address, the one that started last owns it.
+//! - A start time in the future is replaced by the time at which it was first received.
+//! - A server of a service outside the interest set is ignored; one that leaves the interest set counts as gone.
 
 use crate::entry::{Entry, Listing};
 use crate::interest::Interest;
@@ -16,71 +16,73 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The most servers that left of which is remembered that they did.
+/// The most removed servers that are remembered.
 const MAX_TOMBSTONES: usize = 1024;
-/// The most bytes of their names.
+/// The most bytes that the names of remembered servers may take: thousands of long names once filled the memory of a
+/// small instance.
 const MAX_TOMBSTONE_NAME_BYTES: usize = 256 << 10;
 
-/// What a word of discovery's comes to.
+/// The effect of an update from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delivery {
-    /// The whole list, or changes.
+    /// Whether `entries` is the full list or changes.
     pub kind: ListKind,
-    /// The version then held.
+    /// The revision after the update.
     pub rev: u64,
-    /// The entries as they are to count: all of a whole list, else those told of and those that changed.
+    /// The resulting entries: all of a full list, otherwise those that were mentioned or changed.
     pub entries: Vec<Entry>,
-    /// What was odd about it.
+    /// Irregularities found in the update.
     pub odd: Vec<Anomaly>,
 }
 
-/// What may be odd about a word of discovery's.
+/// An irregularity in an update from discovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Anomaly {
-    /// Changes of a version that is behind: only who leaves was followed; the whole list is to be asked for.
+    /// Changes of an old revision: only drains and removals were applied, and the full list must be requested.
     StaleChanges {
-        /// The version told.
+        /// The revision received.
         received: u64,
-        /// The version held.
+        /// The current revision.
         current: u64,
     },
-    /// A whole list of a lower version: a new count of versions began.
+    /// A full list of a lower revision: a new sequence of revisions started.
     RevisionReset {
-        /// The version told.
+        /// The revision received.
         received: u64,
-        /// The version held until then.
+        /// The revision before.
         previous: u64,
-        /// Servers said to be up that stay left out, as they were told to leave.
+        /// Servers listed as up that stay excluded because they were draining or removed before.
         suppressed: usize,
     },
-    /// More than half of the servers were lost at once. It is followed; the whole list is to be asked for.
+    /// More than half of the ready servers were lost in one update. It was applied, and the full list must be
+    /// requested.
     MassRemoval {
-        /// Servers that took work before.
+        /// Ready servers before the update.
         before: usize,
-        /// And after.
+        /// Ready servers after the update.
         after: usize,
     },
     /// Two servers at one address.
     SharedAddress {
-        /// The address.
+        /// The shared address.
         endpoint: SocketAddr,
-        /// The one that started last, which counts.
+        /// The server that started last, which keeps the address.
         owner: String,
-        /// The one that is taken as gone.
+        /// The server that is treated as gone.
         displaced: String,
     },
-    /// A server's start lies ahead.
+    /// The start time of a server is in the future.
     StartInFuture {
-        /// Which.
+        /// The name of the server.
         uid: String,
-        /// By how many milliseconds.
+        /// How far in the future, in milliseconds.
         ahead_ms: u64,
     },
-    /// An entry could not be read; why.
+    /// An entry could not be decoded, with the reason.
     InvalidEntry(String),
-    /// A whole list has no server of the services that are wanted.
+    /// A full list has no server of the services in the interest set.
     NoServerWanted {
-        /// The servers that it has.
+        /// The number of servers listed.
         listed: usize,
     },
 }
@@ -89,27 +91,31 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Anomaly::StaleChanges { received, current } => {
-                write!(f, "changes of revision {received} behind {current}: only who leaves is followed")
+                write!(
+                    f,
+                    "changes of revision {received} behind {current}: only drains and removals are applied"
+                )
             }
             Anomaly::RevisionReset { received, previous, suppressed } => write!(
                 f,
-                "whole list of revision {received} after {previous}: versions count anew; {suppressed} told to leave before \
-                 stay out"
+                "full list of revision {received} after {previous}: a new sequence of revisions started; \
+                 {suppressed} servers drained or removed before stay excluded"
             ),
             Anomaly::MassRemoval { before, after } => {
                 write!(
                     f,
-                    "of {before} servers up {after} are left at once: followed, the whole list is asked for"
+                    "{after} of {before} ready servers are left after one update: applied, and the full list is \
+                     requested"
                 )
             }
             Anomaly::SharedAddress { endpoint, owner, displaced } => {
                 write!(
                     f,
-                    "servers {owner} and {displaced} at one address {endpoint}: {displaced} is taken as gone"
+                    "servers {owner} and {displaced} share the address {endpoint}: {displaced} is treated as gone"
                 )
             }
             Anomaly::StartInFuture { uid, ahead_ms } => {
-                write!(f, "server {uid}: its start lies {ahead_ms} ms ahead, taken as now")
+                write!(f, "server {uid}: its start time is {ahead_ms} ms in the future, treated as now")
             }
             Anomaly::InvalidEntry(what) => f.write_str(what),
             Anomaly::NoServerWanted { listed } => {
@@ -122,59 +128,60 @@
 #[derive(Clone, Debug)]
 struct Record {
     entry: Entry,
-    /// `boot_ms` as it was told.
+    /// `boot_ms` as received, before a value in the future is replaced.
     reported_boot_ms: u64,
-    /// Grows with each word; the later word at one address counts where starts are alike.
+    /// Position in the order of updates; decides who owns an address if start times are equal.
     sequence: u64,
 }
 
 impl Record {
-    /// Of two records at one address the one with the greater value counts.
+    /// Of two records at one address, the one with the greater value owns it.
     fn recency(&self) -> (u64, u64) {
         (self.entry.boot_ms, self.sequence)
     }
 }
 
-/// A server that was told to be gone.
+/// What is remembered of a removed server.
 #[derive(Clone, Copy, Debug)]
 struct Tombstone {
     reported_boot_ms: u64,
     sequence: u64,
 }
 
-/// Two servers at one address.
+/// Two servers that claim one address.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AddressConflict {
     owner: String,
     displaced: String,
 }
 
-/// The list that is held.
+/// The current list of servers.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
     interest: Interest,
     rev: u64,
     records: BTreeMap<String, Record>,
     tombstones: BTreeMap<String, Tombstone>,
-    /// The bytes of their names.
+    /// Total bytes of the names in `tombstones`.
     tombstone_name_bytes: usize,
-    /// Said to be up by the first list of a new count of versions, and left out as told to leave before.
+    /// Listed as up by the first list of a new sequence of revisions, and excluded because they were draining or
+    /// removed before.
     suppressed: BTreeSet<String>,
-    /// As last delivered.
+    /// The entries as last delivered.
     delivered: BTreeMap<String, Entry>,
-    /// Pairs at one address that were told of.
+    /// Conflicts already reported, so that each is logged once.
     reported_conflicts: BTreeSet<AddressConflict>,
     sequence: u64,
 }
 
 impl ServerTable {
-    /// A book that holds a list from before; what it delivers.
+    /// A table initialised with a known list, and its first delivery.
     #[must_use]
     pub fn new(now: Time, known: Listing) -> (ServerTable, Delivery) {
         ServerTable::of(now, known, Interest::default())
     }
 
-    /// A book that keeps the servers of some services alone.
+    /// The same, restricted to an interest set.
     #[must_use]
     pub fn of(now: Time, known: Listing, interest: Interest) -> (ServerTable, Delivery) {
         let mut table = ServerTable { interest, ..ServerTable::default() };
@@ -183,33 +190,33 @@
         (table, Delivery { kind: ListKind::Cached, ..delivery })
     }
 
-    /// The version held.
+    /// The current revision.
     #[must_use]
     pub fn rev(&self) -> u64 {
         self.rev
     }
 
-    /// Servers that take work, as delivered.
+    /// The number of ready servers, as delivered.
     #[must_use]
     pub fn ready(&self) -> usize {
         self.delivered.values().filter(|entry| entry.state == State::Ready).count()
     }
 
-    /// Whether servers are left out that the last whole list said to be up.
+    /// Whether servers are excluded that the last full list listed as up.
     #[must_use]
     pub fn has_suppressed(&self) -> bool {
         !self.suppressed.is_empty()
     }
 
-    /// The whole list as it is held.
+    /// The current list.
     #[must_use]
     pub fn listing(&self) -> Listing {
         let entries = self.delivered.values().filter(|entry| entry.state != State::Gone).cloned().collect();
         Listing { rev: self.rev, whole: true, entries, passed_over: Vec::new() }
     }
 
-    /// Takes a word of discovery's. `from_new_address` is set for the first whole list from another address, where
-    /// versions may count differently.
+    /// Applies an update from discovery. `from_new_address` is set for the first full list from another address, whose
+    /// revisions may be unrelated.
     pub fn apply(&mut self, now: Time, listing: Listing, from_new_address: bool) -> Delivery {
         let Listing { rev, whole, entries, passed_over } = listing;
         let mut anomalies: Vec<Anomaly> = passed_over.into_iter().map(Anomaly::InvalidEntry).collect();
@@ -264,8 +271,8 @@
         Delivery { kind, rev: self.rev, entries, odd: anomalies }
     }
 
-    /// What of a word's entries counts here. One of another service is passed over, but where it takes the address of
-    /// a server that is kept: that one is gone then, and must not be sent to under its old name.
+    /// Drops the entries of other services, except those at the address of a wanted server: that server is then gone
+    /// and must not receive requests under its old name.
     fn filter_interest(&self, mut entries: Vec<Entry>) -> Vec<Entry> {
         if self.interest.services().is_none() {
             return entries;
@@ -276,13 +283,13 @@
         let shares_address =
             |entry: &Entry| entry.endpoint.is_some_and(|endpoint| addresses.contains(&endpoint));
         let counts = entries.iter().filter(|entry| self.interest.wants(entry) || shares_address(entry));
-        // Whatever else is told of a server that counts does so too, also where it names no service or another one.
+        // All entries of a relevant server are kept, even those that name another service or none.
         let names: BTreeSet<String> = counts.map(|entry| entry.uid.clone()).collect();
         entries.retain(|entry| names.contains(&entry.uid) || self.records.contains_key(&entry.uid));
         entries
     }
 
-    /// Whether this very process was told to leave.
+    /// Whether this incarnation of the server is already known to be draining or removed.
     fn has_left(&self, entry: &Entry) -> bool {
         let record = self.records.get(&entry.uid).filter(|record| record.entry.state != State::Ready);
         let tombstone = self.tombstones.get(&entry.uid);
@@ -297,7 +304,7 @@
             return self.remove(&entry.uid);
         }
         let record = self.records.get(&entry.uid);
-        // Known to leave and no more: all else stays as it was.
+        // Only the state was readable: everything else stays as it was.
         if let (None, Some(record)) = (entry.endpoint, record) {
             entry = Entry { state: entry.state, ..record.entry.clone() };
             entry.boot_ms = record.reported_boot_ms;
@@ -306,7 +313,7 @@
         let now_ms = now.0 / 1000;
         entry.boot_ms = match record.filter(|record| record.reported_boot_ms == reported_boot_ms) {
             Some(record) => record.entry.boot_ms,
-            // A process said to start tomorrow would count as cold until then.
+            // A process with a start time of tomorrow would count as cold until then.
             None if reported_boot_ms > now_ms => {
                 let ahead_ms = reported_boot_ms - now_ms;
                 anomalies.push(Anomaly::StartInFuture { uid: entry.uid.clone(), ahead_ms });
@@ -325,7 +332,6 @@
         let tombstone = Tombstone { reported_boot_ms: record.reported_boot_ms, sequence: self.sequence };
         self.tombstones.insert(uid.to_owned(), tombstone);
         self.tombstone_name_bytes += uid.len();
-        // Long names by thousands once filled the memory of a small instance.
         while self.tombstones.len() > MAX_TOMBSTONES || self.tombstone_name_bytes > MAX_TOMBSTONE_NAME_BYTES {
             let oldest = self.tombstones.iter().min_by_key(|(_, tombstone)| tombstone.sequence);
             let Some(oldest) = oldest.map(|(uid, _)| uid.clone()) else { return };
@@ -339,7 +345,8 @@
         }
     }
 
-    /// Entries as they count: of two at one address, the one that started last, or was told of last, is there.
+    /// The wanted entries with conflicts resolved: of two at one address, the one that started last, or was updated
+    /// last, owns it and the other is gone.
     fn effective_entries(&mut self, anomalies: &mut Vec<Anomaly>) -> BTreeMap<String, Entry> {
         let mut owners: BTreeMap<SocketAddr, &Record> = BTreeMap::new();
         let mut conflicts = BTreeSet::new();
@@ -380,7 +387,7 @@
     ) -> Vec<Entry> {
         let effective = self.effective_entries(anomalies);
         let mut entries: Vec<Entry> = Vec::new();
-        // Who went is told first: a newcomer may have its address.
+        // Removals come first: a new server may have taken the address.
         for (uid, entry) in &self.delivered {
             if !effective.contains_key(uid) && entry.state != State::Gone {
                 entries.push(Entry { state: State::Gone, ..entry.clone() });
@@ -392,7 +399,7 @@
                 entries.push(entry.clone());
             }
         }
-        // Told to be gone, and never held or gone already.
+        // Reported as removed while unknown or already gone.
         for uid in mentioned.iter().filter(|uid| !effective.contains_key(*uid)) {
             let already_gone = self.delivered.get(uid).is_none_or(|entry| entry.state == State::Gone);
             if already_gone && !whole {
--- a/crates/directory/tests/interest.rs
+++ b/crates/directory/tests/interest.rs
@@ -1,5 +1,5 @@
-//! The interest set against the list of all servers: a table that keeps some services alone delivers, after any words,
-//! just what one that keeps all delivers of these services.
+//! The interest set compared with an unfiltered table: after any updates, a filtered table delivers exactly what an
+//! unfiltered one delivers for the wanted services.
 
 use dunlincleat::api::{ListKind, State, Time};
 use dunlincleat_directory::{Anomaly, Delivery, Entry, Interest, Listing, ServerTable, Snapshot};
@@ -13,11 +13,11 @@
 const SERVICES: [&str; 4] = ["cart", "pay", "stock", ""];
 const WANTED: [&str; 2] = ["cart", "pay"];
 
-/// What a module would hold after all deliveries.
+/// What a consumer holds after applying all deliveries.
 #[derive(Default)]
 struct Consumer {
     servers: BTreeMap<String, Entry>,
-    /// All that was ever told of, in any state.
+    /// Entries received in any state, over all deliveries.
     entries_received: usize,
 }
 
@@ -31,7 +31,7 @@
         delivery.odd
     }
 
-    /// Servers that take work or finish what they have, of the services wanted.
+    /// Ready and draining servers of the wanted services.
     fn present(&self) -> Vec<&Entry> {
         let present = self.servers.values().filter(|entry| entry.state != State::Gone);
         present.filter(|entry| WANTED.contains(&entry.model.as_str())).collect()
@@ -58,10 +58,11 @@
     boot_ms: u64,
 }
 
-/// Discovery: servers that come, drain, go, move to another service, start anew and give their address to others.
+/// A fake discovery whose servers are added, drained, removed, moved to another service, restarted and replaced at
+/// their address.
 struct Discovery {
     rng: SmallRng,
-    /// By number.
+    /// By server number.
     servers: BTreeMap<u16, FakeServer>,
     rev: u64,
     boot_ms: u64,
@@ -74,7 +75,7 @@
 }
 
 impl Discovery {
-    /// One server changes: its entry as it is told.
+    /// Changes one server and returns its entry.
     fn change(&mut self) -> Value {
         let n = self.rng.random_range(0..12_u16);
         self.rev += 1;
@@ -82,7 +83,7 @@
         let uid = format!("s{n}");
         let service = *SERVICES.choose(&mut self.rng).unwrap();
         let Some(server) = self.servers.get_mut(&n) else {
-            // One that comes may have the address that another had, or has still.
+            // A new server may have the former or current address of another.
             let port = 100 + self.rng.random_range(0..14_u16);
             let server = FakeServer { service, state: "up", port, boot_ms: self.boot_ms };
             let listed = server.entry(&uid, server.state);
@@ -91,7 +92,7 @@
         };
         match self.rng.random_range(0..6) {
             0 => server.state = "draining",
-            // A server of another service is another process; docs/list.md says what else would come to.
+            // A server of another service is a new process; docs/list.md covers the other case.
             1 => {
                 server.service = service;
                 server.boot_ms = self.boot_ms;
@@ -107,7 +108,7 @@
                 return if self.rng.random() { without_service } else { with_service };
             }
             4 => {
-                // All of it but its name and state can't be read.
+                // Only the name and the state are readable.
                 server.state = "draining";
                 return json!({"uid": uid, "endpoint": "nowhere", "state": "draining"});
             }
@@ -122,8 +123,8 @@
     }
 }
 
-/// The property, on words drawn from a seed: single changes, several in an update, whole lists, a restart of discovery
-/// whose versions begin anew.
+/// Property test over seeded updates: single and combined changes, full lists, and restarts of discovery that reset its
+/// revisions.
 #[test]
 fn filtered_table_matches_the_unfiltered_one_for_the_wanted_services() {
     for seed in 1..=400 {
@@ -159,7 +160,7 @@
     }
 }
 
-/// What it is for: thousands of other servers cost it nothing, and their changes are no news.
+/// Guards the purpose of the interest set: thousands of other servers cost nothing, and their changes deliver nothing.
 #[test]
 fn servers_of_other_services_are_neither_stored_nor_delivered() {
     let (mut table, first) = ServerTable::of(NOW, empty(), Interest::of(WANTED));
@@ -189,8 +190,8 @@
     assert_eq!(receive(4, "pay"), Some(State::Ready));
 }
 
-/// An address that went to a server of another service must not be sent to under the old name, whether or not the
-/// old server was told to be gone first.
+/// Guards against requests to an address that now belongs to a server of another service, whether or not the removal
+/// of the old server was reported first.
 #[test]
 fn address_taken_by_a_server_of_another_service_is_released() {
     let (mut table, first) = ServerTable::of(NOW, empty(), Interest::of(WANTED));
@@ -217,7 +218,7 @@
     assert_eq!(table.apply(NOW, listing(2, true, &[]), false).odd, []);
 }
 
-/// A file that was kept for some services must not be taken for the list of all, by an older program either.
+/// Guards against reading a snapshot restricted to some services as a list of all servers, also in an older program.
 #[test]
 fn snapshot_records_its_services_in_the_format_version() {
     let snapshot = Snapshot { fresh_at: NOW, listing: empty(), interest: Interest::of(WANTED) };
--- a/crates/directory/tests/schedules.rs
+++ b/crates/directory/tests/schedules.rs
@@ -1,6 +1,7 @@
-//! The follower against a stand-in discovery on a stepped clock: it breaks at any byte, falls silent, is slow, accepts
-//! and says nothing, restarts with versions that go back, moves. An auditor that knows only what discovery wrote, and
-//! when, says how late each drain was heard and whether a server was still sent to after its bound.
+//! The follower against a fake discovery on a simulated clock. Discovery breaks connections at any byte, falls silent,
+//! is slow, accepts calls without answering, restarts with lower revisions and moves to another address. An auditor
+//! that knows only what discovery wrote, and when, checks how late each drain was applied and whether a server still
+//! received requests after its bound.
 
 use dunlincleat::Balancer;
 use dunlincleat::api::{Action, Discovery, Event, ListKind, Safety, Settings, Span, State, Time, Token};
@@ -16,11 +17,11 @@
 const HEARTBEAT: u64 = 2000 * MS;
 const TOLD_WITHIN: u64 = 6000 * MS;
 const GRACE: u64 = 1000 * MS;
-/// The slack of the rule on sockets.
+/// Tolerance after the grace period of a drain, the same as in the rule for real sockets.
 const SLACK: u64 = 50 * MS;
-/// How far behind what a new watch would have told the list may be.
+/// How much later than on a new watch a change may be applied.
 const FRESH_WATCH_DELAY: u64 = 3000 * MS;
-/// The same where a new start of discovery is hidden by its versions.
+/// The same if a restart of discovery is hidden because its new revisions exceed the current one.
 const HIDDEN_RESTART_DELAY: u64 = TOLD_WITHIN + GRACE + FRESH_WATCH_DELAY;
 const START: u64 = 1_800_000_000_000_000;
 
@@ -28,22 +29,22 @@
     Figures::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(GRACE))
 }
 
-/// How discovery treats calls.
+/// How discovery responds to calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behaviour {
     Serves,
     Refuses,
-    /// Takes the connection and never answers.
+    /// Accepts the connection and never responds.
     Hangs,
-    /// Begins an answer and writes no line.
+    /// Begins a response and writes no line.
     Silent,
-    /// Takes the connection and breaks it before it has told anything.
+    /// Accepts the connection and breaks it before writing any line.
     Breaks,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A server is listed in this state; `None` for its state where it is removed.
+    /// A server is listed in this state.
     List {
         uid: String,
         state: State,
@@ -51,19 +52,19 @@
         port: u16,
     },
     Behaviour(Behaviour),
-    /// Every open watch is reset; what was written last is lost unread.
+    /// Every open watch is reset; unread lines are lost.
     Reset,
-    /// Every open watch stays open and never brings anything again.
+    /// Every open watch stays open and delivers nothing any more.
     Freeze,
-    /// The next line is cut after so many bytes and its watch broken.
+    /// The next line is cut after this many bytes, modulo its length, and its watch broken.
     Cut(usize),
-    /// The next line is garbage.
+    /// The next line is not valid JSON.
     Garble,
-    /// Lines take so long from here on.
+    /// From now on lines take this long, in microseconds.
     Slow(u64),
-    /// Versions begin anew.
+    /// Discovery restarts and its revisions start anew.
     Restart,
-    /// The sidecar is told of another address, whose versions are others.
+    /// Discovery moves to another address with unrelated revisions.
     Move,
 }
 
@@ -71,7 +72,7 @@
     id: WatchId,
     lines: Lines,
     frozen: bool,
-    /// Version up to which it has been told.
+    /// The revision up to which changes were written to it.
     rev: u64,
     next_heartbeat: u64,
     address: SocketAddr,
@@ -82,43 +83,43 @@
     state: State,
     boot_ms: u64,
     port: u16,
-    /// Version of the last change.
+    /// The revision of the last change.
     changed: u64,
 }
 
-/// When an event is due, in microseconds; events of one time come in the order in which they were scheduled.
+/// The time of an event in microseconds; events at the same time occur in the order in which they were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     at: u64,
     sequence: u64,
 }
 
-/// What is on its way to the sidecar.
+/// An event on its way to the sidecar, and the epoch of discovery that it comes from.
 struct Arrival {
     input: Input,
     epoch: u32,
 }
 
-/// A server between two starts.
+/// One process of a server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Incarnation {
     uid: String,
     boot_ms: u64,
 }
 
-/// When discovery meant a drain, and when it first wrote it.
+/// When a drain was requested, and when discovery first wrote it to a watch.
 struct Drain {
     requested_at: u64,
     written_at: Option<u64>,
 }
 
-/// A time in which a new watch would have spoken, without a break.
+/// An uninterrupted interval in which a new watch would have delivered.
 struct Reachable {
     from: u64,
     to: u64,
 }
 
-/// The decision module, which says when to call where lists come only on request.
+/// The decision module, which says when to call if lists come only on request.
 struct Module {
     balancer: Balancer,
     timers: BTreeMap<EventKey, Token>,
@@ -127,14 +128,14 @@
 impl Module {
     fn new(seed: u64, balancers: u32, ask_within: Span) -> Module {
         let safety = Safety { ask_within, ..Safety::default() };
-        // Its windows, a second long, have nothing to do with lists.
+        // The length of a window has no influence on lists.
         let (discovery, tick) = (Discovery::OnRequest, Span(1000 * MS));
         let settings = Settings { balancers, discovery, safety, tick, ..Settings::default() };
         Module { balancer: Balancer::new(settings, seed), timers: BTreeMap::new() }
     }
 }
 
-/// Discovery, the sidecar's shell and the auditor.
+/// Discovery, the I/O of the sidecar and the auditor.
 struct Simulation {
     now: u64,
     module: Option<Module>,
@@ -144,29 +145,29 @@
     cut_next_at: Option<usize>,
     garble_next: bool,
     rev: u64,
-    /// What is listed: state, start, port, version of the last change.
+    /// The servers that discovery lists.
     listed: BTreeMap<String, ListedServer>,
     connections: Vec<Connection>,
-    /// What is on its way to the sidecar.
+    /// Events on their way to the sidecar.
     in_flight: BTreeMap<EventKey, Arrival>,
-    /// How often versions began anew, and the count that the list held is of.
+    /// How often revisions started anew, the epoch of the list last applied, and that of the event being handled.
     epoch: u32,
     applied_epoch: u32,
     arriving_epoch: u32,
-    /// When a watch was opened after a version of an earlier count that the new one has passed.
+    /// When a watch was opened after a revision of an earlier epoch that the revisions of the new epoch already exceed.
     hidden_restarts: Vec<u64>,
     sequence: u64,
     address: SocketAddr,
-    /// What the sidecar would send to.
+    /// Start times of the servers that would receive requests.
     routable: BTreeMap<String, u64>,
-    /// Drains by server and start: when discovery meant it, and when it first wrote it.
     drains: BTreeMap<Incarnation, Drain>,
     applied_at: BTreeMap<Incarnation, u64>,
-    /// Since when a new watch would have spoken, without a break.
+    /// Since when a new watch would have delivered without interruption.
     reachable_since: Option<u64>,
     reachable: Vec<Reachable>,
-    /// Calls that failed, were refused or given up, and those out that will never be answered.
+    /// Calls that failed, were refused or were given up.
     lost_calls: usize,
+    /// Open calls that will never be answered.
     unanswered: BTreeSet<WatchId>,
 }
 
@@ -175,7 +176,7 @@
         Simulation::with(seed, figures, None)
     }
 
-    /// A simulation whose lists come only on request, where there is a module to ask for them.
+    /// With a module, lists come only on request.
     fn with(seed: u64, figures: Figures, module: Option<Module>) -> Simulation {
         let address = "127.0.0.1:1".parse().unwrap();
         let mode = if module.is_some() { Discovery::OnRequest } else { Discovery::Pushed };
@@ -210,7 +211,7 @@
         simulation
     }
 
-    /// Tells the module, where there is one, and does what it wants of discovery.
+    /// Passes an event to the module, if there is one, and carries out its actions on discovery.
     fn notify_module(&mut self, event: Event<'_>) {
         let now = self.now;
         let mut actions = Vec::new();
@@ -260,7 +261,7 @@
         serde_json::json!({"rev": self.rev, "all": whole, "targets": targets}).to_string() + "\n"
     }
 
-    /// Writes to a watch what it has not been told.
+    /// Writes to a watch the changes that it has not received, or a heartbeat if there are none.
     fn write(&mut self, id: WatchId, heartbeat: bool) {
         let Some(index) = self.connections.iter().position(|connection| connection.id == id) else { return };
         let connection = &self.connections[index];
@@ -311,7 +312,7 @@
                 Output::Close(watch) => {
                     self.lost_calls += usize::from(self.unanswered.remove(&watch));
                     self.connections.retain(|connection| connection.id != watch);
-                    // What is on its way of it is never read.
+                    // Its events on their way are never read.
                     self.in_flight.retain(|_, arrival| match &arrival.input {
                         Input::Opened(id) | Input::Line(id, _) | Input::Ended(id, _) => *id != watch,
                         Input::Wanted | Input::Moved(_) => true,
@@ -340,7 +341,7 @@
             return;
         }
         if self.behaviour == Behaviour::Breaks {
-            // In turn, as each is told apart from the others.
+            // Alternates, as the follower distinguishes the two failures.
             let opened = self.sequence.is_multiple_of(2);
             if opened {
                 self.schedule(Input::Opened(id), MS);
@@ -358,7 +359,7 @@
             let listing = Listing::decode(line.as_bytes()).unwrap();
             return self.schedule(Input::Line(id, Some(listing)), self.line_delay);
         }
-        // Its versions count anew and have passed those held: only the check will show it.
+        // The revisions of the new epoch already exceed the current one: only the check of the full list shows it.
         if rev != u64::MAX && rev <= self.rev && self.epoch != self.applied_epoch {
             self.hidden_restarts.push(self.now);
         }
@@ -398,7 +399,7 @@
         }
     }
 
-    /// A break within a good time: whoever was about to hear must begin anew.
+    /// Splits the current reachable interval: a watch that was about to deliver must be opened again.
     fn interrupt(&mut self) {
         if let Some(since) = self.reachable_since {
             self.reachable.push(Reachable { from: since, to: self.now });
@@ -451,7 +452,7 @@
             }
             Step::Slow(line_delay) => self.line_delay = line_delay,
             Step::Restart => {
-                // All that is still listed is listed anew, from version 1 on.
+                // All servers that are still listed are listed again as of revision 1.
                 self.step(Step::Reset);
                 self.epoch += 1;
                 self.listed.retain(|_, server| server.state != State::Gone);
@@ -467,7 +468,7 @@
         }
     }
 
-    /// Runs to a time, one event after the other.
+    /// Advances the clock to `end`, one event at a time.
     fn run_to(&mut self, end: u64) {
         loop {
             let mut out = Vec::new();
@@ -531,7 +532,7 @@
         }
     }
 
-    /// What the auditor finds, in words.
+    /// Describes every violation found.
     fn audit(&mut self) -> Vec<String> {
         if let Some(since) = self.reachable_since {
             self.reachable.push(Reachable { from: since, to: u64::MAX });
@@ -541,21 +542,22 @@
             let requested = drain.requested_at;
             let reported = drain.written_at.unwrap_or(u64::MAX).min(requested + TOLD_WITHIN);
             let applied = self.applied_at.get(server).copied().unwrap_or(u64::MAX);
-            // From when on discovery spoke for long enough that a new watch would have told.
-            // Where versions hide a new start, the check of the whole list tells, and again after the bound.
+            // A hidden restart is found by the check of the full list, and again by one after the bound.
             let mut restarts = self.hidden_restarts.iter();
             let hidden_restart =
                 restarts.any(|at| *at + 2 * HIDDEN_RESTART_DELAY > requested && *at < applied);
             let allowed = if hidden_restart { HIDDEN_RESTART_DELAY } else { FRESH_WATCH_DELAY };
+            // The first time from which discovery was reachable long enough for a new watch to deliver.
             let mut reachable = self.reachable.iter();
             let reachable = reachable.find(|time| time.from.max(requested) + allowed <= time.to);
             let available = reachable.map_or(u64::MAX, |time| time.from.max(requested));
             let late = applied.saturating_sub(requested) / MS;
             if applied > available.saturating_add(allowed) {
-                faults.push(format!("{server:?}: heard {late} ms late, over 3 s behind a new watch"));
+                faults
+                    .push(format!("{server:?}: applied {late} ms late, over 3 s later than on a new watch"));
             }
             if applied > reported + GRACE + SLACK && available.saturating_add(allowed) <= reported + GRACE {
-                faults.push(format!("{server:?}: heard {late} ms late, sent to after its bound"));
+                faults.push(format!("{server:?}: applied {late} ms late, requests sent after its bound"));
             }
         }
         let up = self.listed.iter().filter(|(_, server)| server.state == State::Ready);
@@ -572,7 +574,7 @@
     }
 }
 
-/// A random day: servers come, drain, go and come back; discovery has its behaviours.
+/// A random run: servers are added, drained, removed and added again while discovery misbehaves.
 fn random_run(seed: u64, figures: Figures) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut simulation = Simulation::new(seed, figures);
@@ -598,7 +600,7 @@
                 match state {
                     State::Ready => Step::List { uid, state: State::Draining, boot_ms, port },
                     State::Draining => Step::List { uid, state: State::Gone, boot_ms, port },
-                    // A successor at the same address, or the same server started anew.
+                    // The same server restarts at its address.
                     State::Gone if rng.random_bool(0.5) => {
                         Step::List { uid, state: State::Ready, boot_ms: simulation.now / MS, port }
                     }
@@ -647,7 +649,7 @@
 
 #[test]
 fn auditor_detects_a_follower_that_waits_on_a_silent_watch() {
-    // As it was: 7 s to give a silent watch up, with no other beside it.
+    // An earlier version waited 7 s before it gave up a silent watch, with no other beside it.
     let old = Figures { late: Span(7000 * MS), ..figures() };
     let found = (0..200).filter(|seed| !random_run(*seed, old).is_empty()).count();
     assert!(found > 20, "only {found} of 200 runs show it");
@@ -675,8 +677,8 @@
     }
 }
 
-/// Where lists come only on request, calls wait in turn: one that was given up after the time between two tries had lost
-/// its place, and with a hundred instances that did so none was ever answered.
+/// Guards against giving up queued calls. If lists come only on request, calls wait in a queue: one given up after the
+/// time between two tries lost its place, and with a hundred instances doing so none was ever answered.
 #[test]
 fn on_request_call_is_not_abandoned_while_queued() {
     let at = "127.0.0.1:1".parse().unwrap();
@@ -690,13 +692,13 @@
     out.clear();
     let late = Time(START) + Span(3 * figures.call.0);
     follower.wake(late, &mut out);
-    assert_eq!(out, [], "neither given up nor called beside before the module asks");
+    assert_eq!(out, [], "neither given up nor called again before the module asks");
     follower.input(late, Input::Wanted, &mut out);
     assert_eq!((opened(&out), out.len()), (1, 1), "the second call goes beside the first");
     out.clear();
     follower.input(late, Input::Line(WatchId(0), None), &mut out);
-    assert!(out.contains(&Output::Close(WatchId(1))), "the first to speak is followed: {out:?}");
-    // One that is never answered ends all the same, and the module hears of it.
+    assert!(out.contains(&Output::Close(WatchId(1))), "the first to deliver is followed: {out:?}");
+    // A call that is never answered ends nevertheless, and the module is notified.
     let (mut follower, _) = Follower::new(Time(START), figures, mode, at, 1, Listing::default());
     follower.input(Time(START), Input::Wanted, &mut out);
     out.clear();
@@ -704,8 +706,8 @@
     assert!(out.contains(&Output::Close(WatchId(0))) && out.contains(&Output::Failed), "{out:?}");
 }
 
-/// Guards a drain told just as discovery is back: what it tells then counts at once, however long it was away. A call that
-/// was out when it came back is answered or not, so a new one has to go out in time, with any grace.
+/// Guards against late drains when discovery returns: what it announces then counts at once, however long it was away.
+/// A call outstanding at its return may never be answered, so a new one must be made in time, with any grace period.
 #[test]
 fn retry_interval_stays_within_two_thirds_of_the_grace_during_a_long_outage() {
     for grace in [200, 400, 500, 1000, 3000].map(|ms| ms * MS) {
@@ -725,45 +727,45 @@
                     last_call = now;
                 }
             }
-            now = follower.due().expect("it waits for ever").0.max(now);
+            now = follower.due().expect("nothing is scheduled").0.max(now);
             follower.wake(Time(now), &mut out);
         }
         assert!(longest <= grace * 2 / 3, "{longest} us between two calls, on a grace of {grace} us");
     }
 }
 
-/// How a call of discovery is lost.
+/// How a call to discovery is lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CallLoss {
-    /// It is taken and breaks, or ends, before anything was told on it.
+    /// It is accepted and breaks, or ends, before any line.
     Failed,
-    /// The connection is refused, or the call with a status.
+    /// The connection is refused, or the call with an error status.
     Refused,
-    /// It is taken and brings nothing until it is given up.
+    /// It is accepted and nothing arrives until it is given up.
     GivenUp,
-    /// So many were refused that the wait between two is at its longest: nothing is out.
+    /// So many calls were refused that the backoff is at its maximum and none is outstanding.
     BackOff,
 }
 
 const CALL_LOSSES: [CallLoss; 4] =
     [CallLoss::Failed, CallLoss::Refused, CallLoss::GivenUp, CallLoss::BackOff];
 
-/// Every sequence of so many losses, repetitions among them.
+/// Every sequence of losses of this length, with repetition.
 fn sequences(length: u32) -> impl Iterator<Item = Vec<CallLoss>> {
     let each = CALL_LOSSES.len();
     (0..each.pow(length)).map(move |n| (0..length).map(|i| CALL_LOSSES[n / each.pow(i) % each]).collect())
 }
 
-/// How the watch ends that was followed.
+/// How the followed watch ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WatchEnd {
-    /// It is reset, and what was written last is lost unread.
+    /// It is reset and its unread lines are lost.
     Reset,
     /// It falls silent.
     Silent,
 }
 
-/// One outage of several losses in a row, with a drain before, within and after each.
+/// An outage of several consecutive call losses, with a drain before, during and after each.
 struct Outage {
     simulation: Simulation,
     /// The next server to be drained.
@@ -771,7 +773,7 @@
 }
 
 impl Outage {
-    /// More servers than are drained, so that none is drained twice.
+    /// More servers than drains, so that none is drained twice.
     const SERVERS: u16 = 30;
 
     fn start(seed: u64, figures: Figures, module: Option<Module>) -> Outage {
@@ -780,7 +782,11 @@
             simulation.step(Step::List { uid: format!("s{n:02}"), state: State::Ready, boot_ms: 0, port: n });
         }
         simulation.run_to(START + 5100 * MS);
-        assert_eq!(simulation.routable.len(), usize::from(Outage::SERVERS), "it follows discovery");
+        assert_eq!(
+            simulation.routable.len(),
+            usize::from(Outage::SERVERS),
+            "the initial list was not applied"
+        );
         Outage { simulation, next: 0 }
     }
 
@@ -795,15 +801,15 @@
         self.simulation.run_to(self.simulation.now + ms * MS);
     }
 
-    /// Has the watch end that is followed, and a drain lost with it.
+    /// Ends the followed watch; a drain is lost with it.
     fn end_watch(&mut self, watch_end: WatchEnd) {
         self.drain();
         self.simulation.step(if watch_end == WatchEnd::Reset { Step::Reset } else { Step::Freeze });
-        // The end of the watch is no lost call.
+        // The end of the watch does not count as a lost call.
         self.run(2);
     }
 
-    /// Has calls lost in this way; a drain comes with them out, or in the wait after them.
+    /// Loses calls in this way; a drain occurs while they are outstanding, or in the backoff after them.
     fn lose(&mut self, loss: CallLoss, watch_end: Option<WatchEnd>) {
         let behaviour = match loss {
             CallLoss::Failed => Behaviour::Breaks,
@@ -832,8 +838,8 @@
         self.drain();
     }
 
-    /// Has discovery speak again, what hangs apart; gives how late the latest drain was acted on, in microseconds after
-    /// discovery had it and could be reached.
+    /// Restores discovery, except for unanswered calls. Returns the longest delay of a drain in microseconds, counted
+    /// from when discovery knew it and was reachable.
     fn recover(mut self, delay_ms: u64) -> u64 {
         self.run(delay_ms);
         let Simulation { connections, unanswered, now, .. } = &mut self.simulation;
@@ -855,14 +861,13 @@
     }
 }
 
-/// The latest that a drain was acted on, and what came before it.
+/// The longest delay of a drain, and the outage that led to it.
 struct WorstDelay {
     delay_us: u64,
     history: String,
 }
 
-/// The latest that a drain is acted on, over every order of four losses, and where none follows the end of the watch; and
-/// what came before it.
+/// The longest delay of a drain over every sequence of four losses, and over outages that end with the watch itself.
 fn worst_delay(figures: Figures, module: impl Fn(u64) -> Option<Module>) -> WorstDelay {
     let mut worst = WorstDelay { delay_us: 0, history: String::new() };
     let ends =
@@ -875,7 +880,7 @@
                 outage.lose(*loss, (n == 0).then_some(watch_end));
             }
             if losses.is_empty() {
-                // A pushed list's silence is found out only by the next sign of life that does not come.
+                // With pushed lists, silence is only detected by the next missing heartbeat.
                 let pushed = outage.simulation.module.is_none();
                 outage.end_watch(if pushed { WatchEnd::Reset } else { watch_end });
             }
@@ -889,8 +894,8 @@
     worst
 }
 
-/// Guards a change that came while calls were lost: it counts as told 6 s after discovery had it and could be reached,
-/// whatever else is allowed then, and at once where lists are pushed. Without a grace 6 s is all there is.
+/// Guards against late changes after lost calls. A change counts as known 6 s after discovery has it and is reachable,
+/// and at once if lists are pushed: it must be applied within the grace period, or within 6 s if there is none.
 #[test]
 fn changes_during_lost_calls_are_applied_in_time_with_pushed_lists() {
     for grace in [0, 200, 1000, 3000].map(|ms| ms * MS) {
@@ -907,7 +912,7 @@
     grace: u64,
 }
 
-/// The same where lists come on request, in small and large fleets, whatever time an instance may go without asking.
+/// The same if lists come only on request, in small and large fleets, however long an instance may go without asking.
 #[test]
 fn changes_during_lost_calls_are_applied_in_time_with_lists_on_request() {
     let fleet = |balancers, ask_within_ms, grace| FleetCase { balancers, ask_within_ms, grace };
--- a/crates/directory/tests/words.rs
+++ b/crates/directory/tests/words.rs
@@ -1,4 +1,4 @@
-//! What each odd word of discovery's comes to, as docs/list.md states it.
+//! How the server table handles irregular updates, as specified in docs/list.md.
 
 use dunlincleat::api::{ListKind, State, Time};
 use dunlincleat_directory::{Anomaly, Delivery, Interest, Listing, ServerTable, Snapshot};
@@ -7,14 +7,14 @@
 
 const NOW: Time = Time(1_800_000_000_000_000);
 
-/// An entry: name, state, port, start.
+/// An entry in the format of discovery.
 fn server(uid: &str, state: &str, port: u16, boot_ms: u64) -> Value {
     json!({"uid": uid, "endpoint": format!("127.0.0.1:{port}"), "az": "a", "state": state, "boot_ms": boot_ms})
 }
 
 struct Harness {
     table: ServerTable,
-    /// What a module would hold after all deliveries.
+    /// What a consumer holds after applying all deliveries.
     applied: BTreeMap<String, AppliedServer>,
 }
 
@@ -49,7 +49,7 @@
         self.apply(delivery)
     }
 
-    /// Servers that would be sent to.
+    /// Servers that would receive requests.
     fn ready(&self) -> Vec<&str> {
         let ready = self.applied.iter().filter(|(_, server)| server.state == State::Ready);
         ready.map(|(uid, _)| uid.as_str()).collect()
@@ -72,7 +72,7 @@
     );
     assert_eq!(anomalies, [Anomaly::StaleChanges { received: 7, current: 9 }]);
     assert_eq!((harness.ready(), harness.table.rev()), (vec!["b"], 9));
-    // The same word twice changes nothing.
+    // Repeating an update changes nothing.
     harness.receive(9, false, &[server("b", "up", 2, 0)]);
     harness.receive(9, false, &[server("b", "up", 2, 0)]);
     assert_eq!(harness.ready(), ["b"]);
@@ -91,7 +91,7 @@
         (harness.ready(), harness.table.rev(), harness.table.has_suppressed()),
         (vec!["a", "d"], 2, true)
     );
-    // Another start is another process; a later word of the new count counts.
+    // A new start time is a new process; a later update of the new sequence applies.
     harness.receive(3, false, &[server("c", "up", 3, 6)]);
     assert_eq!(harness.ready(), ["a", "c", "d"]);
     harness.receive(3, true, &stale);
@@ -104,7 +104,7 @@
     let mut harness = Harness::new(1, &all);
     assert_eq!(harness.receive(2, true, &all[..1]), [Anomaly::MassRemoval { before: 4, after: 1 }]);
     assert_eq!(harness.ready(), ["a"]);
-    // Asked for again it counts, of the same version too.
+    // Requested again, a full list of the same revision applies.
     assert_eq!(harness.receive(2, true, &all), []);
     assert_eq!(harness.ready(), ["a", "b", "c", "d"]);
     assert_eq!(harness.receive(3, true, &[]), [Anomaly::MassRemoval { before: 4, after: 0 }]);
@@ -114,14 +114,13 @@
 fn shared_address_belongs_to_the_server_started_last() {
     let mut harness = Harness::new(1, &[server("old", "up", 1, 0)]);
     let anomalies = harness.receive(2, false, &[server("new", "up", 1, 77)]);
-    assert!(
-        matches!(&anomalies[..], [Anomaly::SharedAddress { owner, displaced, .. }] if owner == "new" && displaced == "old")
-    );
+    let [Anomaly::SharedAddress { owner, displaced, .. }] = &anomalies[..] else { panic!("{anomalies:?}") };
+    assert_eq!((owner.as_str(), displaced.as_str()), ("new", "old"));
     assert_eq!(harness.ready(), ["new"]);
-    // Told of once, though every list shows it.
+    // The conflict is reported once, though every list shows it.
     assert_eq!(harness.receive(3, true, &[server("old", "up", 1, 0), server("new", "up", 1, 77)]), []);
     assert_eq!(harness.ready(), ["new"]);
-    // The newcomer moves on: the old one is there again.
+    // The new server moves to another address: the old one is present again.
     harness.receive(4, false, &[server("new", "up", 2, 77)]);
     assert_eq!(harness.ready(), ["new", "old"]);
 }
@@ -138,7 +137,7 @@
     assert_eq!(harness.applied["a"], clamped);
     let later = Time(NOW.0 + 60_000_000);
     let delivery = harness.table.apply(later, list(3, true, &[server("a", "up", 1, ahead)]), false);
-    assert_eq!(harness.apply(delivery), [], "a restart that was none");
+    assert_eq!(harness.apply(delivery), [], "reported as a restart");
     assert_eq!(harness.applied["a"], clamped);
 }
 
@@ -166,7 +165,7 @@
     let snapshot = Snapshot { fresh_at: NOW, listing, interest: Interest::default() };
     let bytes = snapshot.encode();
     assert_eq!(Snapshot::decode(&bytes).unwrap(), snapshot);
-    // Cut or changed anywhere it is refused.
+    // Truncated or altered at any byte, it is rejected.
     for at in 0..bytes.len() {
         assert!(Snapshot::decode(&bytes[..at]).is_err(), "cut at {at}");
         let mut damaged = bytes.clone();
