--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -14,7 +14,17 @@
 use std::net::SocketAddr;
 
 /// How many consecutive tries must fail before a drain that was never received could exceed its bound.
-const RETRIES_WITHIN_BOUND: u64 = 8;
+const TRIES_WITHIN_BOUND: u64 = 8;
+/// How late a heartbeat may be, as a part of the grace period of a drain.
+const TOLERANCE_PART_OF_GRACE: f64 = 0.25;
+/// The same as a part of the heartbeat interval, if there is no grace.
+const TOLERANCE_PART_OF_HEARTBEAT: f64 = 0.125;
+/// The longest time between tries, as a part of the grace period.
+const RETRY_PART_OF_GRACE: f64 = 2.0 / 3.0;
+/// The shortest timeout of a call and time between tries that is derived, 1 ms.
+const MIN_RETRY_INTERVAL: Span = Span(1000);
+/// The wait after the first failed call, 50 ms.
+const INITIAL_BACKOFF: Span = Span(50_000);
 /// The most watches open or being opened at a time.
 const MAX_WATCHES: usize = 6;
 /// The most times that the wait between tries doubles; keeps the shift below the width of its type.
@@ -49,16 +59,22 @@
     /// limited to two thirds of the grace: what discovery announces when it returns counts at once, however long it was
     /// away.
     #[must_use]
-    pub fn derive(heartbeat: Span, told_within: Span, grace: Span) -> Figures {
-        let tolerance = if grace.0 > 0 { grace.times(0.25) } else { heartbeat.times(0.125) };
+    pub fn derive(heartbeat: Span, known_within: Span, grace: Span) -> Figures {
+        let has_grace = grace.0 > 0;
+        let tolerance = if has_grace {
+            grace.times(TOLERANCE_PART_OF_GRACE)
+        } else {
+            heartbeat.times(TOLERANCE_PART_OF_HEARTBEAT)
+        };
         let late = heartbeat + tolerance;
-        let bound = told_within + grace;
+        let bound = known_within + grace;
         let remaining = Span(bound.0.saturating_sub(late.0)).max(heartbeat);
-        let call = Span((remaining.0 / RETRIES_WITHIN_BOUND).max(1000));
-        let tries = if grace.0 > 0 { call.min(grace.times(2.0 / 3.0)).max(Span(1000)) } else { call };
+        let call = Span(remaining.0 / TRIES_WITHIN_BOUND).max(MIN_RETRY_INTERVAL);
+        let tries =
+            if has_grace { call.min(grace.times(RETRY_PART_OF_GRACE)).max(MIN_RETRY_INTERVAL) } else { call };
         // One of the eight parts is left for the response.
-        let ask = Span(remaining.0 - remaining.0 / RETRIES_WITHIN_BOUND);
-        Figures { late, call, tries, ask, bound, again: (Span(50_000), heartbeat), renew: Span(0) }
+        let ask = Span(remaining.0 - remaining.0 / TRIES_WITHIN_BOUND);
+        Figures { late, call, tries, ask, bound, again: (INITIAL_BACKOFF, heartbeat), renew: Span(0) }
     }
 }
 
--- a/crates/directory/src/table.rs
+++ b/crates/directory/src/table.rs
@@ -16,12 +16,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
+const MICROS_PER_MS: u64 = 1000;
 /// The most removed servers that are remembered.
 const MAX_TOMBSTONES: usize = 1024;
 /// The most bytes that the names of remembered servers may take: thousands of long names once filled the memory of a
 /// small instance.
 const MAX_TOMBSTONE_NAME_BYTES: usize = 256 << 10;
 
+/// The fewest ready servers of which the loss of more than half in one update is reported.
+const MIN_SERVERS_FOR_MASS_REMOVAL: usize = 4;
+
 /// The effect of an update from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delivery {
@@ -264,7 +268,7 @@
         }
         let entries = self.delivery_entries(whole, &mentioned, &mut anomalies);
         let after = self.ready();
-        if before >= 4 && after * 2 < before {
+        if before >= MIN_SERVERS_FOR_MASS_REMOVAL && after * 2 < before {
             anomalies.push(Anomaly::MassRemoval { before, after });
         }
         let kind = if whole { ListKind::Whole } else { ListKind::Changes };
@@ -310,7 +314,7 @@
             entry.boot_ms = record.reported_boot_ms;
         }
         let reported_boot_ms = entry.boot_ms;
-        let now_ms = now.0 / 1000;
+        let now_ms = now.0 / MICROS_PER_MS;
         entry.boot_ms = match record.filter(|record| record.reported_boot_ms == reported_boot_ms) {
             Some(record) => record.entry.boot_ms,
             // A process with a start time of tomorrow would count as cold until then.
