--- a/crates/directory/src/entry.rs
+++ b/crates/directory/src/entry.rs
@@ -132,7 +132,7 @@
 /// The state for a value other than `up`. An unknown value counts as draining: no new work goes to a server that is
 /// not known to accept it.
 fn departure_state(state: &str) -> State {
-    if state == "removed" { State::Gone } else { State::Draining }
+    if state == "removed" { State::Removed } else { State::Draining }
 }
 
 impl Entry {
@@ -155,7 +155,7 @@
         let state = if raw.state == "up" { State::Ready } else { departure_state(&raw.state) };
         let endpoint = match raw.endpoint.parse() {
             Ok(address) => Some(address),
-            Err(_) if state == State::Gone => None,
+            Err(_) if state == State::Removed => None,
             Err(error) => {
                 return Err(error)
                     .with_context(|| format!("server {}: endpoint '{}'", raw.uid, raw.endpoint));
@@ -178,7 +178,7 @@
         let state = match self.state {
             State::Ready => "up",
             State::Draining => "draining",
-            State::Gone => "removed",
+            State::Removed => "removed",
         };
         RawEntry {
             uid: self.uid.clone(),
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -666,7 +666,7 @@
     /// Requests the full list after a doubtful update: at once, or, if only excluded servers are in doubt, when their
     /// earlier drains are certainly over.
     fn check_if_doubtful(&mut self, now: Time, delivery: &Delivery) {
-        let suppressed = self.table.has_suppressed() && delivery.kind == ListKind::Whole;
+        let suppressed = self.table.has_suppressed() && delivery.kind == ListKind::Full;
         let doubtful = delivery
             .odd
             .iter()
--- a/crates/directory/src/table.rs
+++ b/crates/directory/src/table.rs
@@ -215,7 +215,8 @@
     /// The current list.
     #[must_use]
     pub fn listing(&self) -> Listing {
-        let entries = self.delivered.values().filter(|entry| entry.state != State::Gone).cloned().collect();
+        let entries =
+            self.delivered.values().filter(|entry| entry.state != State::Removed).cloned().collect();
         Listing { rev: self.rev, whole: true, entries, passed_over: Vec::new() }
     }
 
@@ -271,7 +272,7 @@
         if before >= MIN_SERVERS_FOR_MASS_REMOVAL && after * 2 < before {
             anomalies.push(Anomaly::MassRemoval { before, after });
         }
-        let kind = if whole { ListKind::Whole } else { ListKind::Changes };
+        let kind = if whole { ListKind::Full } else { ListKind::Changes };
         Delivery { kind, rev: self.rev, entries, odd: anomalies }
     }
 
@@ -304,7 +305,7 @@
 
     fn record(&mut self, now: Time, mut entry: Entry, anomalies: &mut Vec<Anomaly>) {
         self.sequence += 1;
-        if entry.state == State::Gone {
+        if entry.state == State::Removed {
             return self.remove(&entry.uid);
         }
         let record = self.records.get(&entry.uid);
@@ -375,7 +376,7 @@
         let wanted = self.records.values().filter(|record| self.interest.wants(&record.entry));
         let entries = wanted
             .map(|record| {
-                let state = if is_owner(record) { record.entry.state } else { State::Gone };
+                let state = if is_owner(record) { record.entry.state } else { State::Removed };
                 (record.entry.uid.clone(), Entry { state, ..record.entry.clone() })
             })
             .collect();
@@ -393,8 +394,8 @@
         let mut entries: Vec<Entry> = Vec::new();
         // Removals come first: a new server may have taken the address.
         for (uid, entry) in &self.delivered {
-            if !effective.contains_key(uid) && entry.state != State::Gone {
-                entries.push(Entry { state: State::Gone, ..entry.clone() });
+            if !effective.contains_key(uid) && entry.state != State::Removed {
+                entries.push(Entry { state: State::Removed, ..entry.clone() });
             }
         }
         for (uid, entry) in &effective {
@@ -405,9 +406,9 @@
         }
         // Reported as removed while unknown or already gone.
         for uid in mentioned.iter().filter(|uid| !effective.contains_key(*uid)) {
-            let already_gone = self.delivered.get(uid).is_none_or(|entry| entry.state == State::Gone);
+            let already_gone = self.delivered.get(uid).is_none_or(|entry| entry.state == State::Removed);
             if already_gone && !whole {
-                entries.push(Entry::leaving(uid.clone(), State::Gone));
+                entries.push(Entry::leaving(uid.clone(), State::Removed));
             }
         }
         self.delivered = effective;
--- a/crates/directory/tests/interest.rs
+++ b/crates/directory/tests/interest.rs
@@ -33,7 +33,7 @@
 
     /// Ready and draining servers of the wanted services.
     fn present(&self) -> Vec<&Entry> {
-        let present = self.servers.values().filter(|entry| entry.state != State::Gone);
+        let present = self.servers.values().filter(|entry| entry.state != State::Removed);
         present.filter(|entry| WANTED.contains(&entry.model.as_str())).collect()
     }
 }
@@ -186,7 +186,7 @@
     };
     assert_eq!(receive(1, "stock"), None);
     assert_eq!(receive(2, "cart"), Some(State::Ready));
-    assert_eq!(receive(3, "stock"), Some(State::Gone));
+    assert_eq!(receive(3, "stock"), Some(State::Removed));
     assert_eq!(receive(4, "pay"), Some(State::Ready));
 }
 
--- a/crates/directory/tests/schedules.rs
+++ b/crates/directory/tests/schedules.rs
@@ -126,11 +126,11 @@
 }
 
 impl Module {
-    fn new(seed: u64, balancers: u32, ask_within: Span) -> Module {
+    fn new(seed: u64, instance_count: u32, ask_within: Span) -> Module {
         let safety = Safety { ask_within, ..Safety::default() };
         // The length of a window has no influence on lists.
         let (discovery, tick) = (Discovery::OnRequest, Span(1000 * MS));
-        let settings = Settings { balancers, discovery, safety, tick, ..Settings::default() };
+        let settings = Settings { instance_count, discovery, safety, tick, ..Settings::default() };
         Module { balancer: Balancer::new(settings, seed), timers: BTreeMap::new() }
     }
 }
@@ -224,7 +224,7 @@
                     let key = EventKey { at: now + delay.0.max(1), sequence: self.sequence };
                     module.timers.insert(key, token);
                 }
-                Action::Watch => {
+                Action::WatchServers => {
                     let key = EventKey { at: now, sequence: self.sequence + 1 };
                     self.in_flight.insert(key, Arrival { input: Input::Wanted, epoch: self.epoch });
                 }
@@ -244,13 +244,13 @@
         let mut targets = Vec::new();
         for (uid, server) in &self.listed {
             if server.changed > rev || whole {
-                if whole && server.state == State::Gone {
+                if whole && server.state == State::Removed {
                     continue;
                 }
                 let state = match server.state {
                     State::Ready => "up",
                     State::Draining => "draining",
-                    State::Gone => "removed",
+                    State::Removed => "removed",
                 };
                 let endpoint = format!("127.0.0.2:{}", server.port);
                 targets.push(serde_json::json!(
@@ -377,7 +377,7 @@
         for entry in &delivery.entries {
             match entry.state {
                 State::Ready => drop(self.routable.insert(entry.uid.clone(), entry.boot_ms)),
-                State::Draining | State::Gone => drop(self.routable.remove(&entry.uid)),
+                State::Draining | State::Removed => drop(self.routable.remove(&entry.uid)),
             }
         }
         for server in self.drains.keys() {
@@ -455,7 +455,7 @@
                 // All servers that are still listed are listed again as of revision 1.
                 self.step(Step::Reset);
                 self.epoch += 1;
-                self.listed.retain(|_, server| server.state != State::Gone);
+                self.listed.retain(|_, server| server.state != State::Removed);
                 self.rev = 1;
                 self.listed.values_mut().for_each(|server| server.changed = 1);
             }
@@ -599,12 +599,12 @@
                 let ListedServer { state, boot_ms, port, .. } = server;
                 match state {
                     State::Ready => Step::List { uid, state: State::Draining, boot_ms, port },
-                    State::Draining => Step::List { uid, state: State::Gone, boot_ms, port },
+                    State::Draining => Step::List { uid, state: State::Removed, boot_ms, port },
                     // The same server restarts at its address.
-                    State::Gone if rng.random_bool(0.5) => {
+                    State::Removed if rng.random_bool(0.5) => {
                         Step::List { uid, state: State::Ready, boot_ms: simulation.now / MS, port }
                     }
-                    State::Gone => {
+                    State::Removed => {
                         created += 1;
                         Step::List {
                             uid: format!("s{created}"),
@@ -907,7 +907,7 @@
 }
 
 struct FleetCase {
-    balancers: u32,
+    instance_count: u32,
     ask_within_ms: u64,
     grace: u64,
 }
@@ -915,7 +915,7 @@
 /// The same if lists come only on request, in small and large fleets, however long an instance may go without asking.
 #[test]
 fn changes_during_lost_calls_are_applied_in_time_with_lists_on_request() {
-    let fleet = |balancers, ask_within_ms, grace| FleetCase { balancers, ask_within_ms, grace };
+    let fleet = |instance_count, ask_within_ms, grace| FleetCase { instance_count, ask_within_ms, grace };
     let fleets = [
         fleet(1, 10_000, GRACE),
         fleet(30, 10_000, GRACE),
@@ -925,11 +925,11 @@
         fleet(300, 1000, GRACE),
         fleet(300, 10_000, 0),
     ];
-    for FleetCase { balancers, ask_within_ms, grace } in fleets {
+    for FleetCase { instance_count, ask_within_ms, grace } in fleets {
         let figures = Figures::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(grace));
-        let module = |seed| Some(Module::new(seed, balancers, Span(ask_within_ms * MS)));
+        let module = |seed| Some(Module::new(seed, instance_count, Span(ask_within_ms * MS)));
         let WorstDelay { delay_us, history } = worst_delay(figures, module);
-        let fleet = format!("{balancers} instances, to ask within {ask_within_ms} ms, grace {grace} us");
+        let fleet = format!("{instance_count} instances, to ask within {ask_within_ms} ms, grace {grace} us");
         assert!(delay_us <= TOLD_WITHIN + grace + SLACK, "{delay_us} us late, {fleet}: {history}");
     }
 }
