--- a/crates/directory/src/entry.rs
+++ b/crates/directory/src/entry.rs
@@ -17,7 +17,7 @@
     /// The entries, in the order received.
     pub entries: Vec<Entry>,
     /// For each entry that could not be decoded in full, the reason, for the log.
-    pub passed_over: Vec<String>,
+    pub decode_errors: Vec<String>,
 }
 
 /// A server of a list.
@@ -93,10 +93,10 @@
                 (Ok(entry), _) => listing.entries.push(entry),
                 (Err(error), Ok(Departure { uid, state })) if state != "up" => {
                     let reason = format!("server {uid}: only its state '{state}' can be read: {error:#}");
-                    listing.passed_over.push(reason);
+                    listing.decode_errors.push(reason);
                     listing.entries.push(Entry::leaving(uid, departure_state(&state)));
                 }
-                (Err(error), _) => listing.passed_over.push(format!("invalid entry skipped: {error:#}")),
+                (Err(error), _) => listing.decode_errors.push(format!("invalid entry skipped: {error:#}")),
             }
         }
         Ok(listing)
@@ -118,7 +118,7 @@
         }
         let StrictListing { rev, all, targets } = serde_json::from_value(value)?;
         let entries = targets.into_iter().map(Entry::from_raw).collect::<Result<_>>()?;
-        Ok(Listing { rev, whole: all, entries, passed_over: Vec::new() })
+        Ok(Listing { rev, whole: all, entries, decode_errors: Vec::new() })
     }
 
     /// Encodes the list in the format of discovery.
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -30,27 +30,36 @@
 /// The most times that the wait between tries doubles; keeps the shift below the width of its type.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
+/// Waits between failed calls.
+#[derive(Clone, Copy, Debug)]
+pub struct Backoff {
+    /// The wait after the first failure.
+    pub initial: Span,
+    /// The longest wait.
+    pub max: Span,
+}
+
 /// Timing of the follower.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct Timing {
     /// A watch without any message for this long may be dead.
-    pub late: Span,
+    pub silence_timeout: Span,
     /// How long a call may wait for its response to begin if lists are pushed.
-    pub call: Span,
+    pub call_timeout: Span,
     /// The longest time between two tries while no watch delivers, if lists are pushed.
-    pub tries: Span,
+    pub max_retry_interval: Span,
     /// The longest time between two calls while no watch delivers, if lists come only on request and the decision
     /// module asks later.
-    pub ask: Span,
+    pub max_request_interval: Span,
     /// How long after an announcement it counts as known, received or not, and its grace period as over.
-    pub bound: Span,
-    /// The first and the longest wait after a failed call.
-    pub again: (Span, Span),
+    pub staleness_bound: Span,
+    /// The waits after failed calls.
+    pub backoff: Backoff,
     /// The age at which a watch is replaced by a new one; zero for never.
-    pub renew: Span,
+    pub max_watch_age: Span,
 }
 
-impl Figures {
+impl Timing {
     /// Derives the timing from the heartbeat interval of a watch, the time after which an announcement counts as known
     /// whether or not it arrived, and the grace period of a drain.
     ///
@@ -59,22 +68,33 @@
     /// limited to two thirds of the grace: what discovery announces when it returns counts at once, however long it was
     /// away.
     #[must_use]
-    pub fn derive(heartbeat: Span, known_within: Span, grace: Span) -> Figures {
+    pub fn derive(heartbeat: Span, known_within: Span, grace: Span) -> Timing {
         let has_grace = grace.0 > 0;
         let tolerance = if has_grace {
             grace.times(TOLERANCE_PART_OF_GRACE)
         } else {
             heartbeat.times(TOLERANCE_PART_OF_HEARTBEAT)
         };
-        let late = heartbeat + tolerance;
-        let bound = known_within + grace;
-        let remaining = Span(bound.0.saturating_sub(late.0)).max(heartbeat);
-        let call = Span(remaining.0 / TRIES_WITHIN_BOUND).max(MIN_RETRY_INTERVAL);
-        let tries =
-            if has_grace { call.min(grace.times(RETRY_PART_OF_GRACE)).max(MIN_RETRY_INTERVAL) } else { call };
+        let silence_timeout = heartbeat + tolerance;
+        let staleness_bound = known_within + grace;
+        let remaining = Span(staleness_bound.0.saturating_sub(silence_timeout.0)).max(heartbeat);
+        let call_timeout = Span(remaining.0 / TRIES_WITHIN_BOUND).max(MIN_RETRY_INTERVAL);
+        let max_retry_interval = if has_grace {
+            call_timeout.min(grace.times(RETRY_PART_OF_GRACE)).max(MIN_RETRY_INTERVAL)
+        } else {
+            call_timeout
+        };
         // One of the eight parts is left for the response.
-        let ask = Span(remaining.0 - remaining.0 / TRIES_WITHIN_BOUND);
-        Figures { late, call, tries, ask, bound, again: (INITIAL_BACKOFF, heartbeat), renew: Span(0) }
+        let max_request_interval = Span(remaining.0 - remaining.0 / TRIES_WITHIN_BOUND);
+        Timing {
+            silence_timeout,
+            call_timeout,
+            max_retry_interval,
+            max_request_interval,
+            staleness_bound,
+            backoff: Backoff { initial: INITIAL_BACKOFF, max: heartbeat },
+            max_watch_age: Span(0),
+        }
     }
 }
 
@@ -84,11 +104,11 @@
 
 /// What a call to discovery requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum CallKind {
     /// A watch of the changes after this revision.
-    After(u64),
+    ChangesAfter(u64),
     /// The full list, then a watch of the changes after its revision.
-    Whole,
+    FullList,
     /// Only the full list, beside the watch that is followed.
     Check,
 }
@@ -143,7 +163,7 @@
             Cause::Ended => f.write_str("closed by discovery"),
             Cause::Broke(why) => write!(f, "connection broke: {why}"),
             Cause::Garbled(why) => write!(f, "invalid list: {why}"),
-            Cause::TooLong => write!(f, "message over {} bytes", crate::lines::LINE_BYTES),
+            Cause::TooLong => write!(f, "message over {} bytes", crate::lines::MAX_LINE_BYTES),
         }
     }
 }
@@ -152,9 +172,9 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The decision module asks for a watch, if lists come only on request.
-    Wanted,
+    WatchRequested,
     /// Discovery has a new address.
-    Moved(SocketAddr),
+    AddressChanged(SocketAddr),
     /// The response to a call began.
     Opened(WatchId),
     /// A message arrived; `None` is a heartbeat.
@@ -173,7 +193,7 @@
         /// The address of discovery.
         at: SocketAddr,
         /// What to request.
-        ask: Ask,
+        kind: CallKind,
     },
     /// Drop a watch; further messages of it are ignored.
     Close(WatchId),
@@ -195,7 +215,7 @@
         /// The revision held when the watch delivered.
         rev: u64,
         /// The time since the last message of any watch.
-        unheard: Span,
+        silence: Span,
     },
 }
 
@@ -215,14 +235,14 @@
     /// Watches that ended since the start of the process, by cause in the order of [`Cause::NAMES`].
     pub ended: [u64; 8],
     /// The longest time without a message since the start of the process.
-    pub longest_unheard: Span,
+    pub longest_silence: Span,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     id: WatchId,
     at: SocketAddr,
-    ask: Ask,
+    kind: CallKind,
     /// The revision held when the watch was opened.
     rev: u64,
     opened_at: Time,
@@ -241,7 +261,7 @@
 /// Follows discovery through a set of watches.
 #[derive(Debug)]
 pub struct Follower {
-    figures: Figures,
+    timing: Timing,
     mode: Discovery,
     at: SocketAddr,
     table: ServerTable,
@@ -277,29 +297,29 @@
     #[must_use]
     pub fn new(
         now: Time,
-        figures: Figures,
+        timing: Timing,
         mode: Discovery,
         at: SocketAddr,
         seed: u64,
         known: Listing,
     ) -> (Follower, Delivery) {
-        Follower::of(now, figures, mode, at, seed, known, Interest::default())
+        Follower::with_interest(now, timing, mode, at, seed, known, Interest::default())
     }
 
     /// The same, restricted to an interest set. The caller should request only these services from discovery.
     #[must_use]
-    pub fn of(
+    pub fn with_interest(
         now: Time,
-        figures: Figures,
+        timing: Timing,
         mode: Discovery,
         at: SocketAddr,
         seed: u64,
         known: Listing,
         interest: Interest,
     ) -> (Follower, Delivery) {
-        let (table, delivery) = ServerTable::of(now, known, interest);
+        let (table, delivery) = ServerTable::with_interest(now, known, interest);
         let follower = Follower {
-            figures,
+            timing,
             mode,
             at,
             table,
@@ -341,18 +361,18 @@
 
     /// The current list.
     #[must_use]
-    pub fn book(&self) -> &ServerTable {
+    pub fn table(&self) -> &ServerTable {
         &self.table
     }
 
     /// When [`Follower::wake`] must be called next.
     #[must_use]
     pub fn due(&self) -> Option<Time> {
-        let figures = &self.figures;
+        let timing = &self.timing;
         let watches = self.watches.iter().map(|watch| match (watch.opened, watch.silence_reported) {
             (false, _) => watch.opened_at + self.answer_timeout(),
-            (true, false) => watch.last_activity() + figures.late,
-            (true, true) => watch.last_activity() + figures.bound,
+            (true, false) => watch.last_activity() + timing.silence_timeout,
+            (true, true) => watch.last_activity() + timing.staleness_bound,
         });
         let call = self.may_open_watch().then_some(self.next_open);
         watches.chain(call).chain(self.request_due).chain(self.check_due).chain(self.renewal_due()).min()
@@ -365,9 +385,9 @@
             if !watch.opened && silence >= self.answer_timeout() {
                 out.push(Output::Close(watch.id));
                 self.handle_end(now, watch.id, &Cause::NoAnswer, out);
-            } else if watch.opened && !watch.silence_reported && silence >= self.figures.late {
+            } else if watch.opened && !watch.silence_reported && silence >= self.timing.silence_timeout {
                 self.handle_silence(now, watch, out);
-            } else if watch.silence_reported && silence >= self.figures.bound {
+            } else if watch.silence_reported && silence >= self.timing.staleness_bound {
                 out.push(Output::Close(watch.id));
                 self.drop_watch(watch.id);
             }
@@ -377,12 +397,12 @@
             // Without a live watch, the next watch that is followed schedules its own check.
             if self.has_live_watch() {
                 let next_open = self.next_open;
-                self.open_watch(now, Ask::Check, out);
+                self.open_watch(now, CallKind::Check, out);
                 self.next_open = next_open;
             }
         }
         if self.renewal_due().is_some_and(|at| now >= at) {
-            self.open_watch(now, Ask::After(self.table.rev()), out);
+            self.open_watch(now, CallKind::ChangesAfter(self.table.rev()), out);
         }
         if self.request_due.is_some_and(|at| now >= at) {
             self.request_due = None;
@@ -398,21 +418,21 @@
                 self.drop_watch(oldest);
             }
             let whole = self.address_changed || self.full_list_next;
-            let ask = if whole { Ask::Whole } else { Ask::After(self.table.rev()) };
-            self.open_watch(now, ask, out);
+            let kind = if whole { CallKind::FullList } else { CallKind::ChangesAfter(self.table.rev()) };
+            self.open_watch(now, kind, out);
         }
     }
 
     /// Handles an event.
     pub fn input(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Wanted => {
+            Input::WatchRequested => {
                 if !self.has_live_watch() && !self.watch_requested {
                     self.watch_requested = true;
                     self.next_open = now;
                 }
             }
-            Input::Moved(at) => {
+            Input::AddressChanged(at) => {
                 if at != self.at {
                     self.at = at;
                     self.address_changed = true;
@@ -432,12 +452,12 @@
     }
 
     /// How long a call may wait for its response to begin. Lists on request come from a queue that all instances
-    /// share: a call given up after `call` lost its place while its work stayed in the queue, and with sixty instances
+    /// share: a call given up after `call_timeout` lost its place while its work stayed in the queue, and with sixty instances
     /// doing so none was ever answered. The decision module says when to make another call beside it.
     fn answer_timeout(&self) -> Span {
         match self.mode {
-            Discovery::Pushed => self.figures.call,
-            Discovery::OnRequest => self.figures.bound,
+            Discovery::Pushed => self.timing.call_timeout,
+            Discovery::OnRequest => self.timing.staleness_bound,
         }
     }
 
@@ -445,9 +465,9 @@
     /// before it: with 2 s between tries, changes announced at the return of discovery arrived long after their grace.
     fn max_retry_interval(&self, now: Time) -> Span {
         match self.mode {
-            Discovery::Pushed => self.figures.tries,
-            Discovery::OnRequest if self.age(now) > self.figures.bound => self.figures.again.1,
-            Discovery::OnRequest => self.figures.call,
+            Discovery::Pushed => self.timing.max_retry_interval,
+            Discovery::OnRequest if self.age(now) > self.timing.staleness_bound => self.timing.backoff.max,
+            Discovery::OnRequest => self.timing.call_timeout,
         }
     }
 
@@ -485,17 +505,19 @@
             return None;
         }
         let mut watches = self.watches.iter();
-        watches.find(|watch| watch.last_message.is_none() && watch.ask != Ask::Check).map(|watch| watch.id)
+        watches
+            .find(|watch| watch.last_message.is_none() && watch.kind != CallKind::Check)
+            .map(|watch| watch.id)
     }
 
     fn renewal_due(&self) -> Option<Time> {
-        if self.figures.renew.0 == 0 || self.watches.len() != 1 {
+        if self.timing.max_watch_age.0 == 0 || self.watches.len() != 1 {
             return None;
         }
-        self.followed_watch().map(|watch| watch.opened_at + self.figures.renew)
+        self.followed_watch().map(|watch| watch.opened_at + self.timing.max_watch_age)
     }
 
-    fn open_watch(&mut self, now: Time, ask: Ask, out: &mut Vec<Output>) {
+    fn open_watch(&mut self, now: Time, kind: CallKind, out: &mut Vec<Output>) {
         let id = WatchId(self.next_watch_id);
         let at = self.at;
         self.next_watch_id += 1;
@@ -507,21 +529,21 @@
         self.watches.push(Watch {
             id,
             at,
-            ask,
+            kind,
             rev: self.table.rev(),
             opened_at: now,
             opened: false,
             last_message: None,
             silence_reported: false,
         });
-        out.push(Output::Open { watch: id, at, ask });
+        out.push(Output::Open { watch: id, at, kind });
     }
 
     /// Schedules a call in time, whatever the decision module waits for: the module spreads the calls of all instances
     /// over the time that they may take together, twenty seconds for a hundred, but changes count as known well before.
     fn schedule_request(&mut self, now: Time) {
         if self.mode == Discovery::OnRequest && self.request_due.is_none() && !self.has_live_watch() {
-            let wait = self.figures.ask.times(self.rng.random_range(0.75..1.0));
+            let wait = self.timing.max_request_interval.times(self.rng.random_range(0.75..1.0));
             self.request_due = Some(now + wait);
         }
     }
@@ -554,10 +576,10 @@
         let Some(watch) = self.watch(id).copied() else { return };
         let followed = self.followed == Some(id);
         self.drop_watch(id);
-        if watch.ask == Ask::Check {
+        if watch.kind == CallKind::Check {
             if watch.last_message.is_none() {
                 self.health.ended[cause.index()] += 1;
-                self.schedule_check(now + self.figures.bound);
+                self.schedule_check(now + self.timing.staleness_bound);
             }
             return;
         }
@@ -565,7 +587,7 @@
         // An unreadable message would be sent again after the same revision, so the full list is requested. If that
         // fails as well, changes and the full list are requested alternately.
         let unreadable = matches!(cause, Cause::Garbled(_) | Cause::TooLong);
-        self.full_list_next = watch.ask != Ask::Whole && (self.full_list_next || unreadable);
+        self.full_list_next = watch.kind != CallKind::FullList && (self.full_list_next || unreadable);
         // Neither the end of a spare watch nor that of one at a previous address is a failure.
         let spare = !followed && self.has_live_watch();
         let at_previous_address = watch.at != self.at && self.address_changed;
@@ -580,7 +602,7 @@
     }
 
     fn backoff(&self, now: Time) -> Span {
-        let (initial, max) = self.figures.again;
+        let Backoff { initial, max } = self.timing.backoff;
         let max = max.min(self.max_retry_interval(now));
         let doublings = (self.failures - 1).min(MAX_BACKOFF_DOUBLINGS);
         Span(initial.0.saturating_mul(1 << doublings)).min(max)
@@ -605,17 +627,17 @@
         watch.silence_reported = false;
         let watch = *watch;
         let at_current_address = watch.at == self.at;
-        let unheard = now - self.health.fresh_at;
-        self.health.longest_unheard = self.health.longest_unheard.max(unheard);
+        let silence = now - self.health.fresh_at;
+        self.health.longest_silence = self.health.longest_silence.max(silence);
         self.health.fresh_at = now;
-        if watch.ask == Ask::Check {
+        if watch.kind == CallKind::Check {
             return self.handle_check(now, watch, listing, out);
         }
         let is_full_list = listing.as_ref().is_some_and(|listing| listing.whole);
         let from_new_address = at_current_address && self.address_changed && is_full_list;
         if at_current_address && (!self.address_changed || from_new_address) {
             self.address_changed = false;
-            self.follow_watch(now, watch, unheard, out);
+            self.follow_watch(now, watch, silence, out);
         }
         match listing {
             Some(listing) => {
@@ -631,7 +653,7 @@
                     kind: ListKind::Changes,
                     rev: self.table.rev(),
                     entries: Vec::new(),
-                    odd: Vec::new(),
+                    anomalies: Vec::new(),
                 }));
             }
             None => {}
@@ -639,9 +661,10 @@
     }
 
     /// Follows the first watch to deliver and closes all others, including any at a previous address.
-    fn follow_watch(&mut self, now: Time, watch: Watch, unheard: Span, out: &mut Vec<Output>) {
+    fn follow_watch(&mut self, now: Time, watch: Watch, silence: Span, out: &mut Vec<Output>) {
         let replaced = self.followed != Some(watch.id);
-        let others = self.watches.iter().filter(|other| other.id != watch.id && other.ask != Ask::Check);
+        let others =
+            self.watches.iter().filter(|other| other.id != watch.id && other.kind != CallKind::Check);
         let others: Vec<WatchId> = others.map(|other| other.id).collect();
         for other in others {
             out.push(Output::Close(other));
@@ -650,15 +673,15 @@
         // Discovery may have restarted between two watches and its new revisions may already exceed the current one.
         // The changes after the current revision then lack earlier ones, without any sign of it.
         let reconnected = replaced && self.health.opened > 1;
-        if reconnected && watch.ask != Ask::Whole && self.mode == Discovery::Pushed {
-            self.schedule_check(now + self.figures.call);
+        if reconnected && watch.kind != CallKind::FullList && self.mode == Discovery::Pushed {
+            self.schedule_check(now + self.timing.call_timeout);
         }
         self.failures = 0;
         self.request_due = None;
         self.followed = Some(watch.id);
         self.next_open = now;
         if replaced || self.outage_reported {
-            out.push(Output::Followed { at: watch.at, rev: self.table.rev(), unheard });
+            out.push(Output::Followed { at: watch.at, rev: self.table.rev(), silence });
         }
         self.outage_reported = false;
     }
@@ -668,20 +691,20 @@
     fn check_if_doubtful(&mut self, now: Time, delivery: &Delivery) {
         let suppressed = self.table.has_suppressed() && delivery.kind == ListKind::Full;
         let doubtful = delivery
-            .odd
+            .anomalies
             .iter()
             .any(|anomaly| matches!(anomaly, Anomaly::StaleChanges { .. } | Anomaly::MassRemoval { .. }));
         if doubtful {
             self.schedule_check(now);
         } else if suppressed {
-            self.schedule_check(now + self.figures.bound);
+            self.schedule_check(now + self.timing.staleness_bound);
         }
     }
 
     /// Schedules a request of the full list for that time, or earlier if one is already due earlier, but not twice
     /// within the timeout of a call.
     fn schedule_check(&mut self, at: Time) {
-        let at = at.max(self.last_check + self.figures.call);
+        let at = at.max(self.last_check + self.timing.call_timeout);
         self.check_due = Some(self.check_due.map_or(at, |due| due.min(at)));
     }
 
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod table;
 
 pub use entry::{Entry, Listing};
-pub use follow::{Ask, Cause, Figures, Follower, Health, Input, Output, WatchId};
+pub use follow::{Backoff, CallKind, Cause, Follower, Health, Input, Output, Timing, WatchId};
 pub use interest::Interest;
 pub use lines::Lines;
 pub use snapshot::Snapshot;
--- a/crates/directory/src/lines.rs
+++ b/crates/directory/src/lines.rs
@@ -2,9 +2,9 @@
 //! watch.
 
 /// The longest message accepted, in bytes. A list of ten thousand servers fits.
-pub const LINE_BYTES: usize = 4 << 20;
+pub const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// A message exceeded [`LINE_BYTES`]; the rest of the watch cannot be split into messages.
+/// A message exceeded [`MAX_LINE_BYTES`]; the rest of the watch cannot be split into messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong;
 
@@ -35,11 +35,11 @@
     ///
     /// # Errors
     ///
-    /// [`TooLong`] if a message exceeds [`LINE_BYTES`]; the watch must not be read any further.
+    /// [`TooLong`] if a message exceeds [`MAX_LINE_BYTES`]; the watch must not be read any further.
     pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, TooLong> {
         let mut lines = Vec::new();
         for segment in bytes.split_inclusive(|byte| *byte == b'\n') {
-            if self.line.len() + segment.len() > LINE_BYTES {
+            if self.line.len() + segment.len() > MAX_LINE_BYTES {
                 return Err(TooLong);
             }
             let starts_line = self.line.last().is_none_or(|last| *last == b'\n');
--- a/crates/directory/src/table.rs
+++ b/crates/directory/src/table.rs
@@ -36,7 +36,7 @@
     /// The resulting entries: all of a full list, otherwise those that were mentioned or changed.
     pub entries: Vec<Entry>,
     /// Irregularities found in the update.
-    pub odd: Vec<Anomaly>,
+    pub anomalies: Vec<Anomaly>,
 }
 
 /// An irregularity in an update from discovery.
@@ -182,12 +182,12 @@
     /// A table initialised with a known list, and its first delivery.
     #[must_use]
     pub fn new(now: Time, known: Listing) -> (ServerTable, Delivery) {
-        ServerTable::of(now, known, Interest::default())
+        ServerTable::with_interest(now, known, Interest::default())
     }
 
     /// The same, restricted to an interest set.
     #[must_use]
-    pub fn of(now: Time, known: Listing, interest: Interest) -> (ServerTable, Delivery) {
+    pub fn with_interest(now: Time, known: Listing, interest: Interest) -> (ServerTable, Delivery) {
         let mut table = ServerTable { interest, ..ServerTable::default() };
         let known = Listing { whole: true, ..known };
         let delivery = table.apply(now, known, false);
@@ -217,14 +217,14 @@
     pub fn listing(&self) -> Listing {
         let entries =
             self.delivered.values().filter(|entry| entry.state != State::Removed).cloned().collect();
-        Listing { rev: self.rev, whole: true, entries, passed_over: Vec::new() }
+        Listing { rev: self.rev, whole: true, entries, decode_errors: Vec::new() }
     }
 
     /// Applies an update from discovery. `from_new_address` is set for the first full list from another address, whose
     /// revisions may be unrelated.
     pub fn apply(&mut self, now: Time, listing: Listing, from_new_address: bool) -> Delivery {
-        let Listing { rev, whole, entries, passed_over } = listing;
-        let mut anomalies: Vec<Anomaly> = passed_over.into_iter().map(Anomaly::InvalidEntry).collect();
+        let Listing { rev, whole, entries, decode_errors } = listing;
+        let mut anomalies: Vec<Anomaly> = decode_errors.into_iter().map(Anomaly::InvalidEntry).collect();
         let listed = entries.len();
         let entries = self.filter_interest(entries);
         if whole && listed > 0 && !entries.iter().any(|entry| self.interest.wants(entry)) {
@@ -273,7 +273,7 @@
             anomalies.push(Anomaly::MassRemoval { before, after });
         }
         let kind = if whole { ListKind::Full } else { ListKind::Changes };
-        Delivery { kind, rev: self.rev, entries, odd: anomalies }
+        Delivery { kind, rev: self.rev, entries, anomalies }
     }
 
     /// Drops the entries of other services, except those at the address of a wanted server: that server is then gone
--- a/crates/directory/tests/interest.rs
+++ b/crates/directory/tests/interest.rs
@@ -28,7 +28,7 @@
         }
         self.entries_received += delivery.entries.len();
         self.servers.extend(delivery.entries.into_iter().map(|entry| (entry.uid.clone(), entry)));
-        delivery.odd
+        delivery.anomalies
     }
 
     /// Ready and draining servers of the wanted services.
@@ -131,7 +131,7 @@
         let rng = SmallRng::seed_from_u64(seed);
         let mut discovery = Discovery { rng, servers: BTreeMap::new(), rev: 0, boot_ms: 1000 };
         let (mut unfiltered, first) = ServerTable::new(NOW, empty());
-        let (mut filtered, first_filtered) = ServerTable::of(NOW, empty(), Interest::of(WANTED));
+        let (mut filtered, first_filtered) = ServerTable::with_interest(NOW, empty(), Interest::of(WANTED));
         let (mut unfiltered_consumer, mut filtered_consumer) = (Consumer::default(), Consumer::default());
         unfiltered_consumer.apply(first);
         filtered_consumer.apply(first_filtered);
@@ -163,7 +163,7 @@
 /// Guards the purpose of the interest set: thousands of other servers cost nothing, and their changes deliver nothing.
 #[test]
 fn servers_of_other_services_are_neither_stored_nor_delivered() {
-    let (mut table, first) = ServerTable::of(NOW, empty(), Interest::of(WANTED));
+    let (mut table, first) = ServerTable::with_interest(NOW, empty(), Interest::of(WANTED));
     let mut consumer = Consumer::default();
     consumer.apply(first);
     let others = (0..3000).map(|n| entry(&format!("o{n}"), "stock", "up", 10_000 + n, 0));
@@ -177,7 +177,7 @@
 
 #[test]
 fn server_that_changes_service_enters_and_leaves_the_table() {
-    let (mut table, first) = ServerTable::of(NOW, empty(), Interest::of(WANTED));
+    let (mut table, first) = ServerTable::with_interest(NOW, empty(), Interest::of(WANTED));
     let mut consumer = Consumer::default();
     consumer.apply(first);
     let mut receive = |rev, service| {
@@ -194,7 +194,7 @@
 /// of the old server was reported first.
 #[test]
 fn address_taken_by_a_server_of_another_service_is_released() {
-    let (mut table, first) = ServerTable::of(NOW, empty(), Interest::of(WANTED));
+    let (mut table, first) = ServerTable::with_interest(NOW, empty(), Interest::of(WANTED));
     let mut consumer = Consumer::default();
     consumer.apply(first);
     consumer.apply(table.apply(NOW, listing(1, false, &[entry("a", "cart", "up", 1, 5)]), false));
@@ -207,15 +207,15 @@
 
 #[test]
 fn full_list_without_wanted_servers_is_reported() {
-    let (mut table, _) = ServerTable::of(NOW, empty(), Interest::of(["crat"]));
+    let (mut table, _) = ServerTable::with_interest(NOW, empty(), Interest::of(["crat"]));
     let update = listing(1, true, &[entry("a", "cart", "up", 1, 0), entry("b", "pay", "up", 2, 0)]);
-    let anomalies = table.apply(NOW, update, false).odd;
+    let anomalies = table.apply(NOW, update, false).anomalies;
     assert_eq!(anomalies, [Anomaly::NoServerWanted { listed: 2 }]);
     assert_eq!(
         anomalies[0].to_string(),
         "none of the 2 servers listed is of a service named in sidecar.services"
     );
-    assert_eq!(table.apply(NOW, listing(2, true, &[]), false).odd, []);
+    assert_eq!(table.apply(NOW, listing(2, true, &[]), false).anomalies, []);
 }
 
 /// Guards against reading a snapshot restricted to some services as a list of all servers, also in an older program.
--- a/crates/directory/tests/schedules.rs
+++ b/crates/directory/tests/schedules.rs
@@ -6,7 +6,7 @@
 use dunlincleat::Balancer;
 use dunlincleat::api::{Action, Discovery, Event, ListKind, Safety, Settings, Span, State, Time, Token};
 use dunlincleat_directory::{
-    Ask, Cause, Delivery, Figures, Follower, Input, Lines, Listing, Output, WatchId,
+    CallKind, Cause, Delivery, Follower, Input, Lines, Listing, Output, Timing, WatchId,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -25,8 +25,8 @@
 const HIDDEN_RESTART_DELAY: u64 = TOLD_WITHIN + GRACE + FRESH_WATCH_DELAY;
 const START: u64 = 1_800_000_000_000_000;
 
-fn figures() -> Figures {
-    Figures::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(GRACE))
+fn timing() -> Timing {
+    Timing::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(GRACE))
 }
 
 /// How discovery responds to calls.
@@ -172,15 +172,15 @@
 }
 
 impl Simulation {
-    fn new(seed: u64, figures: Figures) -> Simulation {
-        Simulation::with(seed, figures, None)
+    fn new(seed: u64, timing: Timing) -> Simulation {
+        Simulation::with(seed, timing, None)
     }
 
     /// With a module, lists come only on request.
-    fn with(seed: u64, figures: Figures, module: Option<Module>) -> Simulation {
+    fn with(seed: u64, timing: Timing, module: Option<Module>) -> Simulation {
         let address = "127.0.0.1:1".parse().unwrap();
         let mode = if module.is_some() { Discovery::OnRequest } else { Discovery::Pushed };
-        let (follower, _) = Follower::new(Time(START), figures, mode, address, seed, Listing::default());
+        let (follower, _) = Follower::new(Time(START), timing, mode, address, seed, Listing::default());
         let mut simulation = Simulation {
             now: START,
             module,
@@ -226,7 +226,7 @@
                 }
                 Action::WatchServers => {
                     let key = EventKey { at: now, sequence: self.sequence + 1 };
-                    self.in_flight.insert(key, Arrival { input: Input::Wanted, epoch: self.epoch });
+                    self.in_flight.insert(key, Arrival { input: Input::WatchRequested, epoch: self.epoch });
                 }
                 _ => {}
             }
@@ -308,14 +308,14 @@
     fn carry_out(&mut self, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Open { watch, at, ask } => self.call(watch, at, ask),
+                Output::Open { watch, at, kind } => self.call(watch, at, kind),
                 Output::Close(watch) => {
                     self.lost_calls += usize::from(self.unanswered.remove(&watch));
                     self.connections.retain(|connection| connection.id != watch);
                     // Its events on their way are never read.
                     self.in_flight.retain(|_, arrival| match &arrival.input {
                         Input::Opened(id) | Input::Line(id, _) | Input::Ended(id, _) => *id != watch,
-                        Input::Wanted | Input::Moved(_) => true,
+                        Input::WatchRequested | Input::AddressChanged(_) => true,
                     });
                 }
                 Output::Deliver(delivery) => {
@@ -328,7 +328,7 @@
         }
     }
 
-    fn call(&mut self, id: WatchId, address: SocketAddr, ask: Ask) {
+    fn call(&mut self, id: WatchId, address: SocketAddr, kind: CallKind) {
         if address != self.address || self.behaviour == Behaviour::Refuses {
             let refused = address == self.address && self.sequence.is_multiple_of(2);
             let cause = if refused { Cause::Refused(503) } else { Cause::Unreachable("refused".into()) };
@@ -350,11 +350,11 @@
             return self.schedule(Input::Ended(id, cause), 2 * MS);
         }
         self.schedule(Input::Opened(id), MS);
-        let rev = match ask {
-            Ask::After(rev) => rev,
-            Ask::Whole | Ask::Check => u64::MAX,
+        let rev = match kind {
+            CallKind::ChangesAfter(rev) => rev,
+            CallKind::FullList | CallKind::Check => u64::MAX,
         };
-        if ask == Ask::Check {
+        if kind == CallKind::Check {
             let line = self.json(0, true);
             let listing = Listing::decode(line.as_bytes()).unwrap();
             return self.schedule(Input::Line(id, Some(listing)), self.line_delay);
@@ -463,7 +463,7 @@
                 self.address = SocketAddr::new(self.address.ip(), self.address.port() + 1);
                 self.step(Step::Restart);
                 let address = self.address;
-                self.schedule(Input::Moved(address), MS);
+                self.schedule(Input::AddressChanged(address), MS);
             }
         }
     }
@@ -575,9 +575,9 @@
 }
 
 /// A random run: servers are added, drained, removed and added again while discovery misbehaves.
-fn random_run(seed: u64, figures: Figures) -> Vec<String> {
+fn random_run(seed: u64, timing: Timing) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut simulation = Simulation::new(seed, figures);
+    let mut simulation = Simulation::new(seed, timing);
     for n in 0..6 {
         simulation.step(Step::List { uid: format!("s{n}"), state: State::Ready, boot_ms: 0, port: n });
     }
@@ -642,7 +642,7 @@
 #[test]
 fn drains_are_applied_no_later_than_a_new_watch_would_report_them() {
     for seed in 0..1500 {
-        let faults = random_run(seed, figures());
+        let faults = random_run(seed, timing());
         assert!(faults.is_empty(), "seed {seed}: {faults:#?}");
     }
 }
@@ -650,7 +650,7 @@
 #[test]
 fn auditor_detects_a_follower_that_waits_on_a_silent_watch() {
     // An earlier version waited 7 s before it gave up a silent watch, with no other beside it.
-    let old = Figures { late: Span(7000 * MS), ..figures() };
+    let old = Timing { silence_timeout: Span(7000 * MS), ..timing() };
     let found = (0..200).filter(|seed| !random_run(*seed, old).is_empty()).count();
     assert!(found > 20, "only {found} of 200 runs show it");
 }
@@ -659,7 +659,7 @@
 fn line_cut_at_any_byte_is_received_again_in_full() {
     let mut cut = 0;
     loop {
-        let mut simulation = Simulation::new(cut as u64, figures());
+        let mut simulation = Simulation::new(cut as u64, timing());
         for n in 0..3 {
             simulation.step(Step::List { uid: format!("s{n}"), state: State::Ready, boot_ms: 0, port: n });
         }
@@ -682,27 +682,27 @@
 #[test]
 fn on_request_call_is_not_abandoned_while_queued() {
     let at = "127.0.0.1:1".parse().unwrap();
-    let figures = figures();
+    let timing = timing();
     let mode = Discovery::OnRequest;
-    let (mut follower, _) = Follower::new(Time(START), figures, mode, at, 1, Listing::default());
+    let (mut follower, _) = Follower::new(Time(START), timing, mode, at, 1, Listing::default());
     let mut out = Vec::new();
     let opened = |out: &[Output]| out.iter().filter(|o| matches!(o, Output::Open { .. })).count();
-    follower.input(Time(START), Input::Wanted, &mut out);
+    follower.input(Time(START), Input::WatchRequested, &mut out);
     assert_eq!(opened(&out), 1);
     out.clear();
-    let late = Time(START) + Span(3 * figures.call.0);
+    let late = Time(START) + Span(3 * timing.call_timeout.0);
     follower.wake(late, &mut out);
     assert_eq!(out, [], "neither given up nor called again before the module asks");
-    follower.input(late, Input::Wanted, &mut out);
+    follower.input(late, Input::WatchRequested, &mut out);
     assert_eq!((opened(&out), out.len()), (1, 1), "the second call goes beside the first");
     out.clear();
     follower.input(late, Input::Line(WatchId(0), None), &mut out);
     assert!(out.contains(&Output::Close(WatchId(1))), "the first to deliver is followed: {out:?}");
     // A call that is never answered ends nevertheless, and the module is notified.
-    let (mut follower, _) = Follower::new(Time(START), figures, mode, at, 1, Listing::default());
-    follower.input(Time(START), Input::Wanted, &mut out);
+    let (mut follower, _) = Follower::new(Time(START), timing, mode, at, 1, Listing::default());
+    follower.input(Time(START), Input::WatchRequested, &mut out);
     out.clear();
-    follower.wake(Time(START) + figures.bound, &mut out);
+    follower.wake(Time(START) + timing.staleness_bound, &mut out);
     assert!(out.contains(&Output::Close(WatchId(0))) && out.contains(&Output::Failed), "{out:?}");
 }
 
@@ -711,10 +711,10 @@
 #[test]
 fn retry_interval_stays_within_two_thirds_of_the_grace_during_a_long_outage() {
     for grace in [200, 400, 500, 1000, 3000].map(|ms| ms * MS) {
-        let figures = Figures::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(grace));
+        let timing = Timing::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(grace));
         let at = "127.0.0.1:1".parse().unwrap();
         let mode = Discovery::Pushed;
-        let (mut follower, _) = Follower::new(Time(START), figures, mode, at, grace, Listing::default());
+        let (mut follower, _) = Follower::new(Time(START), timing, mode, at, grace, Listing::default());
         let mut out = Vec::new();
         let mut now = START;
         let mut last_call = START;
@@ -776,8 +776,8 @@
     /// More servers than drains, so that none is drained twice.
     const SERVERS: u16 = 30;
 
-    fn start(seed: u64, figures: Figures, module: Option<Module>) -> Outage {
-        let mut simulation = Simulation::with(seed, figures, module);
+    fn start(seed: u64, timing: Timing, module: Option<Module>) -> Outage {
+        let mut simulation = Simulation::with(seed, timing, module);
         for n in 0..Outage::SERVERS {
             simulation.step(Step::List { uid: format!("s{n:02}"), state: State::Ready, boot_ms: 0, port: n });
         }
@@ -868,14 +868,14 @@
 }
 
 /// The longest delay of a drain over every sequence of four losses, and over outages that end with the watch itself.
-fn worst_delay(figures: Figures, module: impl Fn(u64) -> Option<Module>) -> WorstDelay {
+fn worst_delay(timing: Timing, module: impl Fn(u64) -> Option<Module>) -> WorstDelay {
     let mut worst = WorstDelay { delay_us: 0, history: String::new() };
     let ends =
         [(WatchEnd::Reset, 0), (WatchEnd::Silent, 170), (WatchEnd::Reset, 900), (WatchEnd::Silent, 2600)];
     for (seed, losses) in sequences(4).chain((0..50).flat_map(|_| sequences(0))).enumerate() {
         for (watch_end, after_ms) in ends {
             let seed = seed as u64;
-            let mut outage = Outage::start(seed, figures, module(seed));
+            let mut outage = Outage::start(seed, timing, module(seed));
             for (n, loss) in losses.iter().enumerate() {
                 outage.lose(*loss, (n == 0).then_some(watch_end));
             }
@@ -899,8 +899,8 @@
 #[test]
 fn changes_during_lost_calls_are_applied_in_time_with_pushed_lists() {
     for grace in [0, 200, 1000, 3000].map(|ms| ms * MS) {
-        let figures = Figures::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(grace));
-        let WorstDelay { delay_us, history } = worst_delay(figures, |_| None);
+        let timing = Timing::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(grace));
+        let WorstDelay { delay_us, history } = worst_delay(timing, |_| None);
         let bound = if grace > 0 { grace } else { TOLD_WITHIN };
         assert!(delay_us <= bound + SLACK, "{delay_us} us late on a grace of {grace} us: {history}");
     }
@@ -926,9 +926,9 @@
         fleet(300, 10_000, 0),
     ];
     for FleetCase { instance_count, ask_within_ms, grace } in fleets {
-        let figures = Figures::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(grace));
+        let timing = Timing::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(grace));
         let module = |seed| Some(Module::new(seed, instance_count, Span(ask_within_ms * MS)));
-        let WorstDelay { delay_us, history } = worst_delay(figures, module);
+        let WorstDelay { delay_us, history } = worst_delay(timing, module);
         let fleet = format!("{instance_count} instances, to ask within {ask_within_ms} ms, grace {grace} us");
         assert!(delay_us <= TOLD_WITHIN + grace + SLACK, "{delay_us} us late, {fleet}: {history}");
     }
--- a/crates/directory/tests/words.rs
+++ b/crates/directory/tests/words.rs
@@ -41,7 +41,7 @@
             let server = AppliedServer { state: entry.state, boot_ms: entry.boot_ms };
             (entry.uid, server)
         }));
-        delivery.odd
+        delivery.anomalies
     }
 
     fn receive(&mut self, rev: u64, whole: bool, entries: &[Value]) -> Vec<Anomaly> {
@@ -150,7 +150,7 @@
         {"uid":"x","state":"up","endpoint":"127.0.0.1:70000"}, {"state":"up"},
         {"uid":"d","state":"up","endpoint":"127.0.0.1:9","capacity_hint":-3.0}]}"#;
     let listing = Listing::decode(line).unwrap();
-    assert_eq!(listing.passed_over.len(), 5);
+    assert_eq!(listing.decode_errors.len(), 5);
     let delivery = harness.table.apply(NOW, listing, false);
     assert_eq!(harness.apply(delivery).len(), 5);
     assert_eq!(harness.ready(), ["c", "d"]);
--- a/crates/engine/benches/path.rs
+++ b/crates/engine/benches/path.rs
@@ -54,7 +54,7 @@
         let entries = (0..servers).map(entry).collect();
         let now = 1_800_000_000_000_000;
         let mut out = Vec::new();
-        let known = Delivery { kind: ListKind::Cached, rev: 1, entries, odd: Vec::new() };
+        let known = Delivery { kind: ListKind::Cached, rev: 1, entries, anomalies: Vec::new() };
         engine.input(Time(now), Input::Listed(known), &mut out);
         let rule = limits.then(|| rules.default_rule().clone());
         Path { engine, rule, now, id: 0, out }
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -371,7 +371,7 @@
              opened{ended}",
             health.rev,
             health.ready,
-            health.longest_unheard.0 / 1000,
+            health.longest_silence.0 / 1000,
             health.watches,
             health.opened - before.opened,
         );
--- a/crates/engine/tests/passing.rs
+++ b/crates/engine/tests/passing.rs
@@ -40,7 +40,12 @@
             boot_ms: 0,
         });
         let entries = entries.collect();
-        world.tell(Input::Listed(Delivery { kind: ListKind::Cached, rev: 1, entries, odd: Vec::new() }));
+        world.tell(Input::Listed(Delivery {
+            kind: ListKind::Cached,
+            rev: 1,
+            entries,
+            anomalies: Vec::new(),
+        }));
         world
     }
 
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -309,7 +309,7 @@
             let (uid, weight) = (uid.clone(), 1.0);
             Entry { uid, endpoint, zone, model, cell: 0, state, weight, boot_ms: boot / MS }
         });
-        let delivery = Delivery { kind, rev: 1, entries: entries.collect(), odd: Vec::new() };
+        let delivery = Delivery { kind, rev: 1, entries: entries.collect(), anomalies: Vec::new() };
         self.tell(Input::Listed(delivery));
     }
 
--- a/crates/engine/tests/watch.rs
+++ b/crates/engine/tests/watch.rs
@@ -52,7 +52,7 @@
             let entries = (0..8).map(|n| entry(n, weight(n))).collect();
             engine.input(
                 now,
-                Input::Listed(Delivery { kind, rev: tick, entries, odd: Vec::new() }),
+                Input::Listed(Delivery { kind, rev: tick, entries, anomalies: Vec::new() }),
                 &mut out,
             );
         }
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -7,7 +7,7 @@
 
 use crate::scenario::Discovery as Limits;
 use dunlincleat::api::State;
-use dunlincleat_directory::{Ask, Entry, Listing, WatchId};
+use dunlincleat_directory::{CallKind, Entry, Listing, WatchId};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use std::collections::BTreeMap;
@@ -95,7 +95,7 @@
     #[must_use]
     pub fn listing(&self) -> Listing {
         let entries = self.now.values().map(|word| word.entry.clone()).collect();
-        Listing { rev: self.rev, whole: true, entries, passed_over: Vec::new() }
+        Listing { rev: self.rev, whole: true, entries, decode_errors: Vec::new() }
     }
 
     /// The nodes that it lists, each with which of its processes.
@@ -109,7 +109,7 @@
     }
 
     /// A call.
-    pub fn call(&mut self, now: u64, instance: u32, watch: WatchId, ask: Ask) -> Answered {
+    pub fn call(&mut self, now: u64, instance: u32, watch: WatchId, kind: CallKind) -> Answered {
         self.calls += 1;
         if self.silent {
             return Answered::Nothing;
@@ -122,13 +122,13 @@
         }
         self.busy_until = self.busy_until.max(now as f64) + each;
         let at = self.busy_until as u64 + self.limits.late.us() / 10;
-        let (listing, words) = match ask {
-            Ask::After(rev)
+        let (listing, words) = match kind {
+            CallKind::ChangesAfter(rev)
                 if self.log.first().is_none_or(|first| first.rev <= rev + 1) || rev >= self.rev =>
             {
                 self.changes(rev)
             }
-            Ask::After(_) | Ask::Whole | Ask::Check => {
+            CallKind::ChangesAfter(_) | CallKind::FullList | CallKind::Check => {
                 let words = self.now.values().map(|word| (word.node, word.starts, word.entry.state));
                 (self.listing(), words.collect())
             }
@@ -142,7 +142,7 @@
         let news = &self.log[from..];
         let words = news.iter().map(|word| (word.node, word.starts, word.entry.state)).collect();
         let entries = news.iter().map(|word| word.entry.clone()).collect();
-        (Listing { rev: self.rev, whole: false, entries, passed_over: Vec::new() }, words)
+        (Listing { rev: self.rev, whole: false, entries, decode_errors: Vec::new() }, words)
     }
 
     /// A watch is dropped by its instance. What was put in work for it is not taken back.
--- a/crates/fleet/src/discovery/tests.rs
+++ b/crates/fleet/src/discovery/tests.rs
@@ -19,7 +19,7 @@
     let mut at = Vec::new();
     for n in 0..6 {
         let watch = WatchId(n);
-        match service.call(0, 0, watch, Ask::Whole) {
+        match service.call(0, 0, watch, CallKind::FullList) {
             Answered::Opens(line) => at.push(line.at),
             Answered::Refused(_) => at.push(0),
             Answered::Nothing => panic!("it is not silent"),
@@ -36,7 +36,7 @@
     let mut rng = SmallRng::seed_from_u64(5);
     let watch = WatchId(1);
     assert!(
-        matches!(service.call(0, 7, watch, Ask::After(1)), Answered::Opens(line) if line.words.is_empty())
+        matches!(service.call(0, 7, watch, CallKind::ChangesAfter(1)), Answered::Opens(line) if line.words.is_empty())
     );
     let (mut out, mut heard) = (Vec::new(), Vec::new());
     for n in 1..200_u32 {
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -18,7 +18,7 @@
 use crate::scenario::{Fault, GRACE, How, Scenario};
 use anyhow::Result;
 use dunlincleat::api::{Attempt, Discovery, Effect, RequestId, ServerId, Span, State, Status, Time};
-use dunlincleat_directory::{Cause, Entry, Figures, Follower, Listing, Output as Follow, WatchId};
+use dunlincleat_directory::{Cause, Entry, Follower, Listing, Output as Follow, Timing, WatchId};
 use dunlincleat_engine::{Answer, Ask, Ended, Engine, Input, Output, SlotId};
 use dunlincleat_settings::Site;
 use hdrhistogram::Histogram;
--- a/crates/fleet/src/world/instances.rs
+++ b/crates/fleet/src/world/instances.rs
@@ -22,13 +22,13 @@
             Policy::Mutant(Plant::TakesBudget) if caller > 0 => Box::new(engine()),
             Policy::Mutant(plant) => Box::new(Mutant::new(engine(), plant, self.scenario.cold_terms())),
         };
-        let mut figures = Figures::derive(HEARTBEAT, TOLD_WITHIN, GRACE);
+        let mut timing = Timing::derive(HEARTBEAT, TOLD_WITHIN, GRACE);
         if self.policy == Policy::Without(Part::Turns) {
-            figures.bound = figures.call;
+            timing.staleness_bound = timing.call_timeout;
         }
         let mode = if self.scenario.fleet.list_on_request { Discovery::OnRequest } else { Discovery::Pushed };
         let at = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
-        let (follower, delivery) = Follower::new(Time(self.now), figures, mode, at, seed, known);
+        let (follower, delivery) = Follower::new(Time(self.now), timing, mode, at, seed, known);
         let zone = self.callers[caller as usize].zone;
         let servers = FxHashMap::default();
         let (wakes, follows) = (u64::MAX, u64::MAX);
@@ -91,7 +91,7 @@
         }
         self.out = out;
         if watch {
-            self.follow(instance, Some(dunlincleat_directory::Input::Wanted));
+            self.follow(instance, Some(dunlincleat_directory::Input::WatchRequested));
         }
         let now = self.now;
         let Some(of) = self.instances.get_mut(&instance) else { return };
@@ -112,13 +112,15 @@
         }
         for output in out {
             match output {
-                Follow::Open { watch, ask, .. } => match self.service.call(self.now, instance, watch, ask) {
-                    Answered::Opens(line) => self.at(line.at, Event::Line(Box::new(line))),
-                    Answered::Refused(at) => {
-                        self.at(at, Event::WatchEnds(instance, watch, Cause::Refused(503)));
+                Follow::Open { watch, kind, .. } => {
+                    match self.service.call(self.now, instance, watch, kind) {
+                        Answered::Opens(line) => self.at(line.at, Event::Line(Box::new(line))),
+                        Answered::Refused(at) => {
+                            self.at(at, Event::WatchEnds(instance, watch, Cause::Refused(503)));
+                        }
+                        Answered::Nothing => {}
                     }
-                    Answered::Nothing => {}
-                },
+                }
                 Follow::Close(watch) => self.service.close(instance, watch),
                 Follow::Deliver(delivery) => self.tell(instance, Input::Listed(delivery)),
                 Follow::Failed => self.tell(instance, Input::ListFailed),
--- a/crates/hollow/src/sidecar.rs
+++ b/crates/hollow/src/sidecar.rs
@@ -6,7 +6,7 @@
 use actix_http::header::{HeaderName, HeaderValue};
 use anyhow::{Context, Result};
 use dunlincleat::api::{Attempt, RequestId, ServerId, Span, State, Status};
-use dunlincleat_directory::{Figures, Follower, Interest, Listing};
+use dunlincleat_directory::{Follower, Interest, Listing, Timing};
 use dunlincleat_engine::clock::Clock;
 use dunlincleat_engine::pools::SlotId;
 use dunlincleat_engine::shell::{Actor, Gauges, Transports, mailbox};
@@ -89,7 +89,7 @@
         let site = dunlincleat_settings::read_value(told.settings.clone()).context("settings")?;
         // The program's defaults.
         let ms = Duration::from_millis;
-        let watch = Figures::derive(Span(2_000_000), Span(6_000_000), site.drain_grace.unwrap_or_default());
+        let watch = Timing::derive(Span(2_000_000), Span(6_000_000), site.drain_grace.unwrap_or_default());
         let own = Own {
             body_bytes: 64 << 10,
             client_connections: 0,
@@ -173,7 +173,7 @@
     let interest = if spec.services.is_empty() { Interest::default() } else { Interest::of(spec.services) };
     let own = Rc::new(Own { interest: interest.clone(), ..Own::clone(own) });
     let (at, seed) = (spec.discovery, spec.seed);
-    let (follower, known) = Follower::of(clock.now(), own.watch, mode, at, seed, known, interest);
+    let (follower, known) = Follower::with_interest(clock.now(), own.watch, mode, at, seed, known, interest);
     List::start(follower, clock, own.clone(), engine.clone(), calls);
     let decides = Engine::new(site, spec.seed, REQUESTS);
     let gauges = Gauges { metrics: Arc::new(Metrics::default()), avoided: false };
--- a/crates/http/src/list.rs
+++ b/crates/http/src/list.rs
@@ -7,9 +7,9 @@
 use anyhow::Context;
 use awc::error::{ConnectError, SendRequestError};
 use awc::{Client, ClientResponse};
-use dunlincleat_directory::lines::LINE_BYTES;
+use dunlincleat_directory::lines::MAX_LINE_BYTES;
 use dunlincleat_directory::{
-    Ask, Cause, Delivery, Follower, Input, Interest, Lines, Listing, Output, Snapshot, WatchId,
+    CallKind, Cause, Delivery, Follower, Input, Interest, Lines, Listing, Output, Snapshot, WatchId,
 };
 use dunlincleat_engine::clock::Clock;
 use dunlincleat_engine::shell::Directory;
@@ -113,8 +113,8 @@
                 biased;
                 msg = mailbox.recv() => match msg {
                     None => return,
-                    Some(Msg::Watch) => Input::Wanted,
-                    Some(Msg::Moved(discovery)) => Input::Moved(discovery),
+                    Some(Msg::Watch) => Input::WatchRequested,
+                    Some(Msg::Moved(discovery)) => Input::AddressChanged(discovery),
                 },
                 Some(input) = hearing.recv() => input,
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => continue,
@@ -134,11 +134,11 @@
     fn carry_out(&mut self, out: &mut Vec<Output>) {
         for output in out.drain(..) {
             match output {
-                Output::Open { watch, at, ask } => {
-                    tracing::debug!("watch {} of discovery at {at} opens: {ask:?}", watch.0);
+                Output::Open { watch, at, kind } => {
+                    tracing::debug!("watch {} of discovery at {at} opens: {kind:?}", watch.0);
                     let (client, heard, own) = (self.client.clone(), self.heard.clone(), self.own.clone());
                     let task = actix_rt::spawn(async move {
-                        let cause = watched(&client, watch, at, ask, &own.interest, &heard).await;
+                        let cause = watched(&client, watch, at, kind, &own.interest, &heard).await;
                         // The actor ends with the process.
                         let _ = heard.send(Input::Ended(watch, cause)).await;
                     });
@@ -149,10 +149,10 @@
                 Output::Failed => self.engine.list_failed(),
                 // One warning an outage: the next line of its kind says that a watch is followed again.
                 Output::Lost { at, why } => tracing::warn!("no watch of discovery at {at}: {why}"),
-                Output::Followed { at, rev, unheard } => {
+                Output::Followed { at, rev, silence } => {
                     tracing::info!(
                         "watch of discovery at {at} open after revision {rev}, unheard for {} ms",
-                        unheard.0 / 1000
+                        silence.0 / 1000
                     );
                 }
             }
@@ -161,11 +161,11 @@
 
     fn deliver(&mut self, delivery: Delivery) {
         // A list that is odd in every entry must not fill the log.
-        delivery.odd.iter().take(ODD_LINES).for_each(|odd| tracing::warn!("{odd}"));
-        if delivery.odd.len() > ODD_LINES {
+        delivery.anomalies.iter().take(ODD_LINES).for_each(|odd| tracing::warn!("{odd}"));
+        if delivery.anomalies.len() > ODD_LINES {
             tracing::warn!(
                 "and {} more odd things in revision {}",
-                delivery.odd.len() - ODD_LINES,
+                delivery.anomalies.len() - ODD_LINES,
                 delivery.rev
             );
         }
@@ -178,7 +178,7 @@
         (self.unkept, self.keep_at) = (false, Instant::now() + KEEP);
         let Some(path) = self.own.list_file.clone() else { return };
         let fresh_at = self.follower.health().fresh_at;
-        let (listing, interest) = (self.follower.book().listing(), self.own.interest.clone());
+        let (listing, interest) = (self.follower.table().listing(), self.own.interest.clone());
         let bytes = Snapshot { fresh_at, listing, interest }.encode();
         tokio::task::spawn_blocking(move || {
             if let Err(error) = replace(&path, &bytes) {
@@ -205,16 +205,16 @@
     client: &Client,
     watch: WatchId,
     at: SocketAddr,
-    ask: Ask,
+    kind: CallKind,
     interest: &Interest,
     heard: &mpsc::Sender<Input>,
 ) -> Cause {
     let follow = async {
-        let after = match ask {
-            Ask::After(rev) => rev,
-            Ask::Whole | Ask::Check => {
+        let after = match kind {
+            CallKind::ChangesAfter(rev) => rev,
+            CallKind::FullList | CallKind::Check => {
                 let mut answer = call(client, list_uri(at, interest)).await?;
-                let (body, whole) = read_body(&mut answer, LINE_BYTES)
+                let (body, whole) = read_body(&mut answer, MAX_LINE_BYTES)
                     .await
                     .map_err(|Broken| Cause::Broke("within the whole list".to_owned()))?;
                 if !whole {
@@ -223,7 +223,7 @@
                 let listing = Listing { whole: true, ..decode(&body)? };
                 let rev = listing.rev;
                 tell(heard, Input::Line(watch, Some(listing))).await?;
-                if ask == Ask::Check {
+                if kind == CallKind::Check {
                     return Ok(());
                 }
                 rev
--- a/crates/http/src/own.rs
+++ b/crates/http/src/own.rs
@@ -1,6 +1,6 @@
 //! The figures of the HTTP side. Read and given defaults by the assembly; nothing here is decided.
 
-use dunlincleat_directory::{Figures, Interest};
+use dunlincleat_directory::{Interest, Timing};
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     /// How long an answer that began may stand still.
     pub answer_stall: Duration,
     /// The times by which discovery is followed.
-    pub watch: Figures,
+    pub watch: Timing,
     /// The services whose servers are known; all servers where none is named.
     pub interest: Interest,
     /// The file in which the list is kept, where a disk lasts.
--- a/crates/lab/src/slopes/control.rs
+++ b/crates/lab/src/slopes/control.rs
@@ -7,7 +7,7 @@
 use anyhow::{Result, bail};
 use dunlincleat::api::{Discovery, RequestId, Span, State, Status, Time};
 use dunlincleat_directory::{
-    Ask as Call, Cause, Figures, Follower, Input as Word, Lines, Listing, Output as Wants, WatchId,
+    CallKind as Call, Cause, Follower, Input as Word, Lines, Listing, Output as Wants, Timing, WatchId,
 };
 use dunlincleat_engine::{Ask, Ended, Engine, Input, Output};
 use dunlincleat_limits::{Rule, check};
@@ -46,10 +46,10 @@
 impl Sidecar {
     /// One that knows so many servers, calls so many services by pools of their own, and follows a watch.
     fn start(site: &Site, seed: u64, servers: usize, services: usize) -> Result<Sidecar> {
-        let figures = Figures::derive(Span(2_000_000), Span(6_000_000), Span(1_000_000));
+        let timing = Timing::derive(Span(2_000_000), Span(6_000_000), Span(1_000_000));
         let at = ([127, 0, 0, 1], 8500).into();
         let (follower, known) =
-            Follower::new(BEGIN, figures, Discovery::Pushed, at, seed, listing(servers, 1));
+            Follower::new(BEGIN, timing, Discovery::Pushed, at, seed, listing(servers, 1));
         let engine = Engine::new(site, seed, 10_000);
         let (wants, out, lines) = (Vec::new(), Vec::new(), Lines::default());
         let (now, watch, load) = (BEGIN, WatchId(0), (|_| 1.0) as fn(u32) -> f64);
@@ -84,9 +84,9 @@
         let mut calls = Vec::new();
         for want in std::mem::take(&mut self.wants) {
             match want {
-                Wants::Open { watch, ask, .. } => {
-                    self.watch = if ask == Call::Check { self.watch } else { watch };
-                    calls.push((watch, ask));
+                Wants::Open { watch, kind, .. } => {
+                    self.watch = if kind == Call::Check { self.watch } else { watch };
+                    calls.push((watch, kind));
                 }
                 Wants::Deliver(delivery) => {
                     self.tell(Input::Listed(delivery));
@@ -363,18 +363,18 @@
                 messages += 2;
                 let after = br#"{"rev":1,"all":false,"targets":[]}"#;
                 match ask {
-                    Call::After(_) => {
+                    Call::ChangesAfter(_) => {
                         bytes += after.len() + 1;
                         sidecar.word(Word::Opened(watch));
                         speaks = sidecar.now;
                         let listing = Listing::decode(after)?;
                         calls.extend(sidecar.word(Word::Line(watch, Some(listing))));
                     }
-                    Call::Whole | Call::Check => {
+                    Call::FullList | Call::Check => {
                         bytes += whole.len();
                         let listing = Listing { whole: true, ..Listing::decode(whole.as_bytes())? };
                         calls.extend(sidecar.word(Word::Line(watch, Some(listing))));
-                        if ask == Call::Whole {
+                        if ask == Call::FullList {
                             bail!("the whole list was asked for before a watch");
                         }
                     }
--- a/crates/lab/src/slopes/list.rs
+++ b/crates/lab/src/slopes/list.rs
@@ -31,13 +31,13 @@
 
 /// So many servers, in whole.
 pub fn listing(servers: usize, rev: u64) -> Listing {
-    Listing { rev, whole: true, entries: (0..servers).map(entry).collect(), passed_over: Vec::new() }
+    Listing { rev, whole: true, entries: (0..servers).map(entry).collect(), decode_errors: Vec::new() }
 }
 
 /// What changed of one server, as a line of a watch.
 pub fn change(n: usize, state: State, rev: u64) -> String {
     let entries = vec![Entry { state, ..entry(n) }];
-    line(&Listing { rev, whole: false, entries, passed_over: Vec::new() })
+    line(&Listing { rev, whole: false, entries, decode_errors: Vec::new() })
 }
 
 /// A list as a line of a watch.
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -6,7 +6,7 @@
 use crate::logger::Form;
 use anyhow::{Context, Result, anyhow, bail};
 use dunlincleat::api::{Settings, Span};
-use dunlincleat_directory::{Figures, Interest, Listing};
+use dunlincleat_directory::{Backoff, Interest, Listing, Timing};
 use dunlincleat_http::own::Own;
 use dunlincleat_settings::{Site, lacking};
 use serde::Deserialize;
@@ -329,17 +329,17 @@
             let ms = |ms: u64| Span(ms * 1000);
             let heartbeat = ms(number("watch_heartbeat_ms", 2000, 1)?);
             let told = ms(number("watch_told_within_ms", 6000, 1)?);
-            let derived = Figures::derive(heartbeat, told, site.drain_grace.unwrap_or_default());
-            let call = ms(number("watch_call_ms", derived.call.0 / 1000, 1)?);
-            Figures {
-                late: ms(number("watch_silence_ms", derived.late.0 / 1000, 1)?),
-                call,
-                tries: derived.tries.min(call),
-                again: (
-                    ms(number("watch_again_ms", derived.again.0.0 / 1000, 1)?),
-                    ms(number("watch_again_most_ms", derived.again.1.0 / 1000, 1)?),
-                ),
-                renew: ms(number("watch_renew_ms", 0, 0)?),
+            let derived = Timing::derive(heartbeat, told, site.drain_grace.unwrap_or_default());
+            let call = ms(number("watch_call_ms", derived.call_timeout.0 / 1000, 1)?);
+            Timing {
+                silence_timeout: ms(number("watch_silence_ms", derived.silence_timeout.0 / 1000, 1)?),
+                call_timeout: call,
+                max_retry_interval: derived.max_retry_interval.min(call),
+                backoff: Backoff {
+                    initial: ms(number("watch_again_ms", derived.backoff.initial.0 / 1000, 1)?),
+                    max: ms(number("watch_again_most_ms", derived.backoff.max.0 / 1000, 1)?),
+                },
+                max_watch_age: ms(number("watch_renew_ms", 0, 0)?),
                 ..derived
             }
         };
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -91,7 +91,8 @@
     let known = kept_list(&own, std::mem::take(&mut config.known), clock.now());
     let mode = site.settings.discovery;
     let (at, interest) = (config.discovery, own.interest.clone());
-    let (follower, known) = Follower::of(clock.now(), own.watch, mode, at, config.seed, known, interest);
+    let (follower, known) =
+        Follower::with_interest(clock.now(), own.watch, mode, at, config.seed, known, interest);
     List::start(follower, clock, own.clone(), engine.clone(), calls);
     let load_probes = site.settings.reports != Reports::Off;
     let peers =
