--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -7,237 +7,19 @@
 
 use crate::entry::Listing;
 use crate::interest::Interest;
+use crate::message::{CallKind, Cause, Health, Input, Output, WatchId};
 use crate::table::{Anomaly, Delivery, ServerTable};
+use crate::timing::{Backoff, Timing};
 use dunlincleat::api::{Discovery, ListKind, Span, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
 
-/// How many consecutive tries must fail before a drain that was never received could exceed its bound.
-const TRIES_WITHIN_BOUND: u64 = 8;
-/// How late a heartbeat may be, as a part of the grace period of a drain.
-const TOLERANCE_PART_OF_GRACE: f64 = 0.25;
-/// The same as a part of the heartbeat interval, if there is no grace.
-const TOLERANCE_PART_OF_HEARTBEAT: f64 = 0.125;
-/// The longest time between tries, as a part of the grace period.
-const RETRY_PART_OF_GRACE: f64 = 2.0 / 3.0;
-/// The shortest timeout of a call and time between tries that is derived, 1 ms.
-const MIN_RETRY_INTERVAL: Span = Span(1000);
-/// The wait after the first failed call, 50 ms.
-const INITIAL_BACKOFF: Span = Span(50_000);
 /// The most watches open or being opened at a time.
 const MAX_WATCHES: usize = 6;
 /// The most times that the wait between tries doubles; keeps the shift below the width of its type.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// Waits between failed calls.
-#[derive(Clone, Copy, Debug)]
-pub struct Backoff {
-    /// The wait after the first failure.
-    pub initial: Span,
-    /// The longest wait.
-    pub max: Span,
-}
-
-/// Timing of the follower.
-#[derive(Clone, Copy, Debug)]
-pub struct Timing {
-    /// A watch without any message for this long may be dead.
-    pub silence_timeout: Span,
-    /// How long a call may wait for its response to begin if lists are pushed.
-    pub call_timeout: Span,
-    /// The longest time between two tries while no watch delivers, if lists are pushed.
-    pub max_retry_interval: Span,
-    /// The longest time between two calls while no watch delivers, if lists come only on request and the decision
-    /// module asks later.
-    pub max_request_interval: Span,
-    /// How long after an announcement it counts as known, received or not, and its grace period as over.
-    pub staleness_bound: Span,
-    /// The waits after failed calls.
-    pub backoff: Backoff,
-    /// The age at which a watch is replaced by a new one; zero for never.
-    pub max_watch_age: Span,
-}
-
-impl Timing {
-    /// Derives the timing from the heartbeat interval of a watch, the time after which an announcement counts as known
-    /// whether or not it arrived, and the grace period of a drain.
-    ///
-    /// A heartbeat may be late by a quarter of the grace, or by an eighth of its interval if there is no grace. The time
-    /// that then remains until an unreceived drain could exceed its bound is split equally between eight tries, each
-    /// limited to two thirds of the grace: what discovery announces when it returns counts at once, however long it was
-    /// away.
-    #[must_use]
-    pub fn derive(heartbeat: Span, known_within: Span, grace: Span) -> Timing {
-        let has_grace = grace.0 > 0;
-        let tolerance = if has_grace {
-            grace.times(TOLERANCE_PART_OF_GRACE)
-        } else {
-            heartbeat.times(TOLERANCE_PART_OF_HEARTBEAT)
-        };
-        let silence_timeout = heartbeat + tolerance;
-        let staleness_bound = known_within + grace;
-        let remaining = Span(staleness_bound.0.saturating_sub(silence_timeout.0)).max(heartbeat);
-        let call_timeout = Span(remaining.0 / TRIES_WITHIN_BOUND).max(MIN_RETRY_INTERVAL);
-        let max_retry_interval = if has_grace {
-            call_timeout.min(grace.times(RETRY_PART_OF_GRACE)).max(MIN_RETRY_INTERVAL)
-        } else {
-            call_timeout
-        };
-        // One of the eight parts is left for the response.
-        let max_request_interval = Span(remaining.0 - remaining.0 / TRIES_WITHIN_BOUND);
-        Timing {
-            silence_timeout,
-            call_timeout,
-            max_retry_interval,
-            max_request_interval,
-            staleness_bound,
-            backoff: Backoff { initial: INITIAL_BACKOFF, max: heartbeat },
-            max_watch_age: Span(0),
-        }
-    }
-}
-
-/// Number of a watch, assigned by the follower.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct WatchId(pub u64);
-
-/// What a call to discovery requests.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallKind {
-    /// A watch of the changes after this revision.
-    ChangesAfter(u64),
-    /// The full list, then a watch of the changes after its revision.
-    FullList,
-    /// Only the full list, beside the watch that is followed.
-    Check,
-}
-
-/// Why a watch ended.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Cause {
-    /// The connection could not be established.
-    Unreachable(String),
-    /// The response had a status other than 200.
-    Refused(u16),
-    /// The response did not begin in time.
-    NoAnswer,
-    /// The watch was open and not even a heartbeat arrived.
-    Silent,
-    /// Discovery closed the watch.
-    Ended,
-    /// The connection broke.
-    Broke(String),
-    /// A message was not a valid list.
-    Garbled(String),
-    /// A message exceeded the size limit.
-    TooLong,
-}
-
-impl Cause {
-    /// Names of the causes, in the order of [`Health::ended`].
-    pub const NAMES: [&'static str; 8] =
-        ["unreachable", "refused", "no answer", "silent", "ended", "broke", "garbled", "too long"];
-
-    fn index(&self) -> usize {
-        match self {
-            Cause::Unreachable(_) => 0,
-            Cause::Refused(_) => 1,
-            Cause::NoAnswer => 2,
-            Cause::Silent => 3,
-            Cause::Ended => 4,
-            Cause::Broke(_) => 5,
-            Cause::Garbled(_) => 6,
-            Cause::TooLong => 7,
-        }
-    }
-}
-
-impl std::fmt::Display for Cause {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Cause::Unreachable(why) => f.write_str(why),
-            Cause::Refused(status) => write!(f, "refused with {status}"),
-            Cause::NoAnswer => f.write_str("no answer"),
-            Cause::Silent => f.write_str("no message or heartbeat received"),
-            Cause::Ended => f.write_str("closed by discovery"),
-            Cause::Broke(why) => write!(f, "connection broke: {why}"),
-            Cause::Garbled(why) => write!(f, "invalid list: {why}"),
-            Cause::TooLong => write!(f, "message over {} bytes", crate::lines::MAX_LINE_BYTES),
-        }
-    }
-}
-
-/// An event for the follower.
-#[derive(Clone, Debug)]
-pub enum Input {
-    /// The decision module asks for a watch, if lists come only on request.
-    WatchRequested,
-    /// Discovery has a new address.
-    AddressChanged(SocketAddr),
-    /// The response to a call began.
-    Opened(WatchId),
-    /// A message arrived; `None` is a heartbeat.
-    Line(WatchId, Option<Listing>),
-    /// A watch ended.
-    Ended(WatchId, Cause),
-}
-
-/// An action that the follower requests.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Output {
-    /// Call discovery.
-    Open {
-        /// The number of the new watch.
-        watch: WatchId,
-        /// The address of discovery.
-        at: SocketAddr,
-        /// What to request.
-        kind: CallKind,
-    },
-    /// Drop a watch; further messages of it are ignored.
-    Close(WatchId),
-    /// The list changed or was received again.
-    Deliver(Delivery),
-    /// A call or watch failed, if lists come only on request: the decision module says when to call again.
-    Failed,
-    /// Discovery is no longer followed; reported once per outage.
-    Lost {
-        /// The address of discovery.
-        at: SocketAddr,
-        /// The cause of the last failure.
-        why: String,
-    },
-    /// A watch delivers and is followed from now on.
-    Followed {
-        /// The address of discovery.
-        at: SocketAddr,
-        /// The revision held when the watch delivered.
-        rev: u64,
-        /// The time since the last message of any watch.
-        silence: Span,
-    },
-}
-
-/// State and freshness of the list.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health {
-    /// The current revision.
-    pub rev: u64,
-    /// The number of ready servers.
-    pub ready: usize,
-    /// The time until which everything that discovery announced is known.
-    pub fresh_at: Time,
-    /// Watches open or being opened.
-    pub watches: usize,
-    /// Watches opened since the start of the process.
-    pub opened: u64,
-    /// Watches that ended since the start of the process, by cause in the order of [`Cause::NAMES`].
-    pub ended: [u64; 8],
-    /// The longest time without a message since the start of the process.
-    pub longest_silence: Span,
-}
-
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     id: WatchId,
@@ -245,8 +27,8 @@
     kind: CallKind,
     /// The revision held when the watch was opened.
     rev: u64,
-    opened_at: Time,
-    opened: bool,
+    called_at: Time,
+    response_began: bool,
     last_message: Option<Time>,
     /// Its heartbeat is overdue and the failure has been reported.
     silence_reported: bool,
@@ -254,7 +36,7 @@
 
 impl Watch {
     fn last_activity(&self) -> Time {
-        self.last_message.unwrap_or(self.opened_at)
+        self.last_message.unwrap_or(self.called_at)
     }
 }
 
@@ -369,8 +151,8 @@
     #[must_use]
     pub fn due(&self) -> Option<Time> {
         let timing = &self.timing;
-        let watches = self.watches.iter().map(|watch| match (watch.opened, watch.silence_reported) {
-            (false, _) => watch.opened_at + self.answer_timeout(),
+        let watches = self.watches.iter().map(|watch| match (watch.response_began, watch.silence_reported) {
+            (false, _) => watch.called_at + self.answer_timeout(),
             (true, false) => watch.last_activity() + timing.silence_timeout,
             (true, true) => watch.last_activity() + timing.staleness_bound,
         });
@@ -380,27 +162,8 @@
 
     /// Performs everything that is due.
     pub fn wake(&mut self, now: Time, out: &mut Vec<Output>) {
-        for watch in self.watches.clone() {
-            let silence = now - watch.last_activity();
-            if !watch.opened && silence >= self.answer_timeout() {
-                out.push(Output::Close(watch.id));
-                self.handle_end(now, watch.id, &Cause::NoAnswer, out);
-            } else if watch.opened && !watch.silence_reported && silence >= self.timing.silence_timeout {
-                self.handle_silence(now, watch, out);
-            } else if watch.silence_reported && silence >= self.timing.staleness_bound {
-                out.push(Output::Close(watch.id));
-                self.drop_watch(watch.id);
-            }
-        }
-        if self.check_due.is_some_and(|at| now >= at) {
-            self.check_due = None;
-            // Without a live watch, the next watch that is followed schedules its own check.
-            if self.has_live_watch() {
-                let next_open = self.next_open;
-                self.open_watch(now, CallKind::Check, out);
-                self.next_open = next_open;
-            }
-        }
+        self.expire_watches(now, out);
+        self.check_if_due(now, out);
         if self.renewal_due().is_some_and(|at| now >= at) {
             self.open_watch(now, CallKind::ChangesAfter(self.table.rev()), out);
         }
@@ -410,16 +173,7 @@
             self.next_open = now;
         }
         if self.may_open_watch() && now >= self.next_open {
-            if self.watches.len() >= MAX_WATCHES
-                && let Some(oldest) = self.oldest_unanswered()
-            {
-                self.health.ended[Cause::NoAnswer.index()] += 1;
-                out.push(Output::Close(oldest));
-                self.drop_watch(oldest);
-            }
-            let whole = self.address_changed || self.full_list_next;
-            let kind = if whole { CallKind::FullList } else { CallKind::ChangesAfter(self.table.rev()) };
-            self.open_watch(now, kind, out);
+            self.open_next_watch(now, out);
         }
     }
 
@@ -442,7 +196,7 @@
             }
             Input::Opened(id) => {
                 if let Some(watch) = self.watch_mut(id) {
-                    watch.opened = true;
+                    watch.response_began = true;
                 }
             }
             Input::Line(id, listing) => self.handle_line(now, id, listing, out),
@@ -451,6 +205,51 @@
         self.wake(now, out);
     }
 
+    fn expire_watches(&mut self, now: Time, out: &mut Vec<Output>) {
+        for watch in self.watches.clone() {
+            let silence = now - watch.last_activity();
+            if !watch.response_began && silence >= self.answer_timeout() {
+                out.push(Output::Close(watch.id));
+                self.handle_end(now, watch.id, &Cause::NoAnswer, out);
+            } else if watch.response_began
+                && !watch.silence_reported
+                && silence >= self.timing.silence_timeout
+            {
+                self.handle_silence(now, watch, out);
+            } else if watch.silence_reported && silence >= self.timing.staleness_bound {
+                out.push(Output::Close(watch.id));
+                self.drop_watch(watch.id);
+            }
+        }
+    }
+
+    fn check_if_due(&mut self, now: Time, out: &mut Vec<Output>) {
+        if self.check_due.is_none_or(|at| now < at) {
+            return;
+        }
+        self.check_due = None;
+        // Without a live watch, the next watch that is followed schedules its own check.
+        if self.has_live_watch() {
+            let next_open = self.next_open;
+            self.open_watch(now, CallKind::Check, out);
+            self.next_open = next_open;
+        }
+    }
+
+    fn open_next_watch(&mut self, now: Time, out: &mut Vec<Output>) {
+        if self.watches.len() >= MAX_WATCHES
+            && let Some(oldest) = self.oldest_unanswered()
+        {
+            self.health.ended[Cause::NoAnswer.index()] += 1;
+            out.push(Output::Close(oldest));
+            self.drop_watch(oldest);
+        }
+        let needs_full_list = self.address_changed || self.full_list_next;
+        let kind =
+            if needs_full_list { CallKind::FullList } else { CallKind::ChangesAfter(self.table.rev()) };
+        self.open_watch(now, kind, out);
+    }
+
     /// How long a call may wait for its response to begin. Lists on request come from a queue that all instances
     /// share: a call given up after `call_timeout` lost its place while its work stayed in the queue, and with sixty instances
     /// doing so none was ever answered. The decision module says when to make another call beside it.
@@ -514,7 +313,7 @@
         if self.timing.max_watch_age.0 == 0 || self.watches.len() != 1 {
             return None;
         }
-        self.followed_watch().map(|watch| watch.opened_at + self.timing.max_watch_age)
+        self.followed_watch().map(|watch| watch.called_at + self.timing.max_watch_age)
     }
 
     fn open_watch(&mut self, now: Time, kind: CallKind, out: &mut Vec<Output>) {
@@ -531,8 +330,8 @@
             at,
             kind,
             rev: self.table.rev(),
-            opened_at: now,
-            opened: false,
+            called_at: now,
+            response_began: false,
             last_message: None,
             silence_reported: false,
         });
@@ -622,7 +421,7 @@
 
     fn handle_line(&mut self, now: Time, id: WatchId, listing: Option<Listing>, out: &mut Vec<Output>) {
         let Some(watch) = self.watch_mut(id) else { return };
-        watch.opened = true;
+        watch.response_began = true;
         watch.last_message = Some(now);
         watch.silence_reported = false;
         let watch = *watch;
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -7,6 +7,8 @@
 //! - [`lines`] splits the byte stream of a watch into messages.
 //! - [`table`] holds the current list and validates each update against it.
 //! - [`follow`] decides which watches to open and close.
+//! - [`message`] defines the events and actions of the follower.
+//! - [`timing`] derives its timeouts and intervals.
 //! - [`interest`] selects the services whose servers are kept.
 //! - [`snapshot`] encodes the list for storage across restarts.
 
@@ -16,12 +18,16 @@
 pub mod follow;
 pub mod interest;
 pub mod lines;
+pub mod message;
 pub mod snapshot;
 pub mod table;
+pub mod timing;
 
 pub use entry::{Entry, Listing};
-pub use follow::{Backoff, CallKind, Cause, Follower, Health, Input, Output, Timing, WatchId};
+pub use follow::Follower;
 pub use interest::Interest;
 pub use lines::Lines;
+pub use message::{CallKind, Cause, Health, Input, Output, WatchId};
 pub use snapshot::Snapshot;
 pub use table::{Anomaly, Delivery, ServerTable};
+pub use timing::{Backoff, Timing};
--- a/crates/directory/src/table.rs
+++ b/crates/directory/src/table.rs
@@ -8,7 +8,7 @@
 //!   that were draining or removed before stay excluded until a later update of the new sequence.
 //! - Of two servers at one address, the one that started last owns it.
 //! - A start time in the future is replaced by the time at which it was first received.
-//! - A server of a service outside the interest set is ignored; one that leaves the interest set counts as gone.
+//! - A server of a service outside the interest set is ignored; one that leaves the interest set counts as removed.
 
 use crate::entry::{Entry, Listing};
 use crate::interest::Interest;
@@ -72,7 +72,7 @@
         endpoint: SocketAddr,
         /// The server that started last, which keeps the address.
         owner: String,
-        /// The server that is treated as gone.
+        /// The server that is treated as removed.
         displaced: String,
     },
     /// The start time of a server is in the future.
@@ -115,7 +115,7 @@
             Anomaly::SharedAddress { endpoint, owner, displaced } => {
                 write!(
                     f,
-                    "servers {owner} and {displaced} share the address {endpoint}: {displaced} is treated as gone"
+                    "servers {owner} and {displaced} share the address {endpoint}: {displaced} is treated as removed"
                 )
             }
             Anomaly::StartInFuture { uid, ahead_ms } => {
@@ -233,35 +233,23 @@
         let previous_rev = self.rev;
         let before = self.ready();
         let revision_reset = whole && (from_new_address || rev < previous_rev);
-        let behind = rev < previous_rev && !revision_reset;
+        let stale = rev < previous_rev && !revision_reset;
         if whole {
             self.suppressed.clear();
         }
-        if behind {
+        if stale {
             anomalies.push(Anomaly::StaleChanges { received: rev, current: previous_rev });
         } else {
             self.rev = rev;
         }
-        let mut mentioned: BTreeSet<String> = BTreeSet::new();
+        let mentioned: BTreeSet<String> = entries.iter().map(|entry| entry.uid.clone()).collect();
         for entry in entries {
-            mentioned.insert(entry.uid.clone());
-            if entry.state == State::Ready {
-                if revision_reset && self.has_left(&entry) {
-                    self.suppressed.insert(entry.uid);
-                    continue;
-                }
-                if behind {
-                    continue;
-                }
-                self.suppressed.remove(&entry.uid);
+            if self.admit(&entry, revision_reset, stale) {
+                self.record(now, entry, &mut anomalies);
             }
-            self.record(now, entry, &mut anomalies);
         }
         if whole {
-            let missing = self.records.keys().filter(|uid| !mentioned.contains(*uid)).cloned();
-            for uid in missing.collect::<Vec<_>>() {
-                self.remove(&uid);
-            }
+            self.remove_missing(&mentioned);
         }
         if revision_reset && rev < previous_rev {
             let suppressed = self.suppressed.len();
@@ -276,8 +264,34 @@
         Delivery { kind, rev: self.rev, entries, anomalies }
     }
 
-    /// Drops the entries of other services, except those at the address of a wanted server: that server is then gone
-    /// and must not receive requests under its old name.
+    /// Decides whether an entry of the current update applies, and tracks the servers excluded. Drains and removals
+    /// always apply.
+    fn admit(&mut self, entry: &Entry, revision_reset: bool, stale: bool) -> bool {
+        if entry.state != State::Ready {
+            return true;
+        }
+        if revision_reset && self.has_left(entry) {
+            self.suppressed.insert(entry.uid.clone());
+            return false;
+        }
+        if stale {
+            return false;
+        }
+        self.suppressed.remove(&entry.uid);
+        true
+    }
+
+    /// Removes the servers that a full list does not mention.
+    fn remove_missing(&mut self, mentioned: &BTreeSet<String>) {
+        let missing = self.records.keys().filter(|uid| !mentioned.contains(*uid));
+        let missing: Vec<String> = missing.cloned().collect();
+        for uid in missing {
+            self.remove(&uid);
+        }
+    }
+
+    /// Drops the entries of other services, except those at the address of a wanted server: that server is then
+    /// removed and must not receive requests under its old name.
     fn filter_interest(&self, mut entries: Vec<Entry>) -> Vec<Entry> {
         if self.interest.services().is_none() {
             return entries;
@@ -351,7 +365,7 @@
     }
 
     /// The wanted entries with conflicts resolved: of two at one address, the one that started last, or was updated
-    /// last, owns it and the other is gone.
+    /// last, owns it and the other is removed.
     fn effective_entries(&mut self, anomalies: &mut Vec<Anomaly>) -> BTreeMap<String, Entry> {
         let mut owners: BTreeMap<SocketAddr, &Record> = BTreeMap::new();
         let mut conflicts = BTreeSet::new();
@@ -404,10 +418,10 @@
                 entries.push(entry.clone());
             }
         }
-        // Reported as removed while unknown or already gone.
+        // Reported as removed while unknown or already removed.
         for uid in mentioned.iter().filter(|uid| !effective.contains_key(*uid)) {
-            let already_gone = self.delivered.get(uid).is_none_or(|entry| entry.state == State::Removed);
-            if already_gone && !whole {
+            let already_removed = self.delivered.get(uid).is_none_or(|entry| entry.state == State::Removed);
+            if already_removed && !whole {
                 entries.push(Entry::leaving(uid.clone(), State::Removed));
             }
         }
--- a/crates/directory/tests/schedules.rs
+++ b/crates/directory/tests/schedules.rs
@@ -15,18 +15,18 @@
 
 const MS: u64 = 1000;
 const HEARTBEAT: u64 = 2000 * MS;
-const TOLD_WITHIN: u64 = 6000 * MS;
+const KNOWN_WITHIN: u64 = 6000 * MS;
 const GRACE: u64 = 1000 * MS;
 /// Tolerance after the grace period of a drain, the same as in the rule for real sockets.
 const SLACK: u64 = 50 * MS;
 /// How much later than on a new watch a change may be applied.
 const FRESH_WATCH_DELAY: u64 = 3000 * MS;
 /// The same if a restart of discovery is hidden because its new revisions exceed the current one.
-const HIDDEN_RESTART_DELAY: u64 = TOLD_WITHIN + GRACE + FRESH_WATCH_DELAY;
+const HIDDEN_RESTART_DELAY: u64 = KNOWN_WITHIN + GRACE + FRESH_WATCH_DELAY;
 const START: u64 = 1_800_000_000_000_000;
 
 fn timing() -> Timing {
-    Timing::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(GRACE))
+    Timing::derive(Span(HEARTBEAT), Span(KNOWN_WITHIN), Span(GRACE))
 }
 
 /// How discovery responds to calls.
@@ -540,7 +540,7 @@
         let mut faults = Vec::new();
         for (server, drain) in &self.drains {
             let requested = drain.requested_at;
-            let reported = drain.written_at.unwrap_or(u64::MAX).min(requested + TOLD_WITHIN);
+            let reported = drain.written_at.unwrap_or(u64::MAX).min(requested + KNOWN_WITHIN);
             let applied = self.applied_at.get(server).copied().unwrap_or(u64::MAX);
             // A hidden restart is found by the check of the full list, and again by one after the bound.
             let mut restarts = self.hidden_restarts.iter();
@@ -711,7 +711,7 @@
 #[test]
 fn retry_interval_stays_within_two_thirds_of_the_grace_during_a_long_outage() {
     for grace in [200, 400, 500, 1000, 3000].map(|ms| ms * MS) {
-        let timing = Timing::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(grace));
+        let timing = Timing::derive(Span(HEARTBEAT), Span(KNOWN_WITHIN), Span(grace));
         let at = "127.0.0.1:1".parse().unwrap();
         let mode = Discovery::Pushed;
         let (mut follower, _) = Follower::new(Time(START), timing, mode, at, grace, Listing::default());
@@ -899,9 +899,9 @@
 #[test]
 fn changes_during_lost_calls_are_applied_in_time_with_pushed_lists() {
     for grace in [0, 200, 1000, 3000].map(|ms| ms * MS) {
-        let timing = Timing::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(grace));
+        let timing = Timing::derive(Span(HEARTBEAT), Span(KNOWN_WITHIN), Span(grace));
         let WorstDelay { delay_us, history } = worst_delay(timing, |_| None);
-        let bound = if grace > 0 { grace } else { TOLD_WITHIN };
+        let bound = if grace > 0 { grace } else { KNOWN_WITHIN };
         assert!(delay_us <= bound + SLACK, "{delay_us} us late on a grace of {grace} us: {history}");
     }
 }
@@ -926,10 +926,10 @@
         fleet(300, 10_000, 0),
     ];
     for FleetCase { instance_count, ask_within_ms, grace } in fleets {
-        let timing = Timing::derive(Span(HEARTBEAT), Span(TOLD_WITHIN), Span(grace));
+        let timing = Timing::derive(Span(HEARTBEAT), Span(KNOWN_WITHIN), Span(grace));
         let module = |seed| Some(Module::new(seed, instance_count, Span(ask_within_ms * MS)));
         let WorstDelay { delay_us, history } = worst_delay(timing, module);
         let fleet = format!("{instance_count} instances, to ask within {ask_within_ms} ms, grace {grace} us");
-        assert!(delay_us <= TOLD_WITHIN + grace + SLACK, "{delay_us} us late, {fleet}: {history}");
+        assert!(delay_us <= KNOWN_WITHIN + grace + SLACK, "{delay_us} us late, {fleet}: {history}");
     }
 }
