--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     id: WatchId,
-    at: SocketAddr,
+    address: SocketAddr,
     kind: CallKind,
     /// The revision held when the watch was opened.
     rev: u64,
@@ -45,7 +45,8 @@
 pub struct Follower {
     timing: Timing,
     mode: Discovery,
-    at: SocketAddr,
+    /// The current address of discovery.
+    address: SocketAddr,
     table: ServerTable,
     rng: SmallRng,
     watches: Vec<Watch>,
@@ -81,11 +82,11 @@
         now: Time,
         timing: Timing,
         mode: Discovery,
-        at: SocketAddr,
+        address: SocketAddr,
         seed: u64,
         known: Listing,
     ) -> (Follower, Delivery) {
-        Follower::with_interest(now, timing, mode, at, seed, known, Interest::default())
+        Follower::with_interest(now, timing, mode, address, seed, known, Interest::default())
     }
 
     /// The same, restricted to an interest set. The caller should request only these services from discovery.
@@ -94,7 +95,7 @@
         now: Time,
         timing: Timing,
         mode: Discovery,
-        at: SocketAddr,
+        address: SocketAddr,
         seed: u64,
         known: Listing,
         interest: Interest,
@@ -103,7 +104,7 @@
         let follower = Follower {
             timing,
             mode,
-            at,
+            address,
             table,
             rng: SmallRng::seed_from_u64(seed),
             watches: Vec::new(),
@@ -186,9 +187,9 @@
                     self.next_open = now;
                 }
             }
-            Input::AddressChanged(at) => {
-                if at != self.at {
-                    self.at = at;
+            Input::AddressChanged(address) => {
+                if address != self.address {
+                    self.address = address;
                     self.address_changed = true;
                     self.failures = 0;
                     self.next_open = now;
@@ -251,8 +252,8 @@
     }
 
     /// How long a call may wait for its response to begin. Lists on request come from a queue that all instances
-    /// share: a call given up after `call_timeout` lost its place while its work stayed in the queue, and with sixty instances
-    /// doing so none was ever answered. The decision module says when to make another call beside it.
+    /// share: a call given up after `call_timeout` lost its place while its work stayed in the queue, and with sixty
+    /// instances doing so none was ever answered. The decision module says when to make another call beside it.
     fn answer_timeout(&self) -> Span {
         match self.mode {
             Discovery::Pushed => self.timing.call_timeout,
@@ -284,7 +285,7 @@
 
     /// Whether the followed watch is at the current address and its heartbeat is not overdue.
     fn has_live_watch(&self) -> bool {
-        self.followed_watch().is_some_and(|watch| watch.at == self.at && !watch.silence_reported)
+        self.followed_watch().is_some_and(|watch| watch.address == self.address && !watch.silence_reported)
     }
 
     fn may_open_watch(&self) -> bool {
@@ -318,7 +319,7 @@
 
     fn open_watch(&mut self, now: Time, kind: CallKind, out: &mut Vec<Output>) {
         let id = WatchId(self.next_watch_id);
-        let at = self.at;
+        let address = self.address;
         self.next_watch_id += 1;
         self.health.opened += 1;
         self.next_open = now + self.max_retry_interval(now);
@@ -327,7 +328,7 @@
         self.schedule_request(now);
         self.watches.push(Watch {
             id,
-            at,
+            address,
             kind,
             rev: self.table.rev(),
             called_at: now,
@@ -335,7 +336,7 @@
             last_message: None,
             silence_reported: false,
         });
-        out.push(Output::Open { watch: id, at, kind });
+        out.push(Output::Open { watch: id, at: address, kind });
     }
 
     /// Schedules a call in time, whatever the decision module waits for: the module spreads the calls of all instances
@@ -359,14 +360,14 @@
             watch.silence_reported = true;
         }
         if self.followed == Some(watch.id) {
-            self.report_failure(now, watch.at, &Cause::Silent, out);
+            self.report_failure(now, watch.address, &Cause::Silent, out);
             self.next_open = now;
         } else {
             // A watch that never delivered is not worth keeping.
             out.push(Output::Close(watch.id));
             self.drop_watch(watch.id);
             if self.watches.is_empty() {
-                self.report_failure(now, watch.at, &Cause::Silent, out);
+                self.report_failure(now, watch.address, &Cause::Silent, out);
             }
         }
     }
@@ -389,7 +390,7 @@
         self.full_list_next = watch.kind != CallKind::FullList && (self.full_list_next || unreadable);
         // Neither the end of a spare watch nor that of one at a previous address is a failure.
         let spare = !followed && self.has_live_watch();
-        let at_previous_address = watch.at != self.at && self.address_changed;
+        let at_previous_address = watch.address != self.address && self.address_changed;
         if spare || at_previous_address {
             return;
         }
@@ -397,7 +398,7 @@
         let retry_at = now + self.backoff(now).times(self.rng.random_range(0.5..1.0));
         // A failed call never postpones a try that is due earlier.
         self.next_open = if self.next_open >= now { self.next_open.min(retry_at) } else { retry_at };
-        self.report_failure(now, watch.at, cause, out);
+        self.report_failure(now, watch.address, cause, out);
     }
 
     fn backoff(&self, now: Time) -> Span {
@@ -407,10 +408,10 @@
         Span(initial.0.saturating_mul(1 << doublings)).min(max)
     }
 
-    fn report_failure(&mut self, now: Time, at: SocketAddr, cause: &Cause, out: &mut Vec<Output>) {
+    fn report_failure(&mut self, now: Time, address: SocketAddr, cause: &Cause, out: &mut Vec<Output>) {
         if !self.outage_reported {
             self.outage_reported = true;
-            out.push(Output::Lost { at, why: cause.to_string() });
+            out.push(Output::Lost { at: address, why: cause.to_string() });
         }
         if self.mode == Discovery::OnRequest && !self.address_changed {
             self.failure_reported = true;
@@ -425,7 +426,7 @@
         watch.last_message = Some(now);
         watch.silence_reported = false;
         let watch = *watch;
-        let at_current_address = watch.at == self.at;
+        let at_current_address = watch.address == self.address;
         let silence = now - self.health.fresh_at;
         self.health.longest_silence = self.health.longest_silence.max(silence);
         self.health.fresh_at = now;
@@ -480,7 +481,7 @@
         self.followed = Some(watch.id);
         self.next_open = now;
         if replaced || self.outage_reported {
-            out.push(Output::Followed { at: watch.at, rev: self.table.rev(), silence });
+            out.push(Output::Followed { at: watch.address, rev: self.table.rev(), silence });
         }
         self.outage_reported = false;
     }
@@ -512,7 +513,7 @@
         out.push(Output::Close(watch.id));
         self.drop_watch(watch.id);
         self.last_check = now;
-        let Some(listing) = listing.filter(|_| watch.at == self.at) else { return };
+        let Some(listing) = listing.filter(|_| watch.address == self.address) else { return };
         // The followed watch delivered newer changes meanwhile: the list is outdated, and its lower revision does not
         // start a new sequence.
         let overtaken = (watch.rev..self.table.rev()).contains(&listing.rev);
--- a/crates/directory/src/timing.rs
+++ b/crates/directory/src/timing.rs
@@ -48,10 +48,10 @@
     /// Derives the timing from the heartbeat interval of a watch, the time after which an announcement counts as known
     /// whether or not it arrived, and the grace period of a drain.
     ///
-    /// A heartbeat may be late by a quarter of the grace, or by an eighth of its interval if there is no grace. The time
-    /// that then remains until an unreceived drain could exceed its bound is split equally between eight tries, each
-    /// limited to two thirds of the grace: what discovery announces when it returns counts at once, however long it was
-    /// away.
+    /// A heartbeat may be late by a quarter of the grace, or by an eighth of its interval if there is no grace. The
+    /// time that then remains until an unreceived drain could exceed its bound is split equally between eight tries,
+    /// each limited to two thirds of the grace: what discovery announces when it returns counts at once, however long
+    /// it was away.
     #[must_use]
     pub fn derive(heartbeat: Span, known_within: Span, grace: Span) -> Timing {
         let has_grace = grace.0 > 0;
--- a/crates/directory/tests/schedules.rs
+++ b/crates/directory/tests/schedules.rs
@@ -13,6 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
+/// Microseconds in a millisecond; all times are in microseconds.
 const MS: u64 = 1000;
 const HEARTBEAT: u64 = 2000 * MS;
 const KNOWN_WITHIN: u64 = 6000 * MS;
@@ -23,6 +24,8 @@
 const FRESH_WATCH_DELAY: u64 = 3000 * MS;
 /// The same if a restart of discovery is hidden because its new revisions exceed the current one.
 const HIDDEN_RESTART_DELAY: u64 = KNOWN_WITHIN + GRACE + FRESH_WATCH_DELAY;
+/// The revision of a connection that has received no list.
+const NO_REVISION: u64 = u64::MAX;
 const START: u64 = 1_800_000_000_000_000;
 
 fn timing() -> Timing {
@@ -129,7 +132,8 @@
     fn new(seed: u64, instance_count: u32, ask_within: Span) -> Module {
         let safety = Safety { ask_within, ..Safety::default() };
         // The length of a window has no influence on lists.
-        let (discovery, tick) = (Discovery::OnRequest, Span(1000 * MS));
+        let tick = Span(1000 * MS);
+        let discovery = Discovery::OnRequest;
         let settings = Settings { instance_count, discovery, safety, tick, ..Settings::default() };
         Module { balancer: Balancer::new(settings, seed), timers: BTreeMap::new() }
     }
@@ -150,9 +154,11 @@
     connections: Vec<Connection>,
     /// Events on their way to the sidecar.
     in_flight: BTreeMap<EventKey, Arrival>,
-    /// How often revisions started anew, the epoch of the list last applied, and that of the event being handled.
+    /// How often revisions started anew.
     epoch: u32,
+    /// The epoch of the list last applied.
     applied_epoch: u32,
+    /// The epoch of the event being handled.
     arriving_epoch: u32,
     /// When a watch was opened after a revision of an earlier epoch that the revisions of the new epoch already exceed.
     hidden_restarts: Vec<u64>,
@@ -270,7 +276,7 @@
         }
         let rev = connection.rev;
         let heartbeat = heartbeat && rev == self.rev;
-        let whole = rev > self.rev || rev == u64::MAX;
+        let whole = rev > self.rev || rev == NO_REVISION;
         let mut line = if heartbeat { "\n".to_owned() } else { self.json(rev, whole) };
         if !heartbeat {
             let now = self.now;
@@ -352,7 +358,7 @@
         self.schedule(Input::Opened(id), MS);
         let rev = match kind {
             CallKind::ChangesAfter(rev) => rev,
-            CallKind::FullList | CallKind::Check => u64::MAX,
+            CallKind::FullList | CallKind::Check => NO_REVISION,
         };
         if kind == CallKind::Check {
             let line = self.json(0, true);
@@ -360,7 +366,7 @@
             return self.schedule(Input::Line(id, Some(listing)), self.line_delay);
         }
         // The revisions of the new epoch already exceed the current one: only the check of the full list shows it.
-        if rev != u64::MAX && rev <= self.rev && self.epoch != self.applied_epoch {
+        if rev != NO_REVISION && rev <= self.rev && self.epoch != self.applied_epoch {
             self.hidden_restarts.push(self.now);
         }
         let next_heartbeat = self.now + HEARTBEAT;
