--- a/crates/directory/src/lines.rs
+++ b/crates/directory/src/lines.rs
@@ -1,72 +1,74 @@
-//! Stage: bytes of a watch to lines. Owns the bytes of the line that is being read; they go with the watch.
+//! Splits the byte stream of a watch into messages. Buffers the incomplete message; the buffer lives as long as the
+//! watch.
 
-/// The longest line that is read, in bytes. A list of ten thousand servers fits.
-pub const LINE_BYTES: usize = 4 << 20;
+/// The longest message accepted, in bytes. A list of ten thousand servers fits.
+pub const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// A line was longer than [`LINE_BYTES`]; what the watch says from here on can't be told apart.
+/// A message exceeded [`MAX_LINE_BYTES`]; the rest of the watch cannot be split into messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong;
 
-/// Cuts what a watch brings into lines, however its bytes are grouped. An object that is indented over several lines is one:
-/// a line end within its brackets does not end it.
+/// Splits the byte stream of a watch into messages, independent of how the bytes are chunked. A JSON object that is
+/// indented over several lines is one message: a line end within its brackets does not terminate it.
 #[derive(Debug, Default)]
 pub struct Lines {
     line: Vec<u8>,
-    /// Brackets that are open, outside of strings.
-    open: usize,
-    text: Text,
+    /// Nesting depth of brackets outside of strings.
+    open_brackets: usize,
+    string: StringState,
 }
 
-/// Where in a text the last byte stands.
+/// Position of the last byte relative to JSON strings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Text {
+enum StringState {
     #[default]
     Outside,
-    Within,
-    /// Behind a backslash.
+    Inside,
+    /// After a backslash within a string.
     Escaped,
 }
 
 impl Lines {
-    /// Takes in bytes and gives the lines that they end, without their ends and without blanks around them. A
-    /// line cut off by the end of the watch is never given. An empty line ends one whose brackets are still open, so
-    /// that half an object never waits for the rest of it while signs of life come.
+    /// Appends bytes and returns the messages that they complete, trimmed of whitespace. A message cut off by the end
+    /// of the watch is never returned. An empty line terminates a message whose brackets are still open, so that a
+    /// truncated object is not kept waiting while heartbeats arrive.
     ///
     /// # Errors
     ///
-    /// [`TooLong`] where a line grows over its bound; nothing more is to be read of this watch.
+    /// [`TooLong`] if a message exceeds [`MAX_LINE_BYTES`]; the watch must not be read any further.
     pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, TooLong> {
-        let mut whole = Vec::new();
-        for piece in bytes.split_inclusive(|b| *b == b'\n') {
-            if self.line.len() + piece.len() > LINE_BYTES {
+        let mut lines = Vec::new();
+        for segment in bytes.split_inclusive(|byte| *byte == b'\n') {
+            if self.line.len() + segment.len() > MAX_LINE_BYTES {
                 return Err(TooLong);
             }
-            let starts = self.line.last().is_none_or(|last| *last == b'\n');
-            self.line.extend_from_slice(piece);
-            piece.iter().for_each(|byte| self.count(*byte));
-            let empty = starts && piece.trim_ascii().is_empty();
-            if self.line.ends_with(b"\n") && (self.open == 0 || self.text != Text::Outside || empty) {
-                whole.push(self.line.trim_ascii().to_vec());
+            let starts_line = self.line.last().is_none_or(|last| *last == b'\n');
+            self.line.extend_from_slice(segment);
+            segment.iter().for_each(|byte| self.track_nesting(*byte));
+            let is_blank = starts_line && segment.trim_ascii().is_empty();
+            let is_closed = self.open_brackets == 0 || self.string != StringState::Outside;
+            if self.line.ends_with(b"\n") && (is_closed || is_blank) {
+                lines.push(self.line.trim_ascii().to_vec());
                 *self = Lines::default();
             }
         }
-        Ok(whole)
+        Ok(lines)
     }
 
-    fn count(&mut self, byte: u8) {
-        self.text = match (self.text, byte) {
-            (Text::Outside, b'{' | b'[') => {
-                self.open += 1;
-                Text::Outside
+    fn track_nesting(&mut self, byte: u8) {
+        self.string = match (self.string, byte) {
+            (StringState::Outside, b'{' | b'[') => {
+                self.open_brackets += 1;
+                StringState::Outside
             }
-            (Text::Outside, b'}' | b']') => {
-                self.open = self.open.saturating_sub(1);
-                Text::Outside
+            (StringState::Outside, b'}' | b']') => {
+                self.open_brackets = self.open_brackets.saturating_sub(1);
+                StringState::Outside
             }
-            (Text::Outside, b'"') | (Text::Escaped, _) => Text::Within,
-            (Text::Within, b'"') => Text::Outside,
-            (Text::Within, b'\\') => Text::Escaped,
-            (text, _) => text,
+            (StringState::Outside, b'"') | (StringState::Escaped, _) => StringState::Inside,
+            (StringState::Inside, b'"') => StringState::Outside,
+            (StringState::Inside, b'\\') => StringState::Escaped,
+            (state, _) => state,
         };
     }
 }
