--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings object that an instance is told at its start, read into the module's settings and the names and
-//! limits that only a host needs. Unknown keys are passed over. Both hosts read it by this code.
+//! Parses the settings object of an instance into the settings of the decision module, and into the names and limits
+//! that only its host needs. Unknown keys are ignored. Both hosts use this parser.
 
 #![forbid(unsafe_code)]
 
@@ -112,24 +112,24 @@
 mod succession;
 pub use succession::{Succession, lacking};
 
-/// What an instance is told: the module's settings, and what only its host needs.
+/// The settings of one instance: those of the decision module, and what only its host needs.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// What the module decides by.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// The names of the classes, by number.
+    /// The names of the classes, indexed by class number.
     pub classes: Vec<String>,
-    /// The names of the tenants, by number.
+    /// The names of the tenants, indexed by tenant number.
     pub tenants: Vec<String>,
-    /// The names of the zones, by number.
+    /// The names of the zones, indexed by zone number.
     pub zones: Vec<String>,
-    /// The names of the figures in a load report, in order.
+    /// The names of the fields of a load report, in order.
     pub fields: Vec<String>,
-    /// How long a server keeps an idle connection at the most, where that is told.
+    /// The longest time for which a server keeps an idle connection, if stated.
     pub conn_idle: Option<Span>,
-    /// Requests that an instance may hold open.
+    /// The number of requests that the instance may have in progress, if limited.
     pub max_open: Option<u64>,
-    /// The grace of a drain, where that is told; none of it is spent, the list is followed by it.
+    /// The grace period of a drain, if stated. Hosts derive the timers of the discovery watch from it.
     pub drain_grace: Option<Span>,
 }
 
@@ -137,22 +137,30 @@
     1
 }
 
-/// Reads the settings of one instance from text.
+/// Parses the settings of one instance from JSON text.
+///
+/// # Errors
+///
+/// The text is not JSON, or a value is missing or invalid; the message names the key.
 pub fn read(text: &str) -> Result<Site> {
     read_value(serde_json::from_str(text).context("settings")?)
 }
 
-/// Reads the settings of one instance from a part of a larger object.
+/// Parses the settings of one instance from a JSON value, such as a part of a larger object.
+///
+/// # Errors
+///
+/// A value is missing or invalid; the message names the key.
 pub fn read_value(value: serde_json::Value) -> Result<Site> {
     site(serde_path_to_error::deserialize(value).map_err(|error| anyhow!("settings: {error}"))?)
 }
 
-/// The longest time that a class may be given: a day. A larger figure is a unit mistaken.
+/// The longest aim or deadline of a class, in microseconds: one day. A larger value indicates a wrong unit.
 const LONGEST: u64 = 86_400_000_000;
-/// The most attempts that a request may be given.
+/// The highest accepted number of attempts per request.
 const ATTEMPTS: u32 = 1000;
 
-/// Whether the figures that requests are judged by can be true.
+/// Checks the values that decide how long requests live and how often they are sent.
 fn prove(env: &Env) -> Result<()> {
     for (n, class) in env.classes.iter().enumerate() {
         for (key, value) in [("aim", class.aim), ("deadline", class.deadline)] {
@@ -193,11 +201,11 @@
 }
 
 fn settings(env: &Env) -> Result<Settings> {
-    // A price that is left out is nothing; one below nothing would have servers used for what they cost.
+    // A missing price is 0. A negative price would make the decision module seek the cost instead of avoiding it.
     let price = |key: &str| match env.deductions.get(key).map_or(Some(0.0), Value::as_f64) {
         Some(price) if price >= 0.0 => Ok(price),
         Some(price) => bail!("settings: deductions.{key}: {price} is negative"),
-        None => bail!("settings: deductions.{key}: {} is no number", env.deductions[key]),
+        None => bail!("settings: deductions.{key}: {} is not a number", env.deductions[key]),
     };
     Ok(Settings {
         balancers: env.balancers,
@@ -209,13 +217,15 @@
         discovery: match env.discovery.as_deref() {
             Some("on_request") => Discovery::OnRequest,
             Some("pushed") | None => Discovery::Pushed,
-            Some(other) => bail!("settings: unknown discovery '{other}'"),
+            Some(other) => bail!("settings: unknown discovery '{other}'; expected 'pushed' or 'on_request'"),
         },
         reports: match env.stats.how.as_deref() {
             Some("inline") => Reports::InAnswers,
             Some("on_probe") => Reports::InProbes,
             Some("off") | None => Reports::Off,
-            Some(other) => bail!("settings: unknown stats.how '{other}'"),
+            Some(other) => {
+                bail!("settings: unknown stats.how '{other}'; expected 'inline', 'on_probe' or 'off'")
+            }
         },
         fields: env.stats.fields.iter().map(|f| field(f)).collect(),
         limits: Limits {
@@ -264,11 +274,13 @@
                 Some("all") => Group::All,
                 Some("zone") => Group::Zone,
                 Some("cell") => Group::Cell,
-                other => bail!("settings: unknown group {other:?} of a keyed class"),
+                other => bail!(
+                    "settings: unknown group {other:?} of a keyed class; expected 'all', 'zone' or 'cell'"
+                ),
             },
             window: Span(c.window.unwrap_or(0)),
         },
-        other => bail!("settings: unknown semantics '{other}'"),
+        other => bail!("settings: unknown semantics '{other}'; expected 'retryable', 'dedup' or 'fragile'"),
     };
     Ok(Class {
         aim: Span(c.aim),
@@ -293,7 +305,7 @@
     })
 }
 
-/// A share among the keys of an object, nothing where it is left out.
+/// Reads a fraction from 0 to 1 from the keys of an object; 0 if the key is missing.
 fn part(keys: &Map<String, Value>, object: &str, key: &str) -> Result<f64> {
     match keys.get(key) {
         None => Ok(0.0),
@@ -313,7 +325,7 @@
     }
 }
 
-/// A number for a server that comes out the same at every instance, from its name (FNV-1a).
+/// Hashes a name to a number that is the same in every instance (FNV-1a).
 pub fn common_name(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
--- a/crates/settings/src/succession.rs
+++ b/crates/settings/src/succession.rs
@@ -1,23 +1,25 @@
-//! From the settings in force to the next ones, in a running process. Pure: classes get their numbers here.
+//! Applies new settings to a running process: assigns stable numbers to the classes and keeps the values that can't
+//! change without a restart. No I/O, no clock.
 
 use crate::Site;
 use dunlincleat::api::{Class, Span, Time};
 use serde_json::Value;
 
-/// How long after a class was dropped a front may still hand in a request of it.
+/// How long after a class is removed the HTTP front may still submit a request of it.
 const HANDED_IN: Span = Span(10_000_000);
 
-/// The numbers of the classes over all settings of a process. A request in hand holds its class by number, so a
-/// number is used anew only when no request can hold it any more.
+/// Assigns numbers to classes over all settings that a process has had. A request in progress refers to its class by
+/// number, so a number is reused only when no request can refer to it any more.
 #[derive(Clone, Debug, Default)]
 pub struct Succession {
-    /// Since when each number is free of new requests; none while it is in use.
+    /// When each number was retired; `None` while it is in use.
     retired: Vec<Option<Time>>,
 }
 
 impl Succession {
-    /// The settings that follow `old` from `now` on: `new` with its classes under their numbers for good. What only a
-    /// start takes up (how reports and lists come, the zones) stays as it was; the keys that differ there are named.
+    /// Combines the settings in force, `old`, with those that replace them from `now` on, `new`. Classes of `new` get
+    /// their permanent numbers. Settings that are read only at start-up (reports, discovery, zones) keep their old
+    /// values; the keys of which the value differs are returned beside the result.
     pub fn follow(&mut self, now: Time, old: &Site, mut new: Site) -> (Site, Vec<&'static str>) {
         let (mut names, mut classes) = (old.classes.clone(), old.settings.classes.clone());
         self.retired.resize(classes.len(), None);
@@ -25,7 +27,7 @@
         for n in 0..classes.len() {
             let stays = told.iter().any(|(name, class)| *name == names[n] && *class == classes[n]);
             if !stays && !classes[n].retired {
-                // No path names it any more.
+                // Without a name, no path selects the class any more.
                 names[n].clear();
                 classes[n].retired = true;
                 self.retired[n] = Some(now);
@@ -67,8 +69,8 @@
     }
 }
 
-/// The first key that an object in force has and the next one lacks, in the form `a.b[1].c`; the elements of a list
-/// are all held to its first one in force.
+/// Finds the first key of `old` that is missing from `new`, as a path such as `a.b[1].c`. Each object in a list of `new`
+/// is compared with the first object in that list of `old`.
 #[must_use]
 pub fn lacking(old: &Value, new: &Value) -> Option<String> {
     fn joined(at: &str, rest: String) -> String {
--- a/crates/settings/src/succession/tests.rs
+++ b/crates/settings/src/succession/tests.rs
@@ -14,7 +14,8 @@
     crate::read_value(json!({"classes": classes, "safety": {}, "limits": {"try_limit": 2}})).unwrap()
 }
 
-/// Guards open requests: under no order of files does a number change what it means while one may hold it.
+/// A request in progress refers to its class by number: no sequence of reloads may give the number to another class while
+/// such a request can exist.
 #[test]
 fn a_number_means_one_class_for_as_long_as_a_request_may_hold_it() {
     let mut succession = Succession::default();
@@ -25,11 +26,11 @@
         &first,
         site(&[("b", 20, "fragile"), ("c", 5, "retryable"), ("a", 10, "fragile")]),
     );
-    assert_eq!(second.classes, ["", "b", "c", "a"], "what changed is another class");
-    assert_eq!(second.settings.classes[0].effect, Effect::Safe, "and an open request keeps the old one");
+    assert_eq!(second.classes, ["", "b", "c", "a"], "a changed class is a new class");
+    assert_eq!(second.settings.classes[0].effect, Effect::Safe, "a request in progress keeps the old class");
     assert!(second.settings.classes[0].retired && !second.settings.classes[3].retired);
     let (third, _) = succession.follow(at(2), &second, site(&[("b", 20, "fragile"), ("d", 5, "retryable")]));
-    assert_eq!(third.classes, ["", "b", "", "", "d"], "too early to use a number again");
+    assert_eq!(third.classes, ["", "b", "", "", "d"], "a retired number was reused too early");
     let (fourth, _) = succession.follow(at(30), &third, site(&[("e", 5, "retryable"), ("b", 20, "fragile")]));
     assert_eq!(fourth.classes, ["e", "b", "", "", ""]);
     assert!(fourth.settings.classes[4].retired && !fourth.settings.classes[0].retired);
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -53,7 +53,7 @@
     assert_eq!(left_out.tail, Tail::default());
     let price = |text: &str| fault("\"me\":1", &format!("\"me\":1,\"deductions\":{{\"handshake\":{text}}}"));
     assert!(price("-0.1").contains("deductions.handshake: -0.1 is negative"));
-    assert!(price("\"dear\"").contains("deductions.handshake: \"dear\" is no number"));
-    assert!(price("null").contains("deductions.handshake: null is no number"));
+    assert!(price("\"dear\"").contains("deductions.handshake: \"dear\" is not a number"));
+    assert!(price("null").contains("deductions.handshake: null is not a number"));
     assert_eq!(read(EXAMPLE).unwrap().settings.prices.handshake, 0.0);
 }
