--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -271,7 +271,7 @@
         faults.error(Code::ConnectOverAttempt, connect, reason, format!("under {}", written(attempt.value)));
     }
     if let Some(copy) = &set.second_copy {
-        if !limits.second_copies {
+        if !limits.hedging {
             let reason = "the settings do not allow two attempts at the same time";
             faults.error(Code::CopyNotAllowed, copy, reason, "remove the key");
         }
