--- a/crates/dutyshell/src/lib.rs
+++ b/crates/dutyshell/src/lib.rs
@@ -84,14 +84,12 @@
             UdpSocket::from_std(socket)
         };
         let socket = open().with_context(|| format!("fleet.listen: '{}'", fleet.listen))?;
-        let effect = |call: &dunlincleat_limits::fleet::Call| Effect {
-            period: call.period.0,
-            catch_up: call.catch_up,
-        };
+        let effect =
+            |call: &dunlincleat_limits::Call| Effect { period: call.period.0, catch_up: call.catch_up };
         let duties: Vec<(String, Option<Effect>)> =
             fleet.duties.iter().map(|duty| (duty.name.clone(), duty.call.as_ref().map(effect))).collect();
-        let voters = fleet.voters.iter().map(|(name, _)| name.clone()).collect();
-        let terms = Terms { lease: fleet.lease.0, drift: fleet.drift, voters };
+        let voters = fleet.voters.iter().map(|voter| voter.name.clone()).collect();
+        let terms = Terms { lease: fleet.lease.0, drift: fleet.drift_ppm, voters };
         // A life's number is new with each start, whatever the configuration says.
         let life = RandomState::new().build_hasher().finish() | 1;
         let member = Member::new(me, life, terms, &duties, now(), false);
@@ -178,7 +176,7 @@
             match output {
                 Output::Send { to, answers, message } => {
                     let at = match to {
-                        To::Voter(n) => self.fleet.voters.get(n).map(|(_, at)| *at),
+                        To::Voter(n) => self.fleet.voters.get(n).map(|voter| voter.address),
                         To::Back => back,
                     };
                     let datagram =
--- a/crates/engine/benches/path.rs
+++ b/crates/engine/benches/path.rs
@@ -10,7 +10,7 @@
 use dunlincleat_directory::{Delivery, Entry};
 use dunlincleat_engine::{Ask, Ended, Engine, Input, Output};
 use dunlincleat_limits::{Rule, check};
-use dunlincleat_settings::{Site, read};
+use dunlincleat_settings::{InstanceSettings, read};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 use std::hint::black_box;
@@ -38,8 +38,8 @@
 
 impl Path {
     fn new(servers: u16, limits: bool) -> Path {
-        let site: Site = read(SETTINGS).expect("the settings are right");
-        let rules = check(FILE, &site).1.expect("the file is right");
+        let site: InstanceSettings = read(SETTINGS).expect("the settings are right");
+        let rules = check(FILE, &site).rules.expect("the file is right");
         let mut engine = Engine::new(&site, 7, 10_000);
         let entry = |n: u16| Entry {
             uid: format!("s{n}"),
--- a/crates/engine/src/core.rs
+++ b/crates/engine/src/core.rs
@@ -13,9 +13,8 @@
     Action, Attempt, Effect, Event, ListKind, RequestId, ServerId, Settings, Span, State, Status, Time, Token,
 };
 use dunlincleat_directory::Delivery;
-use dunlincleat_limits::gate::Stand;
-use dunlincleat_limits::{Gate, Rule, RuleSet};
-use dunlincleat_settings::Site;
+use dunlincleat_limits::{Admission, Gate, Rule, RuleSet};
+use dunlincleat_settings::InstanceSettings;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -138,7 +137,7 @@
     /// Other settings; requests in hand keep their class and number of attempts.
     Settings {
         /// Those to decide by.
-        site: Arc<Site>,
+        site: Arc<InstanceSettings>,
         /// Those of the module that only watches, where there is one.
         watched: Option<Settings>,
     },
@@ -260,7 +259,7 @@
     /// Attempts that it may have.
     most: u32,
     /// Where it stands with its route, until it is answered.
-    stand: Stand,
+    stand: Admission,
     answered: bool,
     /// Its attempts, in order, and how many of them are out.
     attempts: Vec<Tried>,
@@ -288,11 +287,11 @@
 }
 
 /// The longest that a request may be open.
-fn longest(site: &Site) -> Span {
+fn longest(site: &InstanceSettings) -> Span {
     site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
 }
 
-fn windows(site: &Site) -> Vec<Option<Span>> {
+fn windows(site: &InstanceSettings) -> Vec<Option<Span>> {
     let window = |effect| match effect {
         Effect::Keyed { window, .. } => Some(window),
         Effect::Safe | Effect::Unsafe => None,
@@ -327,7 +326,7 @@
 impl<P: Clone, B> Engine<P, B> {
     /// An engine by these settings that may hold `most` requests; `seed` is for the draws.
     #[must_use]
-    pub fn new(site: &Site, seed: u64, most: u32) -> Engine<P, B> {
+    pub fn new(site: &InstanceSettings, seed: u64, most: u32) -> Engine<P, B> {
         let longest = longest(site);
         Engine {
             max_attempts: site.settings.limits.max_attempts,
@@ -420,7 +419,7 @@
             Input::Request { id, ask, received, payload } => {
                 self.tally.taken += 1;
                 let Ask { class, tenant, wait, hint, key, repeat, rule } = ask;
-                let mut stand = Stand::default();
+                let mut stand = Admission::default();
                 let mut slot = SlotId::ALL;
                 let mut wait = wait;
                 if let Some(rule) = &rule {
@@ -511,7 +510,7 @@
                 }
             }
             Input::Rules(rules) => {
-                self.gate.keep(rules.rules().map(|rule| rule.name.as_str()));
+                self.gate.retain_routes(rules.rules().map(|rule| rule.name.as_str()));
                 for (slot, members) in self.pools.adopt(now, &rules) {
                     let entries = &members;
                     self.event(now, slot, Event::Members { kind: ListKind::Cached, entries }, out);
@@ -537,7 +536,7 @@
                 tried.ended = Some(status);
             }
             if let Some(rule) = entry.rule.as_ref().filter(|_| status == Status::Ok) {
-                self.gate.took(rule, latency);
+                self.gate.record_latency(rule, latency);
             }
             slot = entry.slot;
             match (status, body) {
@@ -548,8 +547,8 @@
         if let Some(entry) = self.requests.get_mut(&id).filter(|e| !e.answered && e.out == 0)
             && let Some(rule) = &entry.rule
         {
-            self.gate.waits_again(rule, &mut entry.stand);
-            again = self.gate.repeat(now, rule, &mut entry.stand, entry.attempts.len() as u32);
+            self.gate.mark_waiting(rule, &mut entry.stand);
+            again = self.gate.allow_retry(now, rule, &mut entry.stand, entry.attempts.len() as u32);
         }
         let outcome = Event::AttemptFinished {
             id,
@@ -663,7 +662,7 @@
     fn copy(&mut self, now: Time, id: RequestId, out: &mut Vec<Output<P, B>>) {
         let Some(entry) = self.requests.get_mut(&id) else { return };
         let Some(rule) = entry.rule.as_ref().filter(|_| !entry.answered && entry.out == 1) else { return };
-        if entry.attempts.len() == 1 && self.gate.repeat(now, rule, &mut entry.stand, 1) {
+        if entry.attempts.len() == 1 && self.gate.allow_retry(now, rule, &mut entry.stand, 1) {
             let slot = entry.slot;
             self.paid = Some(id);
             self.event(now, slot, Event::HedgeDue { id }, out);
@@ -690,16 +689,16 @@
         let mut over = entry.answered || attempt.0 >= entry.most;
         // A second copy of the module's own goes out only where the rule of its route pays for one more attempt.
         if let Some(rule) = entry.rule.as_ref().filter(|_| entry.out > 1 && self.paid != Some(id)) {
-            over |= !self.gate.repeat(now, rule, &mut entry.stand, attempt.0);
+            over |= !self.gate.allow_retry(now, rule, &mut entry.stand, attempt.0);
         }
         // Without a time of its own an attempt ends with the client's patience, which ends it as gone.
         let mut until = until.unwrap_or(now + entry.wait);
         let mut connect = None;
         if let Some(rule) = &entry.rule {
-            self.gate.goes_out(rule, &mut entry.stand);
+            self.gate.mark_sent(rule, &mut entry.stand);
             until = rule.attempt_timeout.map_or(until, |timeout| until.min(now + timeout));
             connect = rule.connect_timeout;
-            if let Some(after) = self.gate.copy_after(rule).filter(|_| attempt.0 == 0) {
+            if let Some(after) = self.gate.hedge_delay(rule).filter(|_| attempt.0 == 0) {
                 self.timers.set(now + after, Due::Copy(id));
             }
         }
@@ -753,7 +752,7 @@
         let entry = self.requests.get_mut(&id).filter(|entry| !entry.answered)?;
         entry.answered = true;
         if let Some(rule) = &entry.rule {
-            self.gate.over(rule, std::mem::take(&mut entry.stand));
+            self.gate.release(rule, std::mem::take(&mut entry.stand));
         }
         Some(entry.slot)
     }
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -5,9 +5,8 @@
 use dunlincleat::Balancer;
 use dunlincleat::api::{Action, Event, ListKind, Member, ServerId, Settings, Span, State, Time};
 use dunlincleat_directory::Entry;
-use dunlincleat_limits::routes::PoolRule;
-use dunlincleat_limits::{Rule, RuleSet};
-use dunlincleat_settings::{Site, common_name};
+use dunlincleat_limits::{PoolHealth, PoolRule, Rule, RuleSet};
+use dunlincleat_settings::{InstanceSettings, global_id};
 use std::collections::BTreeMap;
 
 /// How long a front may take from finding a request's rule to handing it in.
@@ -56,7 +55,7 @@
 impl Pools {
     /// The pool of all servers.
     #[must_use]
-    pub fn new(site: &Site, seed: u64, longest: Span) -> Pools {
+    pub fn new(site: &InstanceSettings, seed: u64, longest: Span) -> Pools {
         let settings = site.settings.clone();
         let balancer = Balancer::new(settings.clone(), seed);
         let slots = BTreeMap::from([(SlotId::ALL, Slot { rule: None, balancer, gone: None })]);
@@ -91,15 +90,15 @@
             self.slots.iter().rev().find(|(_, slot)| named(slot))
         };
         let health = |name: &str| {
-            let Some((_, slot)) = named(name) else { return (0, 0) };
+            let Some((_, slot)) = named(name) else { return PoolHealth::default() };
             let ready = self.listed.values().filter(|known| known.member.state == State::Ready);
             let mine = ready.filter(|known| selects(slot.rule.as_ref(), known));
-            mine.fold((0, 0), |(all, well), known| {
+            mine.fold(PoolHealth::default(), |health, known| {
                 let healthy = places.get(known.member.server).is_some_and(|place| place.healthy(now));
-                (all + 1, well + usize::from(healthy))
+                PoolHealth { servers: health.servers + 1, healthy: health.healthy + usize::from(healthy) }
             })
         };
-        rule.pool(health).and_then(named).map_or(SlotId::ALL, |(id, _)| *id)
+        rule.choose_pool(health).and_then(named).map_or(SlotId::ALL, |(id, _)| *id)
     }
 
     /// Takes in a list or changes, whose servers have these numbers; gives what each pool is to be told.
@@ -126,7 +125,7 @@
                 zone: zone.unwrap_or(self.zones.len()) as u32,
                 cell: entry.cell,
                 state: entry.state,
-                global_id: common_name(&entry.uid),
+                global_id: global_id(&entry.uid),
             };
             let known = Known { member, zone: entry.zone.clone(), model: entry.model.clone() };
             told.push((member, self.listed.insert(server.0, known)));
@@ -148,7 +147,7 @@
     }
 
     /// Takes up other settings for pools to come; gives those that are to be told.
-    pub fn settle(&mut self, site: &Site, longest: Span) -> Vec<SlotId> {
+    pub fn settle(&mut self, site: &InstanceSettings, longest: Span) -> Vec<SlotId> {
         (self.settings, self.longest) = (site.settings.clone(), longest);
         self.slots()
     }
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -8,7 +8,7 @@
 use dunlincleat::api::{Attempt, RequestId, ServerId, Settings, State, Time};
 use dunlincleat_directory::{Cause, Delivery, Health};
 use dunlincleat_limits::RuleSet;
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use dunlincleat_status::Metrics;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
@@ -141,7 +141,7 @@
     }
 
     /// Other settings, and those that are only watched, before any request under them.
-    pub fn settings(&self, site: Arc<Site>, watched: Option<Settings>) {
+    pub fn settings(&self, site: Arc<InstanceSettings>, watched: Option<Settings>) {
         self.tell(Msg::Input(Input::Settings { site, watched }));
     }
 
--- a/crates/engine/tests/passing.rs
+++ b/crates/engine/tests/passing.rs
@@ -3,12 +3,12 @@
 use dunlincleat::api::{Attempt, ListKind, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
 use dunlincleat_engine::{Answer, Ask, Ended, Engine, Input, Output};
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use std::sync::Arc;
 
 const START: u64 = 5_000_000_000;
 
-fn site(most: u32) -> Site {
+fn site(most: u32) -> InstanceSettings {
     let text = format!(
         r#"{{"classes":[{{"name":"a","aim":300000,"deadline":740000,"semantics":"retryable"}}],
             "limits":{{"try_limit":{most},"cancel":true}},"safety":{{}}}}"#
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -4,8 +4,8 @@
 use dunlincleat::api::{Attempt, Effect, ListKind, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
 use dunlincleat_engine::{Answer, Ask, Ended, Engine, Input, Output, SlotId};
-use dunlincleat_limits::{Facts, Rule, RuleSet, check};
-use dunlincleat_settings::{Site, read};
+use dunlincleat_limits::{RequestAttributes, Rule, RuleSet, check};
+use dunlincleat_settings::{InstanceSettings, read};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
 const MS: u64 = 1000;
 const START: u64 = 1_800_000_000_000_000;
 
-fn site(copies: bool) -> Site {
+fn site(copies: bool) -> InstanceSettings {
     let text = r#"{"zones":["a","b"],"tenants":[{"name":"t"}],"stats":{"fields":["inflight"],"how":"inline"},
         "limits":{"try_limit":4,"parallel_tries":COPIES,"cancel":true,"probes":true,"connect_timeout":100000,"max_open":400},
         "classes":[
@@ -63,7 +63,7 @@
 
 struct World {
     now: u64,
-    site: Site,
+    site: InstanceSettings,
     engine: Engine<u64, u64>,
     rng: SmallRng,
     rules: Option<Arc<RuleSet>>,
@@ -319,7 +319,7 @@
         let path = format!("/{}", self.site.classes[class]);
         let method = if class == 0 { "GET" } else { "POST" };
         let none = |_: &str| None;
-        let facts = Facts { path: &path, method, class: class as u32, tenant: 0, header: &none };
+        let facts = RequestAttributes { path: &path, method, class: class as u32, tenant: 0, header: &none };
         let rule = self.rules.as_ref().map(|rules| rules.find(&facts).clone());
         let wait = Span(self.rng.random_range(50..740) * MS);
         let seen = Seen { class, gives_up: self.now + wait.0, rule: rule.clone(), ..Seen::default() };
@@ -419,7 +419,7 @@
             3 if !uids.is_empty() => self.list(ListKind::Full, &uids),
             4 => {
                 let text = FILES[self.rng.random_range(0..FILES.len())];
-                if let (_, Some(rules)) = check(text, &self.site) {
+                if let Some(rules) = check(text, &self.site).rules {
                     let rules = Arc::new(rules);
                     self.tell(Input::Rules(rules.clone()));
                     self.rules = Some(rules);
--- a/crates/engine/tests/watch.rs
+++ b/crates/engine/tests/watch.rs
@@ -4,11 +4,11 @@
 use dunlincleat_directory::{Delivery, Entry};
 use dunlincleat_engine::watch::Watched;
 use dunlincleat_engine::{Ask, Ended, Engine, Input, Output, Watch};
-use dunlincleat_settings::{Site, read};
+use dunlincleat_settings::{InstanceSettings, read};
 
 const MS: u64 = 1_000;
 
-fn site(more: &str) -> Site {
+fn site(more: &str) -> InstanceSettings {
     let text = format!(
         r#"{{"balancers":2,"zones":["a","b"],"safety":{{}},"limits":{{"try_limit":3,"cancel":true}},{more}
         "classes":[{{"name":"read","aim":200000,"deadline":600000,"gain":1,"semantics":"retryable"}}]}}"#
@@ -32,7 +32,7 @@
 }
 
 /// A day of requests under `settings`, watched or not: all outputs in words, and the counts.
-fn day(watched: Option<&Site>, settings: &Site) -> (Vec<String>, Watched) {
+fn day(watched: Option<&InstanceSettings>, settings: &InstanceSettings) -> (Vec<String>, Watched) {
     let mut engine: Engine<u64, u64> = Engine::new(settings, 7, 1_000);
     if let Some(other) = watched {
         engine.watch(Watch::new(other.settings.clone(), &settings.settings.fields, 99));
--- a/crates/fleet/src/baseline.rs
+++ b/crates/fleet/src/baseline.rs
@@ -4,7 +4,7 @@
 use crate::balancing::{Balancing, In, Out};
 use dunlincleat::api::{Attempt, Effect, ListKind, RequestId, ServerId, State, Status, Time};
 use dunlincleat_engine::{Answer, Input, Output, Places};
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
 impl Baseline {
     /// An instance.
     #[must_use]
-    pub fn new(choice: Choice, site: &Site, seed: u64) -> Baseline {
+    pub fn new(choice: Choice, site: &InstanceSettings, seed: u64) -> Baseline {
         Baseline {
             choice,
             effects: site.settings.classes.iter().map(|class| class.effect).collect(),
--- a/crates/fleet/src/draw.rs
+++ b/crates/fleet/src/draw.rs
@@ -6,7 +6,7 @@
 //! a type for ranges in every field: it would make each field two things, and both hosts of a field ask which.
 
 use anyhow::{Context, Result, bail};
-use dunlincleat_limits::file::{duration, written};
+use dunlincleat_limits::{format_duration, parse_duration};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rustc_hash::FxHasher;
@@ -67,7 +67,9 @@
             match between {
                 Between::Whole(from, to) => rng.random_range(from..=to).to_string(),
                 Between::Real(from, to) => real(rng.random_range(from..=to)),
-                Between::Time(from, to) => written(dunlincleat::api::Span(rng.random_range(from..=to))),
+                Between::Time(from, to) => {
+                    format_duration(dunlincleat::api::Span(rng.random_range(from..=to)))
+                }
             }
         })
     }
@@ -78,7 +80,7 @@
         self.with(|_, between| match between {
             Between::Whole(from, to) => if upper { to } else { from }.to_string(),
             Between::Real(from, to) => real(if upper { to } else { from }),
-            Between::Time(from, to) => written(dunlincleat::api::Span(if upper { to } else { from })),
+            Between::Time(from, to) => format_duration(dunlincleat::api::Span(if upper { to } else { from })),
         })
     }
 
@@ -190,7 +192,7 @@
             Between::Whole(a, b)
         }
         (DeValue::String(a), DeValue::String(b)) => {
-            let (Some(x), Some(y)) = (duration(a), duration(b)) else {
+            let (Some(x), Some(y)) = (parse_duration(a), parse_duration(b)) else {
                 bail!("from '{a}' to '{b}': both ends are durations, as \"80ms\"")
             };
             Between::Time(x.0, y.0)
@@ -208,7 +210,7 @@
         Between::Whole(from, to) if from > to => bail!("from {from} to {to}: from is at most to"),
         Between::Real(from, to) if from > to => bail!("from {from} to {to}: from is at most to"),
         Between::Time(a, b) if a > b => {
-            let text = |us| written(dunlincleat::api::Span(us));
+            let text = |us| format_duration(dunlincleat::api::Span(us));
             bail!("from {} to {}: from is at most to", text(a), text(b))
         }
         fine => Ok(fine),
--- a/crates/fleet/src/draw/tests.rs
+++ b/crates/fleet/src/draw/tests.rs
@@ -19,7 +19,7 @@
         assert_eq!(line(&drawn, 4), "e = 5");
         let table: toml::Table = toml::from_str(&drawn).unwrap();
         let (a, d) = (table["a"].as_integer().unwrap(), table["d"].as_float().unwrap());
-        let c = duration(table["b"][0]["c"].as_str().unwrap()).unwrap();
+        let c = parse_duration(table["b"][0]["c"].as_str().unwrap()).unwrap();
         assert!((1..=90).contains(&a) && (0.0..=1.0).contains(&d) && (1000..=9_000_000).contains(&c.0));
         seen.insert(drawn);
     }
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -4,8 +4,8 @@
 use crate::draw::{Template, line_of};
 use anyhow::{Context, Result, anyhow};
 use dunlincleat::api::Span;
-use dunlincleat_limits::file::{duration, written};
-use dunlincleat_settings::Site;
+use dunlincleat_limits::{format_duration, parse_duration};
+use dunlincleat_settings::InstanceSettings;
 use serde::{Deserialize, Deserializer};
 
 /// A length of time written with its unit, as "80ms".
@@ -15,7 +15,7 @@
 impl<'de> Deserialize<'de> for Time {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Time, D::Error> {
         let text = String::deserialize(from)?;
-        let span = duration(&text);
+        let span = parse_duration(&text);
         span.map(Time)
             .ok_or_else(|| serde::de::Error::custom(format!("'{text}' is no duration, as \"80ms\"")))
     }
@@ -619,7 +619,7 @@
             within(&key("spread"), class.spread, 0.0..=3.0)?;
             within(&key("worth"), class.worth, 1e-3..=1e3)?;
             if class.aim.us() > class.deadline.us() {
-                let (aim, deadline) = (written(class.aim.0), written(class.deadline.0));
+                let (aim, deadline) = (format_duration(class.aim.0), format_duration(class.deadline.0));
                 return Err(wrong(&key("aim"), format!("{aim} is over deadline, {deadline}")));
             }
         }
@@ -627,7 +627,7 @@
             let key = |name: &str| format!("fault[{n}].{name}");
             let (at, _) = fault.span();
             if at > self.lasts.us() {
-                let (at, end) = (written(Span(at)), written(self.lasts.0));
+                let (at, end) = (format_duration(Span(at)), format_duration(self.lasts.0));
                 return Err(wrong(&key("at"), format!("{at} is after the end, {end}")));
             }
             let (part, factor, zones) = fault.figures();
@@ -708,7 +708,7 @@
     /// # Errors
     ///
     /// A class has a semantics that is not known.
-    pub fn site(&self, me: usize) -> Result<Site> {
+    pub fn site(&self, me: usize) -> Result<InstanceSettings> {
         let class = |c: &Class| {
             serde_json::json!({
                 "name": c.name, "aim": c.aim.us(), "deadline": c.deadline.us(), "gain": c.worth, "late_worth": 0.5,
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -20,7 +20,7 @@
 use dunlincleat::api::{Attempt, Discovery, Effect, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Cause, Entry, Figures, Follower, Listing, Output as Follow, WatchId};
 use dunlincleat_engine::{Answer, Ask, Ended, Engine, Input, Output, SlotId};
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/fleet/src/world/instances.rs
+++ b/crates/fleet/src/world/instances.rs
@@ -4,7 +4,7 @@
 
 impl World<'_> {
     /// What an instance of a caller is told.
-    pub(super) fn site(&self, caller: u32) -> Result<Site> {
+    pub(super) fn site(&self, caller: u32) -> Result<InstanceSettings> {
         self.told.site(caller as usize)
     }
 
--- a/crates/hollow/src/sidecar.rs
+++ b/crates/hollow/src/sidecar.rs
@@ -15,7 +15,7 @@
 use dunlincleat_http::list::{self, List};
 use dunlincleat_http::message::{Body, Parts, Request};
 use dunlincleat_http::own::Own;
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use dunlincleat_status::Metrics;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -74,7 +74,7 @@
 
 /// What all sidecars of a process share, as the crates take it.
 pub struct Shared {
-    site: Arc<Site>,
+    site: Arc<InstanceSettings>,
     own: Rc<Own>,
     rate: f64,
 }
@@ -197,7 +197,7 @@
 }
 
 /// Asks for something now and then.
-async fn ask(engine: Handle, site: Arc<Site>, seed: u64, rate: f64) {
+async fn ask(engine: Handle, site: Arc<InstanceSettings>, seed: u64, rate: f64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut head = RequestHead::default();
     let name = site.classes.first().cloned().unwrap_or_default();
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -14,7 +14,7 @@
 use bytes::{Bytes, BytesMut};
 use dunlincleat::api::RequestId;
 use dunlincleat_limits::RuleSet;
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use dunlincleat_status::lifecycle;
 use dunlincleat_status::metrics::{Ends, InProgress};
 use dunlincleat_status::{Lifecycle, Metrics, Seldom, Stage, seldom};
@@ -64,7 +64,7 @@
 /// What requests are taken under; replaced in one step by a reload.
 pub struct InForce {
     /// The settings.
-    pub site: Arc<Site>,
+    pub site: Arc<InstanceSettings>,
     /// The operator's limits, where there are any.
     pub rules: Option<Arc<RuleSet>>,
     /// The counts of each class, by its number.
@@ -73,7 +73,7 @@
 
 impl InForce {
     /// These settings and limits.
-    pub fn new(site: Arc<Site>, rules: Option<Arc<RuleSet>>, metrics: &Metrics) -> InForce {
+    pub fn new(site: Arc<InstanceSettings>, rules: Option<Arc<RuleSet>>, metrics: &Metrics) -> InForce {
         // A number that no class has now counts nowhere.
         let ends = |name: &String| if name.is_empty() { Arc::default() } else { metrics.class(name) };
         InForce { ends: site.classes.iter().map(ends).collect(), site, rules }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -10,8 +10,8 @@
 use dunlincleat::api::{Effect, Span, Status};
 use dunlincleat_directory::Interest;
 use dunlincleat_engine::Ask;
-use dunlincleat_limits::{Facts, RuleSet};
-use dunlincleat_settings::{Site, common_name};
+use dunlincleat_limits::{RequestAttributes, RuleSet};
+use dunlincleat_settings::{InstanceSettings, global_id};
 use futures_util::stream::{LocalBoxStream, once};
 use futures_util::{Stream, StreamExt};
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
@@ -178,7 +178,11 @@
 
 impl Request {
     /// Reads a request's head; the body is added by `with_body`.
-    pub fn decode(head: &RequestHead, site: &Site, rules: Option<&RuleSet>) -> Result<Request, Malformed> {
+    pub fn decode(
+        head: &RequestHead,
+        site: &InstanceSettings,
+        rules: Option<&RuleSet>,
+    ) -> Result<Request, Malformed> {
         let bad = |what| Malformed { status: StatusCode::BAD_REQUEST, what, taken: true };
         let path = head.uri.path();
         let unknown = Malformed { status: StatusCode::NOT_FOUND, what: "no such class", taken: true };
@@ -217,14 +221,14 @@
             tenant: tenant.unwrap_or(site.tenants.len()) as u32,
             wait,
             hint: hint.filter(|c| c.is_finite() && *c >= 0.0).map(|c| Span(c as u64)),
-            key: object.filter(|object| !object.is_empty()).map(common_name),
+            key: object.filter(|object| !object.is_empty()).map(global_id),
             repeat: text(&head.headers, &RETRIED) == Some("1"),
             rule: None,
         };
         let rule = rules.map(|rules| {
             let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
             let (class, tenant) = (ask.class, ask.tenant);
-            let facts = Facts { path, method: method.as_str(), class, tenant, header: &header };
+            let facts = RequestAttributes { path, method: method.as_str(), class, tenant, header: &header };
             rules.find(&facts).clone()
         });
         let ask = Ask { rule, ..ask };
@@ -313,7 +317,7 @@
 }
 
 /// The number of the class that a path names by its first part.
-pub fn class_of(path: &str, site: &Site) -> Option<usize> {
+pub fn class_of(path: &str, site: &InstanceSettings) -> Option<usize> {
     let name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
     site.classes.iter().position(|c| c == name && !name.is_empty())
 }
--- a/crates/lab/src/slopes/control.rs
+++ b/crates/lab/src/slopes/control.rs
@@ -11,7 +11,7 @@
 };
 use dunlincleat_engine::{Ask, Ended, Engine, Input, Output};
 use dunlincleat_limits::{Rule, check};
-use dunlincleat_settings::{Site, Succession, read};
+use dunlincleat_settings::{ClassNumbering, InstanceSettings, read};
 use std::hint::black_box;
 use std::sync::Arc;
 
@@ -45,7 +45,7 @@
 
 impl Sidecar {
     /// One that knows so many servers, calls so many services by pools of their own, and follows a watch.
-    fn start(site: &Site, seed: u64, servers: usize, services: usize) -> Result<Sidecar> {
+    fn start(site: &InstanceSettings, seed: u64, servers: usize, services: usize) -> Result<Sidecar> {
         let figures = Figures::derive(Span(2_000_000), Span(6_000_000), Span(1_000_000));
         let at = ([127, 0, 0, 1], 8500).into();
         let (follower, known) =
@@ -406,14 +406,13 @@
     sidecar.serve(200);
     let (settings, file) = (settings(classes, false), pools(services));
     let mut held = Arc::new(first);
-    let mut succession = Succession::default();
+    let mut succession = ClassNumbering::default();
     timed(context, |n| {
         sidecar.now = sidecar.now + Span(1_000_000);
         // Another figure each time: nothing may be spared for being alike.
         let settings = settings.replace("\"cold\":1000000", &format!("\"cold\":{}", 1_000_000 + n));
-        let (site, _) = succession.follow(sidecar.now, &held, read(&settings)?);
-        held = Arc::new(site);
-        let rules = check(&file, &held).1;
+        held = Arc::new(succession.apply(sidecar.now, &held, read(&settings)?).instance);
+        let rules = check(&file, &held).rules;
         sidecar.tell(Input::Settings { site: held.clone(), watched: None });
         if let Some(rules) = rules.filter(|_| services > 0) {
             sidecar.tell(Input::Rules(Arc::new(rules)));
--- a/crates/lab/src/slopes/list.rs
+++ b/crates/lab/src/slopes/list.rs
@@ -4,8 +4,8 @@
 use anyhow::{Context, Result, bail};
 use dunlincleat::api::State;
 use dunlincleat_directory::{Entry, Listing};
-use dunlincleat_limits::{RuleSet, check};
-use dunlincleat_settings::{Site, read};
+use dunlincleat_limits::{Checked, RuleSet, check};
+use dunlincleat_settings::{InstanceSettings, read};
 use std::fmt::Write;
 
 /// Servers of a service: the plan's endpoints over its services, 3,100 over 490.
@@ -64,7 +64,7 @@
 }
 
 /// The settings as they are read.
-pub fn site(classes: usize, probes: bool) -> Result<Site> {
+pub fn site(classes: usize, probes: bool) -> Result<InstanceSettings> {
     read(&settings(classes, probes)).context("the settings")
 }
 
@@ -83,8 +83,8 @@
 }
 
 /// The operator's file as it is read.
-pub fn rules(services: usize, site: &Site) -> Result<RuleSet> {
-    let (faults, rules) = check(&pools(services), site);
+pub fn rules(services: usize, site: &InstanceSettings) -> Result<RuleSet> {
+    let Checked { faults, rules } = check(&pools(services), site);
     let Some(rules) = rules else {
         let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
         bail!("the operator's file: {}", faults.join("; "));
--- a/crates/limits/src/check.rs
+++ b/crates/limits/src/check.rs
@@ -2,18 +2,29 @@
 //! are legal by themselves and unsafe together with an inherited one.
 
 use crate::codes::Code;
-use crate::file::{At, CopyAfter, Fault, Faults, File, Knobs, Match, Route, Severity, read, written};
+use crate::file::{
+    At, Fault, Faults, File, HedgeDelay, Knobs, Match, Route, Severity, format_duration, read,
+};
 use crate::fleet;
 use crate::routes::{PathPattern, RuleSet};
 use dunlincleat::api::{Effect, Span};
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 
 /// The longest time for which the decision module delays a request between two attempts, as a part of its class's aim.
 const HOLD: f64 = 0.03;
 
-/// Parses and validates a file. The rules are returned unless a fault is an error.
+/// The result of [`check`].
+#[derive(Clone, Debug)]
+pub struct Checked {
+    /// All faults, in the order of their positions.
+    pub faults: Vec<Fault>,
+    /// The rules of the file; `None` if a fault is an error.
+    pub rules: Option<RuleSet>,
+}
+
+/// Parses and validates a file.
 #[must_use]
-pub fn check(text: &str, site: &Site) -> (Vec<Fault>, Option<RuleSet>) {
+pub fn check(text: &str, site: &InstanceSettings) -> Checked {
     let mut faults = Faults::new(text);
     let file = read(text, &mut faults);
     pools(&file, Some(site), &mut faults);
@@ -23,12 +34,12 @@
     let faults = faults.all();
     let refused = faults.iter().any(|fault| fault.severity == Severity::Error);
     let rules = (!refused).then(|| RuleSet::new(text, &file, site, fleet));
-    (faults, rules)
+    Checked { faults, rules }
 }
 
 /// Validates what needs no settings: syntax, names, pools and unreachable routes.
 #[must_use]
-pub fn check_form(text: &str) -> Vec<Fault> {
+pub fn check_without_settings(text: &str) -> Vec<Fault> {
     let mut faults = Faults::new(text);
     let file = read(text, &mut faults);
     pools(&file, None, &mut faults);
@@ -37,7 +48,7 @@
     faults.all()
 }
 
-fn pools(file: &File, site: Option<&Site>, faults: &mut Faults<'_>) {
+fn pools(file: &File, site: Option<&InstanceSettings>, faults: &mut Faults<'_>) {
     for (n, pool) in file.pools.iter().enumerate() {
         let name = &pool.name.value;
         if !name.is_empty() && file.pools[..n].iter().any(|other| other.name.value == *name) {
@@ -131,7 +142,7 @@
     }
 }
 
-fn routes(file: &File, site: &Site, faults: &mut Faults<'_>) {
+fn routes(file: &File, site: &InstanceSettings, faults: &mut Faults<'_>) {
     // Requests that no route matches are subject to the defaults alone.
     let rest = Route {
         name: At { value: "default".to_owned(), key: "defaults".to_owned(), offset: 0 },
@@ -146,7 +157,7 @@
 }
 
 /// Validates the conditions of a route and returns the classes whose requests it can match.
-fn matched(matches: &Match, site: &Site, faults: &mut Faults<'_>) -> Vec<usize> {
+fn matched(matches: &Match, site: &InstanceSettings, faults: &mut Faults<'_>) -> Vec<usize> {
     let mut classes: Vec<usize> = (0..site.classes.len()).collect();
     if let Some(class) = &matches.class {
         classes.retain(|n| site.classes[*n] == class.value);
@@ -236,7 +247,7 @@
 }
 
 /// Validates the options of a route, inherited ones included, for each class that it can match.
-fn knobs(file: &File, route: &Route, classes: &[usize], site: &Site, faults: &mut Faults<'_>) {
+fn knobs(file: &File, route: &Route, classes: &[usize], site: &InstanceSettings, faults: &mut Faults<'_>) {
     let set = Knobs::inherit(&route.knobs, &file.defaults);
     let name = &route.name.value;
     let limits = &site.settings.limits;
@@ -258,17 +269,29 @@
     {
         let reason = format!(
             "in route '{name}' an attempt may take longer than the timeout of {}",
-            written(whole.value)
+            format_duration(whole.value)
+        );
+        faults.error(
+            Code::AttemptOverWhole,
+            attempt,
+            reason,
+            format!("at most {}", format_duration(whole.value)),
         );
-        faults.error(Code::AttemptOverWhole, attempt, reason, format!("at most {}", written(whole.value)));
     }
     let attempt = set.attempt_timeout.as_ref().or(set.timeout.as_ref());
     if let (Some(connect), Some(attempt)) = (&set.connect_timeout, attempt)
         && connect.value >= attempt.value
     {
-        let reason =
-            format!("in route '{name}' no time to send is left of an attempt's {}", written(attempt.value));
-        faults.error(Code::ConnectOverAttempt, connect, reason, format!("under {}", written(attempt.value)));
+        let reason = format!(
+            "in route '{name}' no time to send is left of an attempt's {}",
+            format_duration(attempt.value)
+        );
+        faults.error(
+            Code::ConnectOverAttempt,
+            connect,
+            reason,
+            format!("under {}", format_duration(attempt.value)),
+        );
     }
     if let Some(copy) = &set.second_copy {
         if !limits.hedging {
@@ -279,11 +302,17 @@
             let reason = format!("route '{name}' has one attempt in all");
             faults.error(Code::CopyAlone, copy, reason, "attempts = 2 or more");
         }
-        if let (CopyAfter::Delay(after), Some(attempt)) = (&copy.value, attempt)
+        if let (HedgeDelay::Fixed(after), Some(attempt)) = (&copy.value, attempt)
             && *after >= attempt.value
         {
-            let reason = format!("in route '{name}' an attempt times out after {}", written(attempt.value));
-            faults.warn(Code::CopyLate, copy, reason, format!("after under {}", written(attempt.value)));
+            let reason =
+                format!("in route '{name}' an attempt times out after {}", format_duration(attempt.value));
+            faults.warn(
+                Code::CopyLate,
+                copy,
+                reason,
+                format!("after under {}", format_duration(attempt.value)),
+            );
         }
     }
     for n in classes {
@@ -291,11 +320,11 @@
     }
 }
 
-fn caps(set: &Knobs, attempts: u32, site: &Site, faults: &mut Faults<'_>) {
+fn caps(set: &Knobs, attempts: u32, site: &InstanceSettings, faults: &mut Faults<'_>) {
     if let Some(budget) = &set.retry_budget {
         if attempts == 1 {
             faults.warn(Code::BudgetUnused, budget, "the route has one attempt in all", "remove the key");
-        } else if budget.value.part == 0.0 && budget.value.least_per_s == 0.0 {
+        } else if budget.value.retries_per_attempt == 0.0 && budget.value.min_retries_per_s == 0.0 {
             let allowed = "part or least_per_s greater than 0, or attempts = 1";
             faults.error(Code::BudgetNothing, budget, "it never allows a retry", allowed);
         }
@@ -317,13 +346,22 @@
     }
 }
 
-fn class_knobs(name: &str, set: &Knobs, attempts: u32, n: usize, site: &Site, faults: &mut Faults<'_>) {
+fn class_knobs(
+    name: &str,
+    set: &Knobs,
+    attempts: u32,
+    n: usize,
+    site: &InstanceSettings,
+    faults: &mut Faults<'_>,
+) {
     let (class, settings) = (&site.classes[n], &site.settings.classes[n]);
     let deadline = settings.deadline;
     for time in [&set.timeout, &set.attempt_timeout].into_iter().flatten().filter(|t| t.value > deadline) {
-        let reason =
-            format!("in route '{name}' clients of class '{class}' wait no longer than {}", written(deadline));
-        faults.error(Code::PastGiveUp, time, reason, format!("at most {}", written(deadline)));
+        let reason = format!(
+            "in route '{name}' clients of class '{class}' wait no longer than {}",
+            format_duration(deadline)
+        );
+        faults.error(Code::PastGiveUp, time, reason, format!("at most {}", format_duration(deadline)));
     }
     let whole = set.timeout.as_ref().map_or(deadline, |t| t.value.min(deadline));
     let attempt = set.attempt_timeout.as_ref().map_or(whole, |t| t.value.min(whole));
@@ -344,8 +382,8 @@
             let reason = format!(
                 "in route '{name}' the last of {attempts} attempts of class '{class}' could be sent after {}, but \
                  its key is kept for {}",
-                written(last),
-                written(window)
+                format_duration(last),
+                format_duration(window)
             );
             let allowed = "fewer attempts, or a shorter timeout or attempt_timeout";
             faults.error(Code::KeyForgotten, &at, reason, allowed);
@@ -355,8 +393,8 @@
         let reason = format!(
             "in route '{name}' the last of {attempts} attempts could begin only after {}, but requests of class \
              '{class}' have {} in all",
-            written(before_last),
-            written(whole)
+            format_duration(before_last),
+            format_duration(whole)
         );
         faults.warn(Code::TooLateToStart, &at, reason, "fewer or shorter attempts");
     }
--- a/crates/limits/src/codes.rs
+++ b/crates/limits/src/codes.rs
@@ -120,7 +120,7 @@
 impl Code {
     /// Finds a code by its name, in either case.
     #[must_use]
-    pub fn named(name: &str) -> Option<Code> {
+    pub fn from_name(name: &str) -> Option<Code> {
         Code::ALL.iter().copied().find(|code| code.name().eq_ignore_ascii_case(name))
     }
 }
--- a/crates/limits/src/file.rs
+++ b/crates/limits/src/file.rs
@@ -64,20 +64,20 @@
 
 /// When a hedged request, a second attempt beside the first, may be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CopyAfter {
+pub enum HedgeDelay {
     /// At a fixed delay after the first attempt.
-    Delay(Span),
+    Fixed(Span),
     /// At this quantile of the measured latencies of the route.
     Quantile(f64),
 }
 
 /// A retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// The retries that each first attempt earns.
-    pub part: f64,
+    pub retries_per_attempt: f64,
     /// The retries per second that are allowed in any case.
-    pub least_per_s: f64,
+    pub min_retries_per_s: f64,
 }
 
 /// The options of a route; options that are not set come from the defaults.
@@ -92,9 +92,9 @@
     /// The highest number of attempts.
     pub attempts: Option<At<u32>>,
     /// When a hedged request may be sent.
-    pub second_copy: Option<At<CopyAfter>>,
+    pub second_copy: Option<At<HedgeDelay>>,
     /// The retry budget.
-    pub retry_budget: Option<At<Budget>>,
+    pub retry_budget: Option<At<RetryBudget>>,
     /// The highest number of requests in progress.
     pub max_in_hand: Option<At<u32>>,
     /// The highest number of requests without an attempt in flight.
@@ -263,7 +263,7 @@
 
 /// Parses a duration with its unit, from 1 us to one day.
 #[must_use]
-pub fn duration(text: &str) -> Option<Span> {
+pub fn parse_duration(text: &str) -> Option<Span> {
     let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let (number, unit) = text.split_at(digits);
     let unit = match unit {
@@ -278,9 +278,9 @@
     (1.0..=DAY).contains(&micros).then_some(Span(micros as u64))
 }
 
-/// Formats a duration such that [`duration`] parses it.
+/// Formats a duration such that [`parse_duration`] parses it.
 #[must_use]
-pub fn written(Span(us): Span) -> String {
+pub fn format_duration(Span(us): Span) -> String {
     match us {
         us if us % 1_000_000 == 0 => format!("{}s", us / 1_000_000),
         us if us % 1000 == 0 => format!("{}ms", us / 1000),
@@ -344,7 +344,7 @@
             self.type_fault(&key, value, "a duration, for example \"80ms\"");
             return None;
         };
-        let Some(span) = duration(text) else {
+        let Some(span) = parse_duration(text) else {
             let (reason, allowed) =
                 (format!("'{text}' is not a duration"), "for example \"250us\", \"80ms\" or \"1.5s\"");
             self.faults.add(Code::BadDuration, Severity::Error, &key, offset, reason, allowed.to_owned());
@@ -517,7 +517,7 @@
         FleetSection { name, listen, lease, drift, voters }
     }
 
-    fn second_copy(&mut self, table: &mut Table<'a, '_>) -> Option<At<CopyAfter>> {
+    fn second_copy(&mut self, table: &mut Table<'a, '_>) -> Option<At<HedgeDelay>> {
         let (offset, mut inner) = self.table(table, "second_copy")?;
         let key = inner.key.clone();
         let after = self.span(&mut inner, "after");
@@ -541,21 +541,25 @@
             return None;
         }
         let value = match (after, quantile) {
-            (Some(after), _) => CopyAfter::Delay(after.value),
-            (None, Some(quantile)) => CopyAfter::Quantile(quantile.value),
+            (Some(after), _) => HedgeDelay::Fixed(after.value),
+            (None, Some(quantile)) => HedgeDelay::Quantile(quantile.value),
             (None, None) => return None,
         };
         Some(At { value, key, offset })
     }
 
-    fn retry_budget(&mut self, table: &mut Table<'a, '_>) -> Option<At<Budget>> {
+    fn retry_budget(&mut self, table: &mut Table<'a, '_>) -> Option<At<RetryBudget>> {
         let (offset, mut inner) = self.table(table, "retry_budget")?;
         let key = inner.key.clone();
         let part = self.number(&mut inner, "part", 0.0, 100.0);
         let least = self.number(&mut inner, "least_per_s", 0.0, 1e6);
         self.finish(inner);
         let (part, least_per_s) = (part.map_or(0.0, |p| p.value), least.map_or(0.0, |l| l.value));
-        Some(At { value: Budget { part, least_per_s }, key, offset })
+        Some(At {
+            value: RetryBudget { retries_per_attempt: part, min_retries_per_s: least_per_s },
+            key,
+            offset,
+        })
     }
 
     fn matches(&mut self, table: &mut Table<'a, '_>) -> Match {
--- a/crates/limits/src/fleet.rs
+++ b/crates/limits/src/fleet.rs
@@ -1,9 +1,9 @@
 //! Validates the sections `[fleet]` and `[[duty]]` of the operator's file. Without `[fleet]` there is no fleet.
 
 use crate::codes::Code;
-use crate::file::{At, DutySection, Faults, File, written};
+use crate::file::{At, DutySection, Faults, File, format_duration};
 use dunlincleat::api::{Effect, Span};
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use std::net::SocketAddr;
 
 /// A validated fleet.
@@ -16,13 +16,22 @@
     /// The duration of a lease.
     pub lease: Span,
     /// The highest tolerated clock drift, in millionths.
-    pub drift: u64,
-    /// The names and addresses of the voters.
-    pub voters: Vec<(String, SocketAddr)>,
+    pub drift_ppm: u64,
+    /// The voters.
+    pub voters: Vec<Voter>,
     /// The duties, each performed by one member at a time.
     pub duties: Vec<Duty>,
 }
 
+/// A member that votes on leases.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Voter {
+    /// Its name.
+    pub name: String,
+    /// The address on which it receives datagrams.
+    pub address: SocketAddr,
+}
+
 /// A validated duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Duty {
@@ -52,7 +61,7 @@
 const NAME: usize = 64;
 
 /// Validates the fleet and the duties of a file. Returns no fleet if the file has none, or its own address is invalid.
-pub(crate) fn prove(file: &File, site: Option<&Site>, faults: &mut Faults<'_>) -> Option<Fleet> {
+pub(crate) fn prove(file: &File, site: Option<&InstanceSettings>, faults: &mut Faults<'_>) -> Option<Fleet> {
     let Some(section) = &file.fleet else {
         if let Some(duty) = file.duties.first() {
             faults.error(
@@ -67,8 +76,13 @@
     long(&section.name, faults);
     let lease = section.lease.as_ref().map_or(LEASE, |at| at.value);
     if let Some(at) = section.lease.as_ref().filter(|at| at.value < LEASES.0 || at.value > LEASES.1) {
-        let allowed = format!("from {} to {}", written(LEASES.0), written(LEASES.1));
-        faults.error(Code::Lease, at, format!("a lease of {} is out of range", written(at.value)), allowed);
+        let allowed = format!("from {} to {}", format_duration(LEASES.0), format_duration(LEASES.1));
+        faults.error(
+            Code::Lease,
+            at,
+            format!("a lease of {} is out of range", format_duration(at.value)),
+            allowed,
+        );
     }
     let drift = section.drift.as_ref().map_or(DRIFT, |at| at.value);
     if let Some(at) = section.drift.as_ref().filter(|at| at.value > 0.25) {
@@ -88,10 +102,10 @@
             None
         }
     };
-    let mut voters: Vec<(String, SocketAddr)> = Vec::new();
+    let mut voters: Vec<Voter> = Vec::new();
     for (name, at) in &section.voters {
         long(name, faults);
-        if !name.value.is_empty() && voters.iter().any(|(other, _)| *other == name.value) {
+        if !name.value.is_empty() && voters.iter().any(|other| other.name == name.value) {
             faults.error(
                 Code::Voters,
                 name,
@@ -100,7 +114,9 @@
             );
         }
         match at {
-            Some(at) => voters.extend(address(at, faults).map(|at| (name.value.clone(), at))),
+            Some(at) => {
+                voters.extend(address(at, faults).map(|address| Voter { name: name.value.clone(), address }))
+            }
             None => faults.error(
                 Code::Member,
                 name,
@@ -128,12 +144,17 @@
         Duty { name: name.value.clone(), call }
     });
     let duties = duties.collect();
-    let drift = (drift * 1e6) as u64;
-    Some(Fleet { name: section.name.value.clone(), listen: listen?, lease, drift, voters, duties })
+    let drift_ppm = (drift * 1e6) as u64;
+    Some(Fleet { name: section.name.value.clone(), listen: listen?, lease, drift_ppm, voters, duties })
 }
 
 /// Validates the call of a duty; `None` if the duty has no call or an incomplete one.
-fn call(duty: &DutySection, lease: Span, site: Option<&Site>, faults: &mut Faults<'_>) -> Option<Call> {
+fn call(
+    duty: &DutySection,
+    lease: Span,
+    site: Option<&InstanceSettings>,
+    faults: &mut Faults<'_>,
+) -> Option<Call> {
     let catch_up = match duty.missed.as_ref().map(|at| (at, at.value.as_str())) {
         None | Some((_, "tell")) => false,
         Some((_, "catch up")) => true,
@@ -158,9 +179,9 @@
     if period.value < least {
         let reason = format!(
             "it can take up to {} until another member takes over from a dead holder",
-            written(least)
+            format_duration(least)
         );
-        faults.error(Code::DutyCall, period, reason, format!("at least {}", written(least)));
+        faults.error(Code::DutyCall, period, reason, format!("at least {}", format_duration(least)));
     }
     let first = path.value.strip_prefix('/').map(|rest| rest.split(['/', '?']).next().unwrap_or_default());
     let Some(first) = first else {
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -14,9 +14,9 @@
 pub mod gate;
 pub mod routes;
 
-pub use check::{check, check_form};
+pub use check::{Checked, check, check_without_settings};
 pub use codes::Code;
-pub use file::{Fault, Severity};
-pub use fleet::Fleet;
-pub use gate::Gate;
-pub use routes::{Facts, Rule, RuleSet};
+pub use file::{Fault, HedgeDelay, RetryBudget, Severity, format_duration, parse_duration};
+pub use fleet::{Call, Duty, Fleet, Voter};
+pub use gate::{Admission, Gate, Refusal, RouteLoad};
+pub use routes::{KeyLine, PoolChoice, PoolHealth, PoolRule, RequestAttributes, Rule, RuleSet};
--- a/crates/limits/src/routes.rs
+++ b/crates/limits/src/routes.rs
@@ -1,10 +1,10 @@
 //! Finds the rule that applies to a request: that of the first matching route, or the default. A request keeps the rule
 //! under which it was admitted, also after a reload.
 
-use crate::file::{At, Budget, CopyAfter, File, Knobs, Match, Pool};
+use crate::file::{At, File, HedgeDelay, Knobs, Match, Pool, RetryBudget};
 use crate::fleet::Fleet;
 use dunlincleat::api::Span;
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use std::sync::Arc;
 
 /// A pattern of paths: segments separated by '/', of which '*' matches any one segment, and '**' at the end any number of
@@ -83,7 +83,7 @@
 }
 
 /// The attributes of a request by which its route is found.
-pub struct Facts<'a> {
+pub struct RequestAttributes<'a> {
     /// The path, without its query.
     pub path: &'a str,
     /// The method.
@@ -112,9 +112,9 @@
     /// The highest number of attempts.
     pub attempts: Option<u32>,
     /// When a hedged request may be sent.
-    pub second_copy: Option<CopyAfter>,
+    pub hedge_delay: Option<HedgeDelay>,
     /// The retry budget.
-    pub retry_budget: Option<Budget>,
+    pub retry_budget: Option<RetryBudget>,
     /// The highest number of requests in progress.
     pub max_in_hand: Option<u32>,
     /// The highest number of requests without an attempt in flight.
@@ -124,13 +124,22 @@
     /// The pool of the route and those that it falls back to, in order; empty for all servers.
     pub pools: Vec<PoolChoice>,
     /// The line of the file on which each key is set.
-    pub said: Vec<(&'static str, usize)>,
+    pub key_lines: Vec<KeyLine>,
+}
+
+/// The line of the file on which a key is set.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KeyLine {
+    /// The key of the route, without its section.
+    pub key: &'static str,
+    /// The line, from 1.
+    pub line: usize,
 }
 
 impl Rule {
     /// The default rule of an instance without a file, which limits nothing.
     #[must_use]
-    pub fn open() -> Rule {
+    pub fn unrestricted() -> Rule {
         Rule {
             name: "default".to_owned(),
             line: None,
@@ -138,17 +147,34 @@
             timeout: None,
             connect_timeout: None,
             attempts: None,
-            second_copy: None,
+            hedge_delay: None,
             retry_budget: None,
             max_in_hand: None,
             max_waiting: None,
             priority: None,
             pools: Vec::new(),
-            said: Vec::new(),
+            key_lines: Vec::new(),
         }
     }
 }
 
+/// The servers of a pool.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PoolHealth {
+    /// All servers that take new requests.
+    pub servers: usize,
+    /// Those of them that are healthy.
+    pub healthy: usize,
+}
+
+impl PoolHealth {
+    /// The healthy part of the servers; 0 if there are none.
+    #[must_use]
+    pub fn healthy_part(self) -> f64 {
+        if self.servers == 0 { 0.0 } else { self.healthy as f64 / self.servers as f64 }
+    }
+}
+
 /// A pool that a route may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolChoice {
@@ -160,13 +186,10 @@
 
 impl Rule {
     /// Chooses a pool: the first with enough healthy servers, otherwise the one with the largest healthy part, and the
-    /// first among equals. `health` returns the number of servers of a pool and how many of them are healthy.
+    /// first among equals.
     #[must_use]
-    pub fn pool(&self, health: impl Fn(&str) -> (usize, usize)) -> Option<&str> {
-        let part = |choice: &PoolChoice| {
-            let (servers, healthy) = health(&choice.name);
-            if servers == 0 { 0.0 } else { healthy as f64 / servers as f64 }
-        };
+    pub fn choose_pool(&self, health: impl Fn(&str) -> PoolHealth) -> Option<&str> {
+        let part = |choice: &PoolChoice| health(&choice.name).healthy_part();
         let enough = |choice: &&PoolChoice| {
             let part = part(choice);
             part > 0.0 && part >= choice.least_healthy
@@ -216,7 +239,7 @@
 }
 
 impl Matcher {
-    fn new(matches: &Match, site: &Site) -> Matcher {
+    fn new(matches: &Match, site: &InstanceSettings) -> Matcher {
         let number = |names: &[String], at: &Option<At<String>>| {
             let at = at.as_ref()?;
             // Validation rejects unknown names; u32::MAX matches no request.
@@ -231,7 +254,7 @@
         }
     }
 
-    fn matches(&self, facts: &Facts<'_>) -> bool {
+    fn matches(&self, facts: &RequestAttributes<'_>) -> bool {
         self.class.is_none_or(|class| class == facts.class)
             && self.tenant.is_none_or(|tenant| tenant == facts.tenant)
             && self.method.as_ref().is_none_or(|method| method == facts.method)
@@ -254,18 +277,18 @@
 impl RuleSet {
     /// The rules of an instance without a file, which limit nothing.
     #[must_use]
-    pub fn open() -> RuleSet {
+    pub fn unrestricted() -> RuleSet {
         RuleSet {
             routes: Vec::new(),
             by_class: Vec::new(),
-            default: Arc::new(Rule::open()),
+            default: Arc::new(Rule::unrestricted()),
             pools: Vec::new(),
             fleet: None,
         }
     }
 
     /// Builds the rules of a validated file.
-    pub(crate) fn new(text: &str, file: &File, site: &Site, fleet: Option<Fleet>) -> RuleSet {
+    pub(crate) fn new(text: &str, file: &File, site: &InstanceSettings, fleet: Option<Fleet>) -> RuleSet {
         let ends: Vec<usize> = text.match_indices('\n').map(|(at, _)| at).collect();
         let line = |offset: usize| ends.partition_point(|end| *end < offset) + 1;
         let rule = |name: String, begins: Option<usize>, knobs: &Knobs| {
@@ -281,12 +304,16 @@
             Rule {
                 name,
                 line: begins.map(line),
-                said: set.offsets().into_iter().map(|(key, offset)| (key, line(offset))).collect(),
+                key_lines: set
+                    .offsets()
+                    .into_iter()
+                    .map(|(key, offset)| KeyLine { key, line: line(offset) })
+                    .collect(),
                 attempt_timeout: set.attempt_timeout.map(|at| at.value),
                 timeout: set.timeout.map(|at| at.value),
                 connect_timeout: set.connect_timeout.map(|at| at.value),
                 attempts: set.attempts.map(|at| at.value),
-                second_copy: set.second_copy.map(|at| at.value),
+                hedge_delay: set.second_copy.map(|at| at.value),
                 retry_budget: set.retry_budget.map(|at| at.value),
                 max_in_hand: set.max_in_hand.map(|at| at.value),
                 max_waiting: set.max_waiting.map(|at| at.value),
@@ -331,7 +358,7 @@
 
     /// Finds the rule that applies to a request.
     #[must_use]
-    pub fn find(&self, facts: &Facts<'_>) -> &Arc<Rule> {
+    pub fn find(&self, facts: &RequestAttributes<'_>) -> &Arc<Rule> {
         let of_class = self.by_class.get(facts.class as usize).map_or(&[][..], Vec::as_slice);
         let mut routes = of_class.iter().filter_map(|n| self.routes.get(*n as usize));
         routes.find(|(matcher, _)| matcher.matches(facts)).map_or(&self.default, |(_, rule)| rule)
--- a/crates/limits/tests/files.rs
+++ b/crates/limits/tests/files.rs
@@ -2,13 +2,14 @@
 //! oracle.
 
 use dunlincleat::api::{Effect, Span};
-use dunlincleat_limits::file::CopyAfter;
-use dunlincleat_limits::{Code, Facts, Rule, RuleSet, Severity, check, check_form};
-use dunlincleat_settings::{Site, read};
+use dunlincleat_limits::{
+    Checked, Code, HedgeDelay, RequestAttributes, Rule, RuleSet, Severity, check, check_without_settings,
+};
+use dunlincleat_settings::{InstanceSettings, read};
 use proptest::prelude::*;
 
 /// Settings with one class of each kind. Servers keep the keys of `pay` for 500 ms, and its clients wait for 900 ms.
-fn site(second_copies: bool) -> Site {
+fn site(second_copies: bool) -> InstanceSettings {
     read(&format!(
         r#"{{"zones":["a","b"],"tenants":[{{"name":"trojka"}},{{"name":"dama"}}],
         "limits":{{"try_limit":4,"parallel_tries":{second_copies},"max_open":100}},
@@ -208,7 +209,7 @@
     assert!(BAD.len() >= 60);
     for (code, line, text) in BAD {
         let copies = !matches!(code, Code::CopyNotAllowed);
-        let (faults, rules) = check(text, &site(copies));
+        let Checked { faults, rules } = check(text, &site(copies));
         assert!(rules.is_none(), "accepted: {text}");
         let found = faults.iter().any(|f| (f.code, f.line, f.severity) == (*code, *line, Severity::Error));
         assert!(found, "{code} at line {line} is not reported:\n{text}\n{faults:#?}");
@@ -220,21 +221,23 @@
 fn all_faults_of_a_file_are_told_and_warnings_refuse_none() {
     let text =
         "[defaults]\nattempts = 9\ntimeout = 'x'\n[[route]]\nname = 'y'\nmatch = { class = 'z' }\nbogus = 1";
-    let codes: Vec<Code> = check(text, &site(false)).0.iter().map(|f| f.code).collect();
+    let codes: Vec<Code> = check(text, &site(false)).faults.iter().map(|f| f.code).collect();
     assert_eq!(
         codes,
         [Code::Attempts, Code::KeyForgotten, Code::BadDuration, Code::UnknownClass, Code::UnknownKey]
     );
     let text = "[defaults]\nattempts = 1\nretry_budget = { part = 0.1 }\nmax_in_hand = 500\nmax_waiting = 600\n\
                 [[pool]]\nname = 'p'\nleast_healthy = 0.5";
-    let (faults, rules) = check(text, &site(false));
+    let Checked { faults, rules } = check(text, &site(false));
     let codes: Vec<Code> = faults.iter().map(|f| f.code).collect();
     let wanted = [Code::BudgetUnused, Code::OverInstance, Code::WaitingOverHand, Code::HealthyUnused];
     assert_eq!(codes, wanted);
     assert!(rules.is_some());
     // Without settings, only faults that need none are reported.
-    assert_eq!(check_form(text), [faults[3].clone()]);
-    assert!(check("", &site(false)).1.is_some_and(|rules| **rules.default_rule() == Rule::open()));
+    assert_eq!(check_without_settings(text), [faults[3].clone()]);
+    assert!(
+        check("", &site(false)).rules.is_some_and(|rules| **rules.default_rule() == Rule::unrestricted())
+    );
 }
 
 #[test]
@@ -242,11 +245,11 @@
     let text = "[defaults]\nattempts = 1\n[[route]]\nname = 'venue'\nattempts = 2\n\
                 match = { path = '/read/*/now', header = { X-Venue = 'lj' } }\n\
                 [[route]]\nname = 'reads'\ntimeout = '300ms'\nmatch = { class = 'read' }";
-    let (faults, rules) = check(text, &site(false));
+    let Checked { faults, rules } = check(text, &site(false));
     let rules = rules.unwrap_or_else(|| panic!("{faults:?}"));
     let find = |path: &str, class: u32, venue: Option<&'static str>| {
         let header = move |name: &str| venue.filter(|_| name == "x-venue");
-        let facts = Facts { path, method: "GET", class, tenant: 0, header: &header };
+        let facts = RequestAttributes { path, method: "GET", class, tenant: 0, header: &header };
         let rule = rules.find(&facts);
         (rule.name.clone(), rule.attempts, rule.line)
     };
@@ -258,11 +261,11 @@
 
 #[test]
 fn the_example_under_deploy_has_no_fault() {
-    assert_eq!(check_form(include_str!("../../../deploy/limits.example.toml")), []);
+    assert_eq!(check_without_settings(include_str!("../../../deploy/limits.example.toml")), []);
 }
 
 /// Why a rule is unsafe for a class, if it is. Computed independently of the code under test.
-fn unsafe_for(rule: &Rule, class: usize, site: &Site) -> Option<String> {
+fn unsafe_for(rule: &Rule, class: usize, site: &InstanceSettings) -> Option<String> {
     let settings = &site.settings.classes[class];
     let whole = rule.timeout.unwrap_or(settings.deadline);
     if whole > settings.deadline || rule.attempt_timeout.is_some_and(|a| a > whole) {
@@ -272,7 +275,7 @@
     if attempts > site.settings.limits.max_attempts {
         return Some("more attempts than allowed".into());
     }
-    if rule.second_copy.is_some() && (!site.settings.limits.hedging || settings.effect == Effect::Unsafe) {
+    if rule.hedge_delay.is_some() && (!site.settings.limits.hedging || settings.effect == Effect::Unsafe) {
         return Some("a hedged request of a class that must not run twice".into());
     }
     let narrows = rule.attempts.is_some() || rule.attempt_timeout.is_some() || rule.timeout.is_some();
@@ -324,12 +327,12 @@
     })
 }
 
-fn each_class(rules: &RuleSet, site: &Site) -> Vec<(usize, Rule)> {
+fn each_class(rules: &RuleSet, site: &InstanceSettings) -> Vec<(usize, Rule)> {
     let of = |class: usize| {
         let none = |_: &str| None;
         let path = format!("/{}", site.classes[class]);
         let method = if site.settings.classes[class].effect == Effect::Safe { "GET" } else { "POST" };
-        let facts = Facts { path: &path, method, class: class as u32, tenant: 0, header: &none };
+        let facts = RequestAttributes { path: &path, method, class: class as u32, tenant: 0, header: &none };
         (class, (**rules.find(&facts)).clone())
     };
     (0..site.classes.len()).map(of).collect()
@@ -341,7 +344,7 @@
     #[test]
     fn what_is_accepted_is_safe(text in file(), copies: bool) {
         let site = site(copies);
-        if let (_, Some(rules)) = check(&text, &site) {
+        if let Some(rules) = check(&text, &site).rules {
             for (class, rule) in each_class(&rules, &site) {
                 prop_assert_eq!(unsafe_for(&rule, class, &site), None, "{}", text);
             }
@@ -350,7 +353,7 @@
 
     #[test]
     fn no_text_breaks_the_reader(text in "[\\[\\]a-z_='\"{}0-9.,\\n ]{0,200}") {
-        let (faults, rules) = check(&text, &site(true));
+        let Checked { faults, rules } = check(&text, &site(true));
         prop_assert_eq!(rules.is_none(), faults.iter().any(|f| f.severity == Severity::Error));
     }
 }
@@ -360,11 +363,11 @@
     let site = site(true);
     let whole = |class: usize| site.settings.classes[class].deadline;
     let planted: [(usize, Rule); 5] = [
-        (0, Rule { timeout: Some(Span(whole(0).0 + 1)), ..Rule::open() }),
-        (0, Rule { attempts: Some(5), ..Rule::open() }),
-        (2, Rule { second_copy: Some(CopyAfter::Delay(Span(1))), ..Rule::open() }),
-        (1, Rule { attempts: Some(4), attempt_timeout: Some(Span(200_000)), ..Rule::open() }),
-        (1, Rule { attempts: Some(2), attempt_timeout: Some(Span(600_000)), ..Rule::open() }),
+        (0, Rule { timeout: Some(Span(whole(0).0 + 1)), ..Rule::unrestricted() }),
+        (0, Rule { attempts: Some(5), ..Rule::unrestricted() }),
+        (2, Rule { hedge_delay: Some(HedgeDelay::Fixed(Span(1))), ..Rule::unrestricted() }),
+        (1, Rule { attempts: Some(4), attempt_timeout: Some(Span(200_000)), ..Rule::unrestricted() }),
+        (1, Rule { attempts: Some(2), attempt_timeout: Some(Span(600_000)), ..Rule::unrestricted() }),
     ];
     for (class, rule) in planted {
         assert!(unsafe_for(&rule, class, &site).is_some(), "{rule:?}");
--- a/crates/limits/tests/gate.rs
+++ b/crates/limits/tests/gate.rs
@@ -1,12 +1,14 @@
 //! Retry budgets and limits on a simulated clock, and the choice among pools.
 
 use dunlincleat::api::Time;
-use dunlincleat_limits::file::Budget;
-use dunlincleat_limits::routes::PoolChoice;
-use dunlincleat_limits::{Gate, Rule};
+use dunlincleat_limits::{Gate, PoolChoice, PoolHealth, RetryBudget, Rule};
 
 fn rule(name: &str, part: f64, least_per_s: f64) -> Rule {
-    Rule { name: name.into(), retry_budget: Some(Budget { part, least_per_s }), ..Rule::open() }
+    Rule {
+        name: name.into(),
+        retry_budget: Some(RetryBudget { retries_per_attempt: part, min_retries_per_s: least_per_s }),
+        ..Rule::unrestricted()
+    }
 }
 
 /// Admits `tries` requests at one time, asks for `asked` retries, and returns how many of these the budget allows.
@@ -14,12 +16,12 @@
     let mut paid = 0;
     for n in 0..tries.max(asked) {
         let mut stand = if n < tries { gate.admit(Time(now), rule).unwrap() } else { Default::default() };
-        if n < asked && gate.repeat(Time(now), rule, &mut stand, 1) {
+        if n < asked && gate.allow_retry(Time(now), rule, &mut stand, 1) {
             paid += 1;
-            gate.goes_out(rule, &mut stand);
+            gate.mark_sent(rule, &mut stand);
         }
         if n < tries {
-            gate.over(rule, stand);
+            gate.release(rule, stand);
         }
     }
     paid
@@ -51,9 +53,13 @@
 #[test]
 fn a_pool_that_empties_in_a_deploy_falls_back_and_is_used_again() {
     let choice = |name: &str, least_healthy| PoolChoice { name: name.into(), least_healthy };
-    let rule = Rule { pools: vec![choice("near", 0.5), choice("far", 0.0)], ..Rule::open() };
+    let rule = Rule { pools: vec![choice("near", 0.5), choice("far", 0.0)], ..Rule::unrestricted() };
     let with = |near: (usize, usize), far: (usize, usize)| {
-        rule.pool(|name| if name == "near" { near } else { far }).unwrap_or_default().to_owned()
+        let health = |name: &str| {
+            let (servers, healthy) = if name == "near" { near } else { far };
+            PoolHealth { servers, healthy }
+        };
+        rule.choose_pool(health).unwrap_or_default().to_owned()
     };
     assert_eq!(with((4, 4), (4, 4)), "near");
     assert_eq!(with((4, 1), (4, 4)), "far");
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -109,12 +109,12 @@
     drain_grace: Option<u64>,
 }
 
-mod succession;
-pub use succession::{Succession, lacking};
+mod class_numbering;
+pub use class_numbering::{ClassNumbering, Transition, first_missing_key};
 
 /// The settings of one instance: those of the decision module, and what only its host needs.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct InstanceSettings {
     /// The settings of the decision module.
     pub settings: Settings,
     /// The names of the classes, indexed by class number.
@@ -142,7 +142,7 @@
 /// # Errors
 ///
 /// The text is not JSON, or a value is missing or invalid; the message names the key.
-pub fn read(text: &str) -> Result<Site> {
+pub fn read(text: &str) -> Result<InstanceSettings> {
     read_value(serde_json::from_str(text).context("settings")?)
 }
 
@@ -151,7 +151,7 @@
 /// # Errors
 ///
 /// A value is missing or invalid; the message names the key.
-pub fn read_value(value: serde_json::Value) -> Result<Site> {
+pub fn read_value(value: serde_json::Value) -> Result<InstanceSettings> {
     site(serde_path_to_error::deserialize(value).map_err(|error| anyhow!("settings: {error}"))?)
 }
 
@@ -185,10 +185,10 @@
     }
 }
 
-fn site(env: Env) -> Result<Site> {
+fn site(env: Env) -> Result<InstanceSettings> {
     prove(&env)?;
     let names = |names: &[EnvClass]| names.iter().map(|c| c.name.clone()).collect();
-    Ok(Site {
+    Ok(InstanceSettings {
         classes: names(&env.classes),
         tenants: env.tenants.iter().map(|t| t.name.clone()).collect(),
         zones: env.zones.clone(),
@@ -326,7 +326,7 @@
 }
 
 /// Hashes a name to a number that is the same in every instance (FNV-1a).
-pub fn common_name(name: &str) -> u64 {
+pub fn global_id(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
--- a/crates/sidecar/src/cli.rs
+++ b/crates/sidecar/src/cli.rs
@@ -5,9 +5,11 @@
 use anyhow::{Context, Result, anyhow};
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
-use dunlincleat_limits::file::{CopyAfter, written};
-use dunlincleat_limits::{Code, Facts, Fault, Rule, Severity, check, check_form};
-use dunlincleat_settings::Site;
+use dunlincleat_limits::{
+    Checked, Code, Fault, HedgeDelay, RequestAttributes, Rule, Severity, check, check_without_settings,
+    format_duration,
+};
+use dunlincleat_settings::InstanceSettings;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -154,7 +156,7 @@
     std::fs::read_to_string(file).with_context(|| file.display().to_string())
 }
 
-fn site_of(file: &Path) -> Result<Site> {
+fn site_of(file: &Path) -> Result<InstanceSettings> {
     settings_of(&text_of(file)?).with_context(|| file.display().to_string())
 }
 
@@ -166,8 +168,8 @@
 fn checked(file: &Path, settings: Option<&Path>, format: Format) -> Result<ExitCode> {
     let text = text_of(file)?;
     let faults: Vec<Fault> = match settings {
-        Some(settings) => check(&text, &site_of(settings)?).0,
-        None => check_form(&text),
+        Some(settings) => check(&text, &site_of(settings)?).faults,
+        None => check_without_settings(&text),
     };
     let errors = faults.iter().filter(|fault| fault.severity == Severity::Error).count();
     match format {
@@ -196,7 +198,7 @@
 
 fn route(file: &Path, settings: &Path, ask: &RouteAsk, format: Format) -> Result<ExitCode> {
     let (text, site) = (text_of(file)?, site_of(settings)?);
-    let (faults, rules) = check(&text, &site);
+    let Checked { faults, rules } = check(&text, &site);
     let Some(rules) = rules else {
         faults.iter().for_each(|fault| eprintln!("{}:{fault}", file.display()));
         return Ok(ExitCode::from(1));
@@ -220,25 +222,32 @@
     let path = ask.path.clone().unwrap_or_else(|| format!("/{}", ask.class));
     let safe = site.settings.classes[class].effect == dunlincleat::api::Effect::Safe;
     let method = ask.method.as_deref().unwrap_or(if safe { "GET" } else { "POST" });
-    let facts = Facts { path: &path, method, class: class as u32, tenant: tenant as u32, header: &header };
+    let facts = RequestAttributes {
+        path: &path,
+        method,
+        class: class as u32,
+        tenant: tenant as u32,
+        header: &header,
+    };
     shown(rules.find(&facts), format);
     Ok(ExitCode::SUCCESS)
 }
 
 fn shown(rule: &Rule, format: Format) {
-    let copy = rule.second_copy.as_ref().map(|copy| match copy {
-        CopyAfter::Delay(after) => written(*after),
-        CopyAfter::Quantile(quantile) => format!("quantile {quantile}"),
+    let copy = rule.hedge_delay.as_ref().map(|copy| match copy {
+        HedgeDelay::Fixed(after) => format_duration(*after),
+        HedgeDelay::Quantile(quantile) => format!("quantile {quantile}"),
+    });
+    let budget = rule.retry_budget.map(|b| {
+        format!("{} of first tries, {} a second at least", b.retries_per_attempt, b.min_retries_per_s)
     });
-    let budget =
-        rule.retry_budget.map(|b| format!("{} of first tries, {} a second at least", b.part, b.least_per_s));
     let pools: Vec<&str> = rule.pools.iter().map(|pool| pool.name.as_str()).collect();
     let pool = (!pools.is_empty()).then(|| pools.join(", then "));
     let number = |n: Option<u32>| n.map(|n| n.to_string());
     let keys = [
-        ("attempt_timeout", rule.attempt_timeout.map(written)),
-        ("timeout", rule.timeout.map(written)),
-        ("connect_timeout", rule.connect_timeout.map(written)),
+        ("attempt_timeout", rule.attempt_timeout.map(format_duration)),
+        ("timeout", rule.timeout.map(format_duration)),
+        ("connect_timeout", rule.connect_timeout.map(format_duration)),
         ("attempts", number(rule.attempts)),
         ("second_copy", copy),
         ("retry_budget", budget),
@@ -247,7 +256,7 @@
         ("priority", number(rule.priority)),
         ("pool", pool),
     ];
-    let line = |key: &str| rule.said.iter().find(|(said, _)| *said == key).map(|(_, line)| *line);
+    let line = |key: &str| rule.key_lines.iter().find(|set| set.key == key).map(|set| set.line);
     match format {
         Format::Json => {
             let set = keys.iter().filter_map(|(key, value)| {
@@ -331,7 +340,7 @@
         return Ok(ExitCode::SUCCESS);
     };
     let code =
-        Code::named(name).ok_or_else(|| anyhow!("no code '{name}'; 'dunlincleat explain' lists all"))?;
+        Code::from_name(name).ok_or_else(|| anyhow!("no code '{name}'; 'dunlincleat explain' lists all"))?;
     say(&format!("{code}: {}\n\n{}", code.title(), code.explain()));
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -8,7 +8,7 @@
 use dunlincleat::api::{Settings, Span};
 use dunlincleat_directory::{Figures, Interest, Listing};
 use dunlincleat_http::own::Own;
-use dunlincleat_settings::{Site, lacking};
+use dunlincleat_settings::{InstanceSettings, first_missing_key};
 use serde::Deserialize;
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
     /// The list of servers as last held.
     pub known: Listing,
     /// The settings object.
-    pub site: Arc<Site>,
+    pub site: Arc<InstanceSettings>,
     /// The figures that the deployment does not tell, from the object `sidecar`, each with a default.
     pub own: Rc<Own>,
     /// The least level of log lines.
@@ -93,7 +93,7 @@
         let kept = old.iter().filter(|(key, _)| !OPTIONAL.contains(&key.as_str()));
         kept.into_iter().find_map(|(key, was)| match new.get(key) {
             None | Some(Value::Null) if !was.is_null() => Some(key.clone()),
-            Some(is) if key == "settings" => lacking(was, is).map(|rest| format!("{key}.{rest}")),
+            Some(is) if key == "settings" => first_missing_key(was, is).map(|rest| format!("{key}.{rest}")),
             Some(_) | None => None,
         })
     }
@@ -105,7 +105,7 @@
     }
 
     /// What a reload took up is in force.
-    pub fn took(&mut self, new: Config, site: Arc<Site>) {
+    pub fn took(&mut self, new: Config, site: Arc<InstanceSettings>) {
         let fixed = std::mem::take(&mut self.fixed);
         let (listen, console, own, name) = (self.listen, self.console, self.own.clone(), self.name.clone());
         // A request in hand may have been taken under a longer deadline: at SIGTERM it has its time all the same.
@@ -280,7 +280,7 @@
         own: &Map<String, Value>,
         limits: &Limits,
         lowered: Option<(usize, usize)>,
-        site: &Site,
+        site: &InstanceSettings,
         console: usize,
     ) -> Result<Told> {
         let kept = DESCRIPTORS_KEPT + console;
@@ -393,7 +393,7 @@
 /// # Errors
 ///
 /// The text is no JSON, or the settings in it are at fault; names the key.
-pub fn settings_of(text: &str) -> Result<Site> {
+pub fn settings_of(text: &str) -> Result<InstanceSettings> {
     let mut value: Value = serde_json::from_str(text).context("not JSON")?;
     let settings = value.as_object_mut().and_then(|object| object.remove("settings"));
     dunlincleat_settings::read_value(settings.unwrap_or(value))
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -20,8 +20,8 @@
 use dunlincleat_http::list::{self, List};
 use dunlincleat_http::own::Own;
 use dunlincleat_http::peer::Peers;
-use dunlincleat_limits::{Fleet, RuleSet, Severity};
-use dunlincleat_settings::{Site, Succession};
+use dunlincleat_limits::{Checked, Fleet, RuleSet, Severity};
+use dunlincleat_settings::{ClassNumbering, InstanceSettings};
 use dunlincleat_status::desk::{Desk, Order};
 use dunlincleat_status::lifecycle::{Event, Machine, Times};
 use dunlincleat_status::{Lifecycle, Metrics};
@@ -118,7 +118,7 @@
         .map(|fleet| stand_for(fleet, &config.name, engine.clone(), followed.clone(), &desk))
         .transpose()?;
     let told = front::Told { in_force: followed, own: own.clone(), metrics: metrics.clone() };
-    let succession = Succession::default();
+    let succession = ClassNumbering::default();
     let (list, handle) = (caller, engine.clone());
     let mut reloads = Reload { named, succession, engine: handle, list, in_force, metrics, clock };
     let mut front = actix_rt::spawn(front::serve(listener, told, engine, lifecycle.clone()));
@@ -208,7 +208,7 @@
 struct Reload {
     /// The operator's file that the command line names, before all else.
     named: Option<PathBuf>,
-    succession: Succession,
+    succession: ClassNumbering,
     engine: dunlincleat_http::Handle,
     list: list::Caller,
     in_force: watch::Sender<Rc<InForce>>,
@@ -234,17 +234,18 @@
             bail!("EDGE_CONFIG: {key} is missing; the file in force has it, and a start alone does without");
         }
         // All is proved before any of it counts.
-        let mut told = Site::clone(&new.site);
+        let mut told = InstanceSettings::clone(&new.site);
         told.settings.limits.peer_messages = false;
         let mut succession = self.succession.clone();
-        let (site, fixed) = succession.follow(self.clock.now(), &config.site, told);
-        let site = Arc::new(site);
+        let next = succession.apply(self.clock.now(), &config.site, told);
+        let site = Arc::new(next.instance);
         let path = self.named.clone().or_else(|| new.limits_file.clone());
         let rules = path.map(|path| read_limits(&path, &site)).transpose()?.map(Arc::new);
         let held = self.in_force.borrow().rules.as_ref().and_then(|rules| rules.fleet().cloned());
         let told_fleet = rules.as_ref().and_then(|rules| rules.fleet().cloned());
         let other_fleet = (held != told_fleet).then_some("fleet");
-        let later: Vec<&str> = config.differs(&new).into_iter().chain(fixed).chain(other_fleet).collect();
+        let later: Vec<&str> =
+            config.differs(&new).into_iter().chain(next.restart_only).chain(other_fleet).collect();
 
         self.succession = succession;
         logger::set_level(new.log);
@@ -263,7 +264,7 @@
             // No file is named any more: nothing is narrowed.
             None if had => {
                 tracing::info!("SIGHUP: no limits any more");
-                Some(Arc::new(RuleSet::open()))
+                Some(Arc::new(RuleSet::unrestricted()))
             }
             rules => rules,
         };
@@ -277,7 +278,7 @@
 }
 
 /// Settings that are only watched, with their classes under the numbers of those in force.
-fn beside(mut watched: Settings, told: &Site, site: &Site) -> Settings {
+fn beside(mut watched: Settings, told: &InstanceSettings, site: &InstanceSettings) -> Settings {
     let own = std::mem::replace(&mut watched.classes, site.settings.classes.clone());
     for (name, class) in told.classes.iter().zip(own) {
         if let Some(n) = site.classes.iter().position(|held| held == name) {
@@ -288,9 +289,9 @@
 }
 
 /// Reads the operator's file and proves it against the settings; a file at fault changes nothing.
-fn read_limits(path: &Path, site: &Site) -> Result<RuleSet> {
+fn read_limits(path: &Path, site: &InstanceSettings) -> Result<RuleSet> {
     let text = std::fs::read_to_string(path).with_context(|| format!("limits '{}'", path.display()))?;
-    let (faults, read) = dunlincleat_limits::check(&text, site);
+    let Checked { faults, rules: read } = dunlincleat_limits::check(&text, site);
     let (errors, warnings): (Vec<_>, Vec<_>) =
         faults.iter().partition(|fault| fault.severity == Severity::Error);
     for warning in warnings {
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -178,7 +178,7 @@
             "INBOUND" => {
                 let id = RequestId(parts.value("xid")?);
                 let left = parts.span("patience_left")?;
-                let key = parts.maybe::<String>("object")?.map(|key| dunlincleat_settings::common_name(&key));
+                let key = parts.maybe::<String>("object")?.map(|key| dunlincleat_settings::global_id(&key));
                 let hint = parts.maybe::<u64>("work")?.map(Span);
                 let class: u32 = parts.value("lane")?;
                 let bits = parts.maybe::<u64>("attrs")?.unwrap_or(0);
@@ -265,7 +265,7 @@
             "DELETED" => State::Removed,
             other => bail!("unknown mode '{}'", shortened(other)),
         },
-        global_id: dunlincleat_settings::common_name(&endpoint),
+        global_id: dunlincleat_settings::global_id(&endpoint),
     };
     Ok(Entry { endpoint, member })
 }
