--- a/crates/limits/tests/files.rs
+++ b/crates/limits/tests/files.rs
@@ -1,13 +1,15 @@
-//! Bad files, each refused with its code at its place, and an oracle of its own for what is accepted.
+//! Invalid files are rejected with the right code at the right line, and accepted files are checked by an independent
+//! oracle.
 
 use dunlincleat::api::{Effect, Span};
-use dunlincleat_limits::file::CopyAfter;
-use dunlincleat_limits::{Code, Facts, Rule, RuleSet, Severity, check, check_form};
-use dunlincleat_settings::{Site, read};
+use dunlincleat_limits::{
+    Checked, Code, HedgeDelay, RequestAttributes, Rule, RuleSet, Severity, check, check_without_settings,
+};
+use dunlincleat_settings::{InstanceSettings, read};
 use proptest::prelude::*;
 
-/// Classes of each kind; the key of `pay` is kept for 500 ms, its client waits for 900.
-fn site(second_copies: bool) -> Site {
+/// Settings with one class of each kind. Servers keep the keys of `pay` for 500 ms, and its clients wait for 900 ms.
+fn site(second_copies: bool) -> InstanceSettings {
     read(&format!(
         r#"{{"zones":["a","b"],"tenants":[{{"name":"trojka"}},{{"name":"dama"}}],
         "limits":{{"try_limit":4,"parallel_tries":{second_copies},"max_open":100}},
@@ -20,7 +22,7 @@
     .unwrap()
 }
 
-/// Each file with the code and the line that it is refused with.
+/// Invalid files, each with the code and the line of the expected error.
 const BAD: &[(Code, usize, &str)] = &[
     (Code::DutyAlone, 2, "[[duty]]\nname = 'd'"),
     (
@@ -168,7 +170,7 @@
         3,
         "[[route]]\nname = 'x'\nsecond_copy = { after = '50ms' }\nmatch = { class = 'move' }",
     ),
-    // Legal for the defaults' own sake, unsafe where a class inherits it.
+    // Legal in the defaults, unsafe for a class that inherits it.
     (
         Code::CopyUnsafe,
         2,
@@ -189,7 +191,7 @@
         5,
         "[[route]]\nname = 'x'\ntimeout = '90ms'\n[defaults]\nconnect_timeout = '100ms'",
     ),
-    // Three attempts of 200 ms and two waits: the last may be sent after 418 ms; four, after 627.
+    // With attempts of 200 ms and waits of 9 ms, the third attempt may be sent after 418 ms and the fourth after 627 ms.
     (
         Code::KeyForgotten,
         3,
@@ -207,10 +209,10 @@
     assert!(BAD.len() >= 60);
     for (code, line, text) in BAD {
         let copies = !matches!(code, Code::CopyNotAllowed);
-        let (faults, rules) = check(text, &site(copies));
+        let Checked { faults, rules } = check(text, &site(copies));
         assert!(rules.is_none(), "accepted: {text}");
         let found = faults.iter().any(|f| (f.code, f.line, f.severity) == (*code, *line, Severity::Error));
-        assert!(found, "{code} at line {line} is not told of:\n{text}\n{faults:#?}");
+        assert!(found, "{code} at line {line} is not reported:\n{text}\n{faults:#?}");
         assert!(faults.iter().all(|f| f.column > 0 && !f.key.is_empty() && !f.reason.is_empty()));
     }
 }
@@ -219,21 +221,23 @@
 fn all_faults_of_a_file_are_told_and_warnings_refuse_none() {
     let text =
         "[defaults]\nattempts = 9\ntimeout = 'x'\n[[route]]\nname = 'y'\nmatch = { class = 'z' }\nbogus = 1";
-    let codes: Vec<Code> = check(text, &site(false)).0.iter().map(|f| f.code).collect();
+    let codes: Vec<Code> = check(text, &site(false)).faults.iter().map(|f| f.code).collect();
     assert_eq!(
         codes,
         [Code::Attempts, Code::KeyForgotten, Code::BadDuration, Code::UnknownClass, Code::UnknownKey]
     );
     let text = "[defaults]\nattempts = 1\nretry_budget = { part = 0.1 }\nmax_in_hand = 500\nmax_waiting = 600\n\
                 [[pool]]\nname = 'p'\nleast_healthy = 0.5";
-    let (faults, rules) = check(text, &site(false));
+    let Checked { faults, rules } = check(text, &site(false));
     let codes: Vec<Code> = faults.iter().map(|f| f.code).collect();
     let wanted = [Code::BudgetUnused, Code::OverInstance, Code::WaitingOverHand, Code::HealthyUnused];
     assert_eq!(codes, wanted);
     assert!(rules.is_some());
-    // Without settings only the form can be proved.
-    assert_eq!(check_form(text), [faults[3].clone()]);
-    assert!(check("", &site(false)).1.is_some_and(|rules| **rules.default_rule() == Rule::open()));
+    // Without settings, only faults that need none are reported.
+    assert_eq!(check_without_settings(text), [faults[3].clone()]);
+    assert!(
+        check("", &site(false)).rules.is_some_and(|rules| **rules.default_rule() == Rule::unrestricted())
+    );
 }
 
 #[test]
@@ -241,11 +245,11 @@
     let text = "[defaults]\nattempts = 1\n[[route]]\nname = 'venue'\nattempts = 2\n\
                 match = { path = '/read/*/now', header = { X-Venue = 'lj' } }\n\
                 [[route]]\nname = 'reads'\ntimeout = '300ms'\nmatch = { class = 'read' }";
-    let (faults, rules) = check(text, &site(false));
+    let Checked { faults, rules } = check(text, &site(false));
     let rules = rules.unwrap_or_else(|| panic!("{faults:?}"));
     let find = |path: &str, class: u32, venue: Option<&'static str>| {
         let header = move |name: &str| venue.filter(|_| name == "x-venue");
-        let facts = Facts { path, method: "GET", class, tenant: 0, header: &header };
+        let facts = RequestAttributes { path, method: "GET", class, tenant: 0, header: &header };
         let rule = rules.find(&facts);
         (rule.name.clone(), rule.attempts, rule.line)
     };
@@ -257,31 +261,31 @@
 
 #[test]
 fn the_example_under_deploy_has_no_fault() {
-    assert_eq!(check_form(include_str!("../../../deploy/limits.example.toml")), []);
+    assert_eq!(check_without_settings(include_str!("../../../deploy/limits.example.toml")), []);
 }
 
-/// What an accepted rule must keep to for a class, worked out apart from the checker.
-fn unsafe_for(rule: &Rule, class: usize, site: &Site) -> Option<String> {
+/// Why a rule is unsafe for a class, if it is. Computed independently of the code under test.
+fn unsafe_for(rule: &Rule, class: usize, site: &InstanceSettings) -> Option<String> {
     let settings = &site.settings.classes[class];
     let whole = rule.timeout.unwrap_or(settings.deadline);
     if whole > settings.deadline || rule.attempt_timeout.is_some_and(|a| a > whole) {
-        return Some(format!("{rule:?} outlives the client of {}", site.classes[class]));
+        return Some(format!("{rule:?} exceeds the deadline of {}", site.classes[class]));
     }
     let attempts = rule.attempts.unwrap_or(site.settings.limits.max_attempts);
     if attempts > site.settings.limits.max_attempts {
         return Some("more attempts than allowed".into());
     }
-    if rule.second_copy.is_some() && (!site.settings.limits.hedging || settings.effect == Effect::Unsafe) {
-        return Some("a second copy of what must not run twice".into());
+    if rule.hedge_delay.is_some() && (!site.settings.limits.hedging || settings.effect == Effect::Unsafe) {
+        return Some("a hedged request of a class that must not run twice".into());
     }
     let narrows = rule.attempts.is_some() || rule.attempt_timeout.is_some() || rule.timeout.is_some();
     if let (Effect::Keyed { window, .. }, true) = (settings.effect, narrows) {
-        // Send by send, each attempt and hold at a part of its longest, until the whole time is over.
+        // Simulates the sends of all attempts, with each attempt and wait at a part of its longest, until the timeout.
         let longest = rule.attempt_timeout.unwrap_or(whole).0 + settings.aim.0 * 3 / 100;
         for part in 1..=50 {
             let sends = (1..u64::from(attempts)).map(|n| n * longest * part / 50).filter(|at| *at < whole.0);
             if sends.max().is_some_and(|last| last >= window.0) {
-                return Some(format!("{rule:?}: the key is forgotten"));
+                return Some(format!("{rule:?}: a retry is sent after the key is forgotten"));
             }
         }
     }
@@ -306,7 +310,7 @@
     let knobs = || proptest::collection::vec(knob(), 0..4);
     let route = (class, knobs()).prop_map(|(class, knobs)| (class.to_owned(), knobs));
     (knobs(), proptest::collection::vec(route, 0..4)).prop_map(|(defaults, routes)| {
-        // A key twice is no TOML: the last of each stays.
+        // TOML forbids duplicate keys: only the last of each is kept.
         let text = |knobs: &[String]| {
             let key = |knob: &str| knob.split(' ').next().unwrap_or_default().to_owned();
             let last =
@@ -323,12 +327,12 @@
     })
 }
 
-fn each_class(rules: &RuleSet, site: &Site) -> Vec<(usize, Rule)> {
+fn each_class(rules: &RuleSet, site: &InstanceSettings) -> Vec<(usize, Rule)> {
     let of = |class: usize| {
         let none = |_: &str| None;
         let path = format!("/{}", site.classes[class]);
         let method = if site.settings.classes[class].effect == Effect::Safe { "GET" } else { "POST" };
-        let facts = Facts { path: &path, method, class: class as u32, tenant: 0, header: &none };
+        let facts = RequestAttributes { path: &path, method, class: class as u32, tenant: 0, header: &none };
         (class, (**rules.find(&facts)).clone())
     };
     (0..site.classes.len()).map(of).collect()
@@ -340,7 +344,7 @@
     #[test]
     fn what_is_accepted_is_safe(text in file(), copies: bool) {
         let site = site(copies);
-        if let (_, Some(rules)) = check(&text, &site) {
+        if let Some(rules) = check(&text, &site).rules {
             for (class, rule) in each_class(&rules, &site) {
                 prop_assert_eq!(unsafe_for(&rule, class, &site), None, "{}", text);
             }
@@ -349,7 +353,7 @@
 
     #[test]
     fn no_text_breaks_the_reader(text in "[\\[\\]a-z_='\"{}0-9.,\\n ]{0,200}") {
-        let (faults, rules) = check(&text, &site(true));
+        let Checked { faults, rules } = check(&text, &site(true));
         prop_assert_eq!(rules.is_none(), faults.iter().any(|f| f.severity == Severity::Error));
     }
 }
@@ -359,11 +363,11 @@
     let site = site(true);
     let whole = |class: usize| site.settings.classes[class].deadline;
     let planted: [(usize, Rule); 5] = [
-        (0, Rule { timeout: Some(Span(whole(0).0 + 1)), ..Rule::open() }),
-        (0, Rule { attempts: Some(5), ..Rule::open() }),
-        (2, Rule { second_copy: Some(CopyAfter::Delay(Span(1))), ..Rule::open() }),
-        (1, Rule { attempts: Some(4), attempt_timeout: Some(Span(200_000)), ..Rule::open() }),
-        (1, Rule { attempts: Some(2), attempt_timeout: Some(Span(600_000)), ..Rule::open() }),
+        (0, Rule { timeout: Some(Span(whole(0).0 + 1)), ..Rule::unrestricted() }),
+        (0, Rule { attempts: Some(5), ..Rule::unrestricted() }),
+        (2, Rule { hedge_delay: Some(HedgeDelay::Fixed(Span(1))), ..Rule::unrestricted() }),
+        (1, Rule { attempts: Some(4), attempt_timeout: Some(Span(200_000)), ..Rule::unrestricted() }),
+        (1, Rule { attempts: Some(2), attempt_timeout: Some(Span(600_000)), ..Rule::unrestricted() }),
     ];
     for (class, rule) in planted {
         assert!(unsafe_for(&rule, class, &site).is_some(), "{rule:?}");
