--- a/crates/engine/benches/path.rs
+++ b/crates/engine/benches/path.rs
@@ -1,8 +1,9 @@
-//! One request's way through the engine and the decision module: taken, drawn, sent, answered. By servers, with and
-//! without a file of limits; the window's step is in it, at a request a millisecond. Then the two apart, by servers up to
-//! the plan's.
+//! Benchmarks of the request path through the engine and the decision module: a request is received, drawn to a
+//! server, sent and answered. The first group runs one request per millisecond by number of servers, with and without
+//! a limits file, and includes the window steps. The second group measures decisions and window steps separately, up
+//! to the number of servers of the capacity plan.
 
-// The macro below makes a public function without a page.
+// `criterion_group!` generates a public function without documentation.
 #![allow(missing_docs)]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -60,7 +61,7 @@
         Path { engine, rule, now, id: 0, out }
     }
 
-    /// One request with the timers that are due before it, a millisecond after the one before.
+    /// Runs one request, one millisecond after the previous one, and first the timers that have expired by then.
     fn request(&mut self) {
         self.now += 1000;
         self.out.clear();
@@ -68,7 +69,7 @@
         self.decide();
     }
 
-    /// The next step of a window.
+    /// Runs the next window step.
     fn step(&mut self) {
         self.out.clear();
         self.now = self.now.max(self.engine.due().map_or(0, |due| due.0));
@@ -76,7 +77,7 @@
         black_box(&self.out);
     }
 
-    /// One request, answered after 5 ms of its own clock.
+    /// Runs one request, answered with a latency of 5 ms.
     fn decide(&mut self) {
         self.id += 1;
         let (now, id) = (Time(self.now), RequestId(self.id));
@@ -113,12 +114,12 @@
     group.finish();
 }
 
-/// Requests between two steps, and the microseconds between them: within the patience of a request, which else has the
-/// window closed before its time.
+/// Requests between two window steps, and the microseconds between these requests. Their product stays below the time
+/// after which a request would close the window early.
 const BURST: u64 = 25;
 const APART: u64 = 200;
 
-/// A decision and a step of a window, each without the other.
+/// Measures decisions and window steps, each without the other.
 fn apart(c: &mut Criterion) {
     let mut group = c.benchmark_group("apart");
     for servers in [6, 60, 200, 3100] {
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,11 +1,11 @@
-//! The clock of the shells: microseconds that never go back, counted on from
-//! the Unix time at the start, so that the start of a server in a list can be set against it.
+//! Monotonic clock of the I/O adapters. It counts microseconds from the Unix time at process start, so that the boot
+//! times of servers in a list can be compared with it.
 
 use dunlincleat::api::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The clock.
+/// Monotonic clock with a Unix time base.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -13,24 +13,24 @@
 }
 
 impl Clock {
-    /// Begins to count.
+    /// Starts a clock at the current Unix time.
     #[must_use]
     pub fn begin() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix: unix.as_micros() as u64 }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.time(Instant::now())
     }
 
-    /// The time at an instant.
+    /// Converts a tokio instant to the time of this clock.
     pub fn time(&self, at: Instant) -> Time {
         Time(self.unix + at.saturating_duration_since(self.start).as_micros() as u64)
     }
 
-    /// The instant of a time.
+    /// Converts a time of this clock to a tokio instant.
     pub fn instant(&self, time: Time) -> Instant {
         self.start + Duration::from_micros(time.0.saturating_sub(self.unix))
     }
--- a/crates/engine/src/core.rs
+++ b/crates/engine/src/core.rs
@@ -1,9 +1,9 @@
-//! Stage: between the fronts and the transports. Owns the table of requests, the module's timers and clock, and the
-//! one final answer of each request: an entry is answered once, by [`Engine::settle`], and given back by
-//! [`Engine::forget`] when no attempt of it is out.
+//! State machine between the fronts and the transports. It owns the table of requests, the timers of the decision
+//! modules and the final answer of each request: a request is answered once, by [`Engine::settle`], and removed from
+//! the table by [`Engine::forget`] when no attempt of it is in flight.
 //!
-//! It decides nothing: which server, whether again and what is turned away is the decision module's word, within what the
-//! operator's limits allow. Each pool of servers has a decision module of its own; without a file there is one.
+//! It makes no decisions of its own: the decision module chooses servers, retries and refusals, within what the
+//! operator's limits allow. Each pool of servers has its own decision module; without a limits file there is one pool.
 
 use crate::places::Places;
 use crate::pools::{Pools, SlotId};
@@ -21,257 +21,258 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a front knows of a request beside its payload.
+/// What a front knows of a request besides its payload.
 #[derive(Clone, Debug, Default)]
 pub struct Ask {
-    /// The number of its class.
+    /// Index of its class.
     pub class: u32,
-    /// The number of its tenant; that after the last where none was named that is known.
+    /// Index of its tenant; one past the last if the request names no known tenant.
     pub tenant: u32,
-    /// How long the client waits, from when it sent it.
+    /// How long the client waits for the answer, from when it sent the request.
     pub wait: Span,
-    /// A guess at the work.
+    /// Estimated work, if known.
     pub hint: Option<Span>,
-    /// What it is about, where that is told.
+    /// Key of the data that it is about, if given.
     pub key: Option<u64>,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry.
     pub repeat: bool,
-    /// The rule that it is taken under, to its end; none where no file was read.
+    /// Rule that the request is admitted under and keeps to its end; none without a limits file.
     pub rule: Option<Arc<Rule>>,
 }
 
-/// How an attempt or a probe ended.
+/// Result of an attempt or a probe.
 #[derive(Clone, Debug)]
 pub struct Ended<B> {
-    /// How.
+    /// How it ended.
     pub status: Status,
-    /// Time since it was taken up.
+    /// Time since it was started.
     pub latency: Span,
-    /// The load report, in the order of the settings' fields; empty where none came.
+    /// Load report, in the order of the settings' fields; empty if none was received.
     pub load: Vec<f64>,
-    /// The answer, where it was served.
+    /// Response body, if it was served.
     pub body: Option<B>,
 }
 
 impl<B> Ended<B> {
-    /// One that brought no answer.
+    /// A result without a response.
     #[must_use]
     pub fn unsent(status: Status) -> Ended<B> {
         Ended { status, latency: Span(0), load: Vec::new(), body: None }
     }
 }
 
-/// The final answer to a request.
+/// Final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer<B> {
-    /// A server's answer.
+    /// The response of a server.
     Served(B),
-    /// Trying again does no harm.
+    /// Refused; a retry does no harm.
     Refused {
-        /// How long to stay away.
+        /// How long the client should wait before it retries.
         retry_after: Option<Span>,
     },
-    /// Nothing promised.
+    /// Failed; the request may or may not have run.
     Failed,
 }
 
-/// What the engine is told.
+/// Inputs of the engine.
 #[derive(Clone, Debug)]
 pub enum Input<P, B> {
-    /// A request came; it is owed one answer. Its id is new.
+    /// A new request, under a new id. It must be answered once.
     Request {
-        /// Which.
+        /// Id of the request.
         id: RequestId,
-        /// What is known of it.
+        /// What the front knows of it.
         ask: Ask,
-        /// When its last byte came.
+        /// When its last byte was received.
         received: Time,
         /// What the transport sends.
         payload: P,
     },
-    /// Its client left: nothing is owed any more.
+    /// The client of a request left; no answer is needed any more.
     Gone(RequestId),
-    /// An attempt ended; each that was put out ends once.
+    /// An attempt ended. Each attempt that was started ends exactly once.
     Ended {
-        /// Of which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// Where.
+        /// Server that it was sent to.
         server: ServerId,
-        /// How.
+        /// Its result.
         ended: Ended<B>,
     },
-    /// An attempt's answer began and is passed on as it comes: it is the final one. The attempt ends later, once.
+    /// The response to an attempt has started and is streamed to the client as it arrives, so it is the final answer.
+    /// The attempt itself ends later, once.
     Began {
-        /// Of which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// Where.
+        /// Server that it was sent to.
         server: ServerId,
-        /// What is known of it, with the answer.
+        /// The result so far, with the response.
         ended: Ended<B>,
     },
-    /// The body of an attempt still comes, or comes no more.
+    /// The upload of a request body to an attempt is still in progress, or has finished.
     Uploads {
-        /// Of which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Where.
+        /// Server that it was sent to.
         server: ServerId,
-        /// It comes no more.
+        /// Whether the upload has finished.
         over: bool,
     },
-    /// A probe ended; each that was put out ends once.
+    /// A probe ended. Each probe that was started ends exactly once.
     Probed {
-        /// Of which server.
+        /// Server that was probed.
         server: ServerId,
-        /// Who asked, as the probe said.
+        /// Pool that the probe was sent for, as in [`Output::Probe`].
         asked: SlotId,
-        /// How.
+        /// Its result.
         ended: Ended<B>,
     },
     /// The list of servers, or changes to it.
     Listed(Delivery),
-    /// A call of discovery failed, or the watch ended, where lists come on request.
+    /// A discovery call failed or the watch ended, where lists are delivered on request.
     ListFailed,
-    /// Other settings; requests in hand keep their class and number of attempts.
+    /// New settings. Open requests keep their class and number of attempts.
     Settings {
-        /// Those to decide by.
+        /// Settings of the decision modules.
         site: Arc<Site>,
-        /// Those of the module that only watches, where there is one.
+        /// Settings of the shadow module, if there is one.
         watched: Option<Settings>,
     },
-    /// New limits; requests in hand keep those that they were taken under.
+    /// New limits. Open requests keep the rule that they were admitted under.
     Rules(Arc<RuleSet>),
 }
 
-/// What the engine wants done, in order.
+/// Outputs of the engine, to be carried out in order.
 #[derive(Clone, Debug)]
 pub enum Output<P, B> {
-    /// The final answer of a request.
+    /// Deliver the final answer of a request.
     Answer {
-        /// Which.
+        /// Id of the request.
         id: RequestId,
         /// The answer.
         answer: Answer<B>,
     },
     /// Start an attempt.
     Attempt {
-        /// Of which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// Where to.
+        /// Server to send it to.
         server: ServerId,
         /// What to send.
         payload: P,
-        /// When to stop waiting.
+        /// When to stop waiting for a response.
         until: Time,
-        /// How long a connection for it may take, where that is narrowed.
+        /// Limit on the time to connect, if it is tighter than that of the settings.
         connect: Option<Span>,
     },
-    /// Stop waiting for an attempt; it ends all the same.
+    /// Cancel an attempt. Its end must still be reported.
     Cancel {
-        /// Of which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// Where it is.
+        /// Server that it was sent to.
         server: ServerId,
     },
-    /// Nobody waits for an attempt any more: what is not written whole of it is taken back, the rest goes on. It ends
-    /// all the same.
+    /// Nothing waits for an attempt any more: cancel it unless it has been written completely, in which case it
+    /// continues. Its end must still be reported.
     Withdraw {
-        /// Of which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// Where it is.
+        /// Server that it was sent to.
         server: ServerId,
     },
-    /// Ask a server how it is.
+    /// Send a probe to a server.
     Probe {
-        /// Which.
+        /// Server to probe.
         server: ServerId,
-        /// Who asks; handed back with its end.
+        /// Pool that the probe is sent for; returned with the result.
         asked: SlotId,
     },
     /// Open a transport to a server.
     Open {
-        /// Its number.
+        /// Id of the server.
         server: ServerId,
-        /// Where it is reached.
+        /// Address of the server.
         at: SocketAddr,
         /// When it last started, in milliseconds of Unix time; 0 for long ago.
         boot_ms: u64,
     },
-    /// The list told of a server whose transport is open.
+    /// Update a server whose transport is open, as listed.
     Listed {
-        /// Its number.
+        /// Id of the server.
         server: ServerId,
-        /// Where it is reached; nothing where the list lacks it.
+        /// Address and boot time; none if the list has no address.
         at: Option<(SocketAddr, u64)>,
         /// Whether it takes new work.
         state: State,
     },
-    /// Close a transport: nothing is out there, and its number may be another server's from here on.
+    /// Close a transport. Nothing is in flight to the server, and its id may be assigned to another server afterwards.
     Close {
-        /// Its number.
+        /// Id of the server.
         server: ServerId,
     },
-    /// Open a watch of the list, where lists come on request.
+    /// Open a watch of the server list, where lists are delivered on request.
     Watch,
-    /// A line for the people on call.
+    /// Write a log line for operators.
     Say {
-        /// The server that it is about.
+        /// Server that the line is about, if any.
         server: Option<ServerId>,
         /// The line.
         text: String,
     },
 }
 
-/// What happened since it was last asked for.
+/// Event counts since they were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Requests taken.
+    /// Requests received.
     pub taken: u64,
-    /// Answered by a server.
+    /// Requests answered by a server.
     pub served: u64,
-    /// Refused.
+    /// Requests refused.
     pub refused: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Of the refused, those that a limit of their route turned away.
+    /// Refused requests that exceeded a limit of their route.
     pub limited: u64,
-    /// Whose client left first.
+    /// Requests whose client left before the answer.
     pub gone: u64,
-    /// Attempts put out.
+    /// Attempts started.
     pub attempts: u64,
 }
 
-/// A request that is owed an answer, or whose attempts are not all over.
+/// A request that has not been answered yet or has attempts in flight.
 #[derive(Clone, Debug)]
 struct Entry<P> {
     payload: P,
     wait: Span,
     slot: SlotId,
     rule: Option<Arc<Rule>>,
-    /// Attempts that it may have.
+    /// Maximum number of attempts.
     most: u32,
-    /// Where it stands with its route, until it is answered.
+    /// What it occupies of its route's limits, until it is answered.
     stand: Stand,
     answered: bool,
-    /// Its attempts, in order, and how many of them are out.
+    /// Its attempts, in order, and how many of them are in flight.
     attempts: Vec<Tried>,
     out: usize,
-    /// The attempt whose answer is being passed on.
+    /// The attempt whose response is being streamed to the client.
     passing: Option<Attempt>,
-    /// For how long its key is remembered, where it has one.
+    /// How long servers remember its key, if its class has keys.
     window: Option<Span>,
 }
 
-/// An attempt, which the engine put out.
+/// An attempt that the engine started.
 #[derive(Clone, Copy, Debug)]
 struct Tried {
     server: ServerId,
@@ -279,15 +280,15 @@
     ended: Option<Status>,
 }
 
-/// What a timer was set for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 enum Due {
     Module(SlotId, Token),
-    /// A second copy of a request.
+    /// The hedged request of an open request is due.
     Copy(RequestId),
 }
 
-/// The longest that a request may be open.
+/// Returns the longest time for which a request may be open.
 fn longest(site: &Site) -> Span {
     site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
 }
@@ -300,32 +301,32 @@
     site.settings.classes.iter().map(|class| window(class.effect)).collect()
 }
 
-/// The engine.
+/// The state machine; see the module documentation.
 pub struct Engine<P, B> {
     pools: Pools,
     gate: Gate,
     max_attempts: u32,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     cancel: bool,
-    /// For how long a key of each class is remembered, where it has one.
+    /// How long servers remember the keys of each class, if it has keys.
     windows: Vec<Option<Span>>,
     timers: Timers<Due>,
     requests: FxHashMap<RequestId, Entry<P>>,
     places: Places,
-    /// How long a place stays a gone server's: as long as a request may remember it.
+    /// How long the id of a removed server stays reserved: as long as an open request may refer to it.
     remembered: Span,
-    /// What it told itself while it acted.
+    /// Inputs that the engine produced itself while it carried out actions.
     own: VecDeque<Input<P, B>>,
     actions: Vec<Action>,
     tally: Tally,
-    /// The request whose second copy its rule has paid for just now.
+    /// The request whose hedge was charged to the retry budget of its rule just now.
     paid: Option<RequestId>,
-    /// Decides beside the deciding module by other settings, and never acts.
+    /// Decision module under other settings that is only compared with the active one.
     watch: Option<Box<Watch>>,
 }
 
 impl<P: Clone, B> Engine<P, B> {
-    /// An engine by these settings that may hold `most` requests; `seed` is for the draws.
+    /// Creates an engine that may have `most` requests open; `seed` initialises the random draws.
     #[must_use]
     pub fn new(site: &Site, seed: u64, most: u32) -> Engine<P, B> {
         let longest = longest(site);
@@ -347,52 +348,53 @@
         }
     }
 
-    /// When [`Engine::wake`] is due, if ever.
+    /// Returns when [`Engine::wake`] must be called next, if any timer is set.
     #[must_use]
     pub fn due(&self) -> Option<Time> {
         self.timers.due()
     }
 
-    /// Requests in hand.
+    /// Returns the number of open requests.
     #[must_use]
     pub fn in_hand(&self) -> usize {
         self.requests.len()
     }
 
-    /// The servers' places.
+    /// Returns the table of servers.
     #[must_use]
     pub fn places(&self) -> &Places {
         &self.places
     }
 
-    /// The servers in the list.
+    /// Returns the number of listed servers.
     #[must_use]
     pub fn listed_now(&self) -> usize {
         self.places.taken().filter(|(_, place)| place.gone.is_none()).count()
     }
 
-    /// Listed servers that get nothing new now, by the module over all servers.
+    /// Returns the number of listed servers that the decision module over all servers currently avoids.
     #[must_use]
     pub fn avoided(&self, now: Time) -> usize {
         self.pools.avoided(now)
     }
 
-    /// What happened since this was last called.
+    /// Returns the event counts since the last call and resets them.
     pub fn take_tally(&mut self) -> Tally {
         std::mem::take(&mut self.tally)
     }
 
-    /// Has the decisions over all servers watched from here on; requests of a pool are not.
+    /// Sets the shadow module. It is compared with the decision module over all servers only, not with those of other
+    /// pools.
     pub fn watch(&mut self, watch: Watch) {
         self.watch = Some(Box::new(watch));
     }
 
-    /// What the watching module counted since this was last called; nothing where there is none.
+    /// Returns the counts of the shadow module since the last call and resets them; none without a shadow module.
     pub fn take_watched(&mut self) -> Option<Watched> {
         self.watch.as_mut().map(|watch| watch.take())
     }
 
-    /// Does what is due.
+    /// Processes all timers that have expired.
     pub fn wake(&mut self, now: Time, out: &mut Vec<Output<P, B>>) {
         while let Some(due) = self.timers.pop(now) {
             match due {
@@ -403,7 +405,7 @@
         self.own_inputs(now, out);
     }
 
-    /// Takes what happened.
+    /// Processes one input.
     pub fn input(&mut self, now: Time, input: Input<P, B>, out: &mut Vec<Output<P, B>>) {
         self.take(now, input, out);
         self.own_inputs(now, out);
@@ -427,7 +429,7 @@
                     match self.gate.admit(now, rule) {
                         Ok(admitted) => stand = admitted,
                         Err(_) => {
-                            // Nothing of it has run; the module never hears of it.
+                            // Nothing of it has run, and the decision module is never notified of it.
                             (self.tally.refused, self.tally.limited) =
                                 (self.tally.refused + 1, self.tally.limited + 1);
                             let answer = Answer::Refused { retry_after: None };
@@ -459,7 +461,7 @@
             Input::Gone(id) => {
                 if let Some(slot) = self.close(id) {
                     self.tally.gone += 1;
-                    // An attempt that still waited for its connection was sent on long after its client had left.
+                    // Without this, an attempt that waited for a connection was sent long after its client had left.
                     self.out_of(id, out, |id, attempt, server| Output::Withdraw { id, attempt, server });
                     self.event(now, slot, Event::Gone { id }, out);
                 }
@@ -467,8 +469,9 @@
             }
             Input::Began { id, attempt, server, ended } => {
                 let Some(entry) = self.requests.get_mut(&id) else { return };
-                // For the module the attempt is over with the first bytes: what follows says nothing of the server's
-                // turn. Here it stays out until its transport is done, and is not called off by its own answer.
+                // For the decision module the attempt ends with the first bytes, because the rest of the stream says
+                // nothing about the service time of the server. In this table it stays in flight until its transport
+                // has finished, and its own answer does not cancel it.
                 entry.passing = Some(attempt);
                 entry.out += 1;
                 self.ended(now, id, attempt, server, ended, out);
@@ -501,7 +504,7 @@
                 self.max_attempts = site.settings.limits.max_attempts;
                 self.cancel = site.settings.limits.cancel;
                 self.windows = windows(&site);
-                // A request may have been taken under the longer deadline.
+                // An open request may still have the longer deadline of earlier settings.
                 self.remembered = self.remembered.max(longest(&site));
                 for slot in self.pools.settle(&site, self.remembered) {
                     self.event(now, slot, Event::Settings { set: &site.settings }, out);
@@ -556,7 +559,7 @@
         self.forget(id);
     }
 
-    /// Drops a request from the table when its answer is given and no attempt is out.
+    /// Removes a request from the table if it has been answered and no attempt is in flight.
     fn forget(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|entry| entry.answered && entry.out == 0) {
             self.requests.remove(&id);
@@ -579,7 +582,7 @@
                 Some((at, boot_ms)) if state != State::Gone => {
                     place.open = true;
                     out.push(Output::Open { server, at, boot_ms });
-                    // It may be listed as one that leaves from the start.
+                    // It may be draining when it is first listed.
                     out.push(Output::Listed { server, at: Some((at, boot_ms)), state });
                 }
                 Some(_) | None => {}
@@ -587,7 +590,7 @@
             numbers.push(server);
         }
         if kind == ListKind::Whole {
-            // What the whole list lacks is gone, though no entry says so.
+            // Servers that are missing from a whole list are gone, although no entry says so.
             let listed: FxHashSet<ServerId> = numbers.iter().copied().collect();
             let lacking = self.places.taken().map(|(server, _)| server).filter(|s| !listed.contains(s));
             for server in lacking.collect::<Vec<_>>() {
@@ -603,7 +606,7 @@
         }
     }
 
-    /// Hands one event to the decision module and carries out what it wants done.
+    /// Passes an event to the decision module of a pool and carries out the resulting actions.
     fn event(&mut self, now: Time, slot: SlotId, event: Event<'_>, out: &mut Vec<Output<P, B>>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.pools.on_event(now, slot, event, &mut actions);
@@ -643,14 +646,15 @@
             }
             Action::Timer { token, delay } => self.timers.set(now + delay, Due::Module(slot, token)),
             Action::Watch => out.push(Output::Watch),
-            // Messages between instances have no protocol yet; the settings keep the module from any.
+            // Messages between instances have no protocol yet, and the settings do not allow the decision module to
+            // send any.
             Action::Tell { .. } => {}
             Action::Log { server, text } => out.push(Output::Say { server, text }),
         }
     }
 
-    /// A second copy is due: where the first attempt is still out alone and the rule pays for it, the module says
-    /// whether and where it goes.
+    /// Handles a due hedge. If the first attempt is still the only one, is in flight, and the retry budget of the rule
+    /// allows one more, the decision module chooses whether and where to send the hedged request.
     fn copy(&mut self, now: Time, id: RequestId, out: &mut Vec<Output<P, B>>) {
         let Some(entry) = self.requests.get_mut(&id) else { return };
         let Some(rule) = entry.rule.as_ref().filter(|_| !entry.answered && entry.out == 1) else { return };
@@ -672,18 +676,19 @@
     ) {
         let Some(entry) = self.requests.get_mut(&id) else { return };
         let attempt = Attempt(entry.attempts.len() as u32);
-        // A repeat that waited for its connection began after its key was forgotten.
+        // A repeat must start before the servers forget the key of the first attempt that may have run. Without this,
+        // a repeat that waited for a connection started after that.
         let ran = entry.attempts.iter().find(|tried| !tried.ended.is_some_and(Status::never_ran));
         let forgotten = entry.window.zip(ran).map(|(window, first)| first.at + window);
         entry.attempts.push(Tried { server, at: now, ended: None });
         entry.out += 1;
         self.tally.attempts += 1;
         let mut over = entry.answered || attempt.0 >= entry.most;
-        // A second copy of the module's own goes out only where the rule of its route pays for one more attempt.
+        // A hedge that the decision module chose itself is sent only if the rule of its route allows one more attempt.
         if let Some(rule) = entry.rule.as_ref().filter(|_| entry.out > 1 && self.paid != Some(id)) {
             over |= !self.gate.repeat(now, rule, &mut entry.stand, attempt.0);
         }
-        // Without a time of its own an attempt ends with the client's patience, which ends it as gone.
+        // An attempt without its own time limit lasts until the client gives up, which ends it as a client that left.
         let mut until = until.unwrap_or(now + entry.wait);
         let mut connect = None;
         if let Some(rule) = &entry.rule {
@@ -707,7 +712,7 @@
         self.own.push_back(Input::Ended { id, attempt, server, ended: Ended::unsent(status) });
     }
 
-    /// Gives a request its final answer, once.
+    /// Gives a request its final answer, unless it already has one.
     fn settle(&mut self, id: RequestId, answer: Answer<B>, out: &mut Vec<Output<P, B>>) {
         if self.close(id).is_none() {
             return;
@@ -718,7 +723,7 @@
             Answer::Failed => self.tally.failed += 1,
         }
         out.push(Output::Answer { id, answer });
-        // The copy that lost has nobody to answer to.
+        // The response to the losing hedge or first attempt is not needed any more.
         let cancel = self.cancel;
         self.out_of(id, out, |id, attempt, server| match cancel {
             true => Output::Cancel { id, attempt, server },
@@ -726,7 +731,7 @@
         });
     }
 
-    /// Says this of each attempt of a request that has not ended.
+    /// Emits an output for each attempt of a request that has not ended.
     fn out_of(
         &self,
         id: RequestId,
@@ -738,8 +743,8 @@
         out.extend(still.map(|(n, tried)| say(id, Attempt(n as u32), tried.server)));
     }
 
-    /// Nothing is owed to a request any more: its place with its route is given back here and nowhere else. Gives
-    /// whose it was, nothing where it was closed before.
+    /// Marks a request as answered. Its share of the route's limits is released here and nowhere else. Returns the
+    /// pool of the request, or none if it was already answered.
     fn close(&mut self, id: RequestId) -> Option<SlotId> {
         let entry = self.requests.get_mut(&id).filter(|entry| !entry.answered)?;
         entry.answered = true;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,11 +1,10 @@
-//! The life of a request: taken from a front, decided by the decision module, carried out by a transport, answered
-//! once. Every front and every kind of server stands on this.
+//! Request handling between the fronts, the decision module and the transports: a request is received from a front,
+//! sent to servers as the decision module chooses, and answered exactly once.
 //!
-//! [`core`] is the whole of it without I/O: `input(now, input, outputs)`, no clock, no task, no wire. Payloads and
-//! bodies are opaque to it. [`places`] owns the servers' numbers, [`pools`] a decision module for
-//! each pool, [`timers`] what is due, [`watch`] a second
-//! module that is only counted against the first. [`shell`] is the thin actor
-//! that feeds it on a real clock; a simulation feeds it on its own.
+//! [`core`] is a pure state machine, `input(now, input, outputs)`, without clock, task or socket. Payloads and bodies
+//! are opaque to it. [`places`] maps servers to their ids, [`pools`] runs one decision module per pool, [`timers`] is
+//! the timer queue, and [`watch`] evaluates a second decision module in shadow mode. [`shell`] is the actor that
+//! drives the core on the real clock; a simulation drives it on a clock of its own.
 
 #![forbid(unsafe_code)]
 
--- a/crates/engine/src/places.rs
+++ b/crates/engine/src/places.rs
@@ -1,48 +1,49 @@
-//! The servers' numbers. Owns each number from the first word of its server until nobody can mean it any more, and
-//! gives it back in one place, [`Places::clear_out`].
+//! Table of servers by id. An id is assigned when its server is first listed and is reserved until no request can
+//! refer to it any more; [`Places::clear_out`] is the only place that releases ids.
 
 use dunlincleat::api::{ServerId, Span, Status, Time};
 use rustc_hash::FxHashMap;
 
-/// A place for a server, under the number that the decision module knows it by.
+/// State of one server, stored under the id that the decision module knows it by.
 #[derive(Clone, Debug, Default)]
 pub struct Place {
-    /// The server's name; empty where the place is free.
+    /// Unique name of the server; empty if the id is free.
     pub uid: String,
-    /// A transport to it was opened.
+    /// Whether a transport to it was opened.
     pub open: bool,
-    /// Attempts and probes out there.
+    /// Attempts and probes in flight.
     pub out: usize,
-    /// Since when the list lacks it.
+    /// When it was removed from the list.
     pub gone: Option<Time>,
-    /// Attempts and probes in a row that brought no word of it, and when the last of them ended.
+    /// Consecutive attempts and probes without a reply, and when the last of them ended.
     pub failed: (u32, Time),
 }
 
-/// So many failures in a row make a server count as not healthy,
+/// Consecutive failures after which a server counts as unhealthy.
 const FAILED: u32 = 3;
-/// for so long after the last of them: without traffic nothing else would show that it is well again.
+/// How long after the last failure a server stays unhealthy. Without traffic nothing else would show that it has
+/// recovered.
 const FAILED_FOR: Span = Span(10_000_000);
 
 impl Place {
-    /// Whether it counts as healthy, for the choice among pools; the draw of servers does not ask.
+    /// Whether the server counts as healthy in the choice of a pool. The draw of servers does not use this.
     #[must_use]
     pub fn healthy(&self, now: Time) -> bool {
         self.failed.0 < FAILED || now - self.failed.1 > FAILED_FOR
     }
 }
 
-/// All places of one engine.
+/// All servers of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct Places {
     places: Vec<Place>,
     by_uid: FxHashMap<String, ServerId>,
-    /// Places of servers that are gone, for new ones.
+    /// Released ids, reused for new servers.
     free: Vec<ServerId>,
 }
 
 impl Places {
-    /// The number of a server, a new one's where it is named for the first time.
+    /// Returns the id of a server; assigns one if the name is new.
     pub fn number(&mut self, uid: &str) -> ServerId {
         if let Some(server) = self.by_uid.get(uid) {
             return *server;
@@ -56,32 +57,32 @@
         server
     }
 
-    /// The number of a server that was named before.
+    /// Returns the id of a server if one is assigned.
     #[must_use]
     pub fn known(&self, uid: &str) -> Option<ServerId> {
         self.by_uid.get(uid).copied()
     }
 
-    /// A server's place.
+    /// Returns the state of a server.
     #[must_use]
     pub fn get(&self, server: ServerId) -> Option<&Place> {
         self.places.get(server.0 as usize)
     }
 
-    /// A server's place, to change it.
+    /// Returns the state of a server for modification.
     pub fn get_mut(&mut self, server: ServerId) -> Option<&mut Place> {
         self.places.get_mut(server.0 as usize)
     }
 
-    /// Something goes out to a server; whatever becomes of it, its end comes back once. False where there is no
-    /// transport to it.
+    /// Records that an attempt or probe starts; its end must be recorded exactly once, whatever happens. Returns false
+    /// if there is no transport to the server.
     pub fn goes_out(&mut self, server: ServerId) -> bool {
         let Some(place) = self.get_mut(server) else { return false };
         place.out += 1;
         place.open
     }
 
-    /// What went out has ended.
+    /// Records that an attempt or probe has ended.
     pub fn returned(&mut self, now: Time, server: ServerId, status: Status) {
         let Some(place) = self.get_mut(server) else { return };
         place.out = place.out.saturating_sub(1);
@@ -90,25 +91,25 @@
             Status::Error | Status::Timeout | Status::ConnectFailed | Status::Reset => {
                 place.failed = (place.failed.0 + 1, now);
             }
-            // Nothing of it says how the server is.
+            // These outcomes say nothing about the health of the server.
             Status::Cancelled | Status::Moot => {}
         }
     }
 
-    /// A server's name, empty for one that is not known.
+    /// Returns the name of a server; empty if the id is unknown.
     #[must_use]
     pub fn uid(&self, server: ServerId) -> &str {
         self.get(server).map_or("", |place| &place.uid)
     }
 
-    /// The places that are taken.
+    /// Iterates over all assigned ids.
     pub fn taken(&self) -> impl Iterator<Item = (ServerId, &Place)> {
         let numbered = self.places.iter().enumerate().map(|(n, place)| (ServerId(n as u32), place));
         numbered.filter(|(_, place)| !place.uid.is_empty())
     }
 
-    /// Gives back the places of servers that have been gone for so long that no request remembers them, and tells
-    /// which. Without this, each replaced server stayed here for good.
+    /// Releases the ids of servers that were removed at least `remembered` ago, after which no request can refer to
+    /// them, and returns these ids. Without this, the table grew with each replaced server.
     pub fn clear_out(&mut self, now: Time, remembered: Span) -> Vec<ServerId> {
         let over = |place: &Place| place.out == 0 && place.gone.is_some_and(|gone| now - gone >= remembered);
         let cleared: Vec<ServerId> =
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -1,5 +1,5 @@
-//! Pools of servers: one decision module each, which knows its pool's servers alone. Owns the modules and the list as
-//! last told; a pool that a new file lacks is kept for as long as a request may still be under it.
+//! Pools of servers. Each pool has its own decision module, which knows only the servers of its pool. A pool that is
+//! missing from a new limits file is kept for as long as a request may still belong to it.
 
 use crate::places::Places;
 use dunlincleat::Balancer;
@@ -10,34 +10,34 @@
 use dunlincleat_settings::{Site, common_name};
 use std::collections::BTreeMap;
 
-/// How long a front may take from finding a request's rule to handing it in.
+/// How long a front may take from looking up the rule of a request to passing the request to the engine.
 const HANDED_IN: Span = Span(10_000_000);
 
-/// A decision module among those of one engine.
+/// Identifies a pool, and its decision module, within one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SlotId(u32);
 
 impl SlotId {
-    /// That of all servers.
+    /// The pool of all servers.
     pub const ALL: SlotId = SlotId(0);
 }
 
 struct Slot {
-    /// What it selects; all servers where there is none.
+    /// Rule that selects the servers of the pool; none for the pool of all servers.
     rule: Option<PoolRule>,
     balancer: Balancer,
-    /// Since when no file names it.
+    /// When a new limits file dropped the pool.
     gone: Option<Time>,
 }
 
-/// A server as it was last told.
+/// A server as last listed.
 struct Known {
     member: Member,
     zone: String,
     model: String,
 }
 
-/// The pools of one engine.
+/// All pools of one engine.
 pub struct Pools {
     settings: Settings,
     zones: Vec<String>,
@@ -54,7 +54,7 @@
 }
 
 impl Pools {
-    /// The pool of all servers.
+    /// Creates the pool of all servers.
     #[must_use]
     pub fn new(site: &Site, seed: u64, longest: Span) -> Pools {
         let settings = site.settings.clone();
@@ -63,31 +63,31 @@
         Pools { settings, zones: site.zones.clone(), seed, longest, slots, next: 1, listed: BTreeMap::new() }
     }
 
-    /// All pools.
+    /// Returns the ids of all pools.
     #[must_use]
     pub fn slots(&self) -> Vec<SlotId> {
         self.slots.keys().copied().collect()
     }
 
-    /// Listed servers that the module over all servers sends nothing to now.
+    /// Returns the number of listed servers that the decision module over all servers currently avoids.
     #[must_use]
     pub fn avoided(&self, now: Time) -> usize {
         self.slots.get(&SlotId::ALL).map_or(0, |slot| slot.balancer.avoided(now))
     }
 
-    /// Hands an event to a pool's decision module. One of a pool that is no more has nobody to hear it.
+    /// Passes an event to the decision module of a pool. Events of a removed pool are dropped.
     pub fn on_event(&mut self, now: Time, slot: SlotId, event: Event<'_>, actions: &mut Vec<Action>) {
         if let Some(slot) = self.slots.get_mut(&slot) {
             slot.balancer.on_event(now, event, actions);
         }
     }
 
-    /// The pool that a request is decided in.
+    /// Returns the pool that serves requests under `rule`.
     #[must_use]
     pub fn of(&self, now: Time, rule: &Rule, places: &Places) -> SlotId {
         let named = |name: &str| {
             let named = |slot: &&Slot| slot.rule.as_ref().is_some_and(|rule| rule.name == name);
-            // Of two with one name the later is the newer file's.
+            // If two pools have the same name, the one with the larger id is from the newer file.
             self.slots.iter().rev().find(|(_, slot)| named(slot))
         };
         let health = |name: &str| {
@@ -102,7 +102,8 @@
         rule.pool(health).and_then(named).map_or(SlotId::ALL, |(id, _)| *id)
     }
 
-    /// Takes in a list or changes, whose servers have these numbers; gives what each pool is to be told.
+    /// Applies a list, or changes to it. `numbers` holds the server ids of `entries`. Returns the members to report to
+    /// the decision module of each pool.
     pub fn listed(
         &mut self,
         now: Time,
@@ -135,7 +136,8 @@
             let mine = told.iter().filter_map(|(member, before)| {
                 let now = self.listed.get(&member.server.0).is_some_and(|known| selects(rule, known));
                 let was = before.as_ref().is_some_and(|known| selects(rule, known));
-                // One that the pool no longer selects is gone from it; a leaving one may be told without its place.
+                // A server that the pool no longer selects is removed from the pool. An entry of a server that is
+                // draining or gone may lack its zone and cell, so it goes to the pool of all servers in any case.
                 let state = if now { member.state } else { State::Gone };
                 (now || was || member.state != State::Ready && rule.is_none())
                     .then_some(Member { state, ..*member })
@@ -147,13 +149,13 @@
         each
     }
 
-    /// Takes up other settings for pools to come; gives those that are to be told.
+    /// Applies new settings to pools created later; returns the existing pools, which must be notified.
     pub fn settle(&mut self, site: &Site, longest: Span) -> Vec<SlotId> {
         (self.settings, self.longest) = (site.settings.clone(), longest);
         self.slots()
     }
 
-    /// Takes up the pools of a new file; gives the servers of each that is new.
+    /// Applies the pools of a new limits file; returns each new pool with its servers.
     pub fn adopt(&mut self, now: Time, rules: &RuleSet) -> Vec<(SlotId, Vec<Member>)> {
         for slot in self.slots.values_mut().filter(|slot| slot.rule.is_some()) {
             let stays = rules.pools().iter().any(|pool| slot.rule.as_ref() == Some(pool));
@@ -166,7 +168,7 @@
             }
             let id = SlotId(self.next);
             self.next += 1;
-            // Draws of its own, and the same on each play of the same seed.
+            // Each pool draws independently, and identically in each run with the same seed.
             let seed = self.seed ^ u64::from(id.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let balancer = Balancer::new(self.settings.clone(), seed);
             self.slots.insert(id, Slot { rule: Some(pool.clone()), balancer, gone: None });
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -1,5 +1,5 @@
-//! The thin actor around the core: a mailbox, the reply slots, a real clock. Owns the slots, each used once; the
-//! transports and the directory stand behind ports.
+//! The actor around the core: a mailbox, the reply channels of open requests, each used once, and the real clock. It
+//! reaches transports and discovery through the traits [`Transports`] and [`Directory`].
 
 use crate::clock::Clock;
 use crate::core::{Answer, Ask, Ended, Engine, Input, Output, Tally};
@@ -17,21 +17,21 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// How often the log sums up.
+/// Interval between summaries in the log.
 const SUM_UP: Duration = Duration::from_secs(10);
 
-/// The servers' side: one transport a server. Each attempt and each probe ends once, by the [`Handle`] that the
-/// transports were given, whatever happens.
+/// Transports to the servers, one per server. The end of each attempt and each probe must be reported exactly once
+/// through a [`Handle`], whatever happens.
 pub trait Transports {
-    /// What is sent.
+    /// What is sent to a server.
     type Payload: Clone;
-    /// What comes back.
+    /// What a server returns.
     type Body;
     /// Opens a transport.
     fn open(&mut self, server: ServerId, at: SocketAddr, boot_ms: u64);
-    /// The list told of its server.
+    /// Updates the address and state of the server, as listed.
     fn listed(&mut self, server: ServerId, at: Option<(SocketAddr, u64)>, state: State);
-    /// Closes it: nothing is out there.
+    /// Closes a transport, to which nothing is in flight.
     fn close(&mut self, server: ServerId);
     /// Starts an attempt.
     fn attempt(
@@ -43,19 +43,19 @@
         until: Instant,
         connect: Option<Duration>,
     );
-    /// Stops waiting for an attempt.
+    /// Cancels an attempt.
     fn cancel(&mut self, id: RequestId, attempt: Attempt, server: ServerId);
-    /// Takes an attempt back as far as it is not written whole; one that is goes on.
+    /// Cancels an attempt unless it has been written completely; in that case it continues.
     fn withdraw(&mut self, id: RequestId, attempt: Attempt, server: ServerId);
-    /// Asks a server how it is; `asked` is handed back with the end.
+    /// Probes a server; `asked` is returned with the result.
     fn probe(&mut self, server: ServerId, asked: SlotId);
-    /// Connections that may still be opened, for the log.
+    /// Returns the number of connections that may still be opened, for the log.
     fn room(&self) -> usize;
 }
 
-/// The list's side.
+/// Discovery of servers.
 pub trait Directory {
-    /// Opens a watch, where lists come on request.
+    /// Opens a watch, where lists are delivered on request.
     fn watch(&mut self);
 }
 
@@ -67,8 +67,8 @@
 
 type Mail<P, B> = (Instant, Msg<P, B>);
 
-/// The actor's mailbox. It holds no more than the requests in hand bring: the fronts bound those, each has at most a
-/// few attempts, and each server one probe.
+/// Sender of the actor's mailbox. The mailbox needs no bound of its own: the fronts bound the number of open requests,
+/// each of which has at most a few attempts, and each server has at most one probe in flight.
 pub struct Handle<P, B>(mpsc::UnboundedSender<Mail<P, B>>);
 
 impl<P, B> Clone for Handle<P, B> {
@@ -77,10 +77,10 @@
     }
 }
 
-/// The other end of the mailbox.
+/// Receiver of the actor's mailbox.
 pub struct Mailbox<P, B>(mpsc::UnboundedReceiver<Mail<P, B>>);
 
-/// A mailbox.
+/// Creates a mailbox.
 #[must_use]
 pub fn mailbox<P, B>() -> (Handle<P, B>, Mailbox<P, B>) {
     let (handle, mailbox) = mpsc::unbounded_channel();
@@ -93,7 +93,7 @@
         let _ = self.0.send((Instant::now(), msg));
     }
 
-    /// A request that came at `received`; its answer goes into the slot.
+    /// Submits a request that was received at `received`; its answer is sent to `slot`.
     pub fn request(
         &self,
         id: RequestId,
@@ -105,69 +105,70 @@
         self.tell(Msg::Request { id, ask, payload, received, slot });
     }
 
-    /// The client of a request left.
+    /// Reports that the client of a request left.
     pub fn gone(&self, id: RequestId) {
         self.tell(Msg::Input(Input::Gone(id)));
     }
 
-    /// An attempt ended.
+    /// Reports that an attempt ended.
     pub fn ended(&self, id: RequestId, attempt: Attempt, server: ServerId, ended: Ended<B>) {
         self.tell(Msg::Input(Input::Ended { id, attempt, server, ended }));
     }
 
-    /// An attempt's answer began and is passed on; the attempt ends later.
+    /// Reports that the response to an attempt has started and is being streamed; the attempt ends later.
     pub fn began(&self, id: RequestId, attempt: Attempt, server: ServerId, ended: Ended<B>) {
         self.tell(Msg::Input(Input::Began { id, attempt, server, ended }));
     }
 
-    /// The body of an attempt still comes, or comes no more: each beginning is followed by one end, before the attempt's.
+    /// Reports that the upload of the body of an attempt is in progress, or has finished. Each start is followed by
+    /// one finish, before the end of the attempt.
     pub fn uploads(&self, id: RequestId, server: ServerId, over: bool) {
         self.tell(Msg::Input(Input::Uploads { id, server, over }));
     }
 
-    /// A probe ended.
+    /// Reports that a probe ended.
     pub fn probed(&self, server: ServerId, asked: SlotId, ended: Ended<B>) {
         self.tell(Msg::Input(Input::Probed { server, asked, ended }));
     }
 
-    /// The list changed or was told again.
+    /// Delivers a server list, or changes to it.
     pub fn listed(&self, delivery: Delivery) {
         self.tell(Msg::Input(Input::Listed(delivery)));
     }
 
-    /// A call of discovery failed, or the watch ended.
+    /// Reports that a discovery call failed or the watch ended.
     pub fn list_failed(&self) {
         self.tell(Msg::Input(Input::ListFailed));
     }
 
-    /// Other settings, and those that are only watched, before any request under them.
+    /// Applies new settings, and those of the shadow module. Must be called before any request under them.
     pub fn settings(&self, site: Arc<Site>, watched: Option<Settings>) {
         self.tell(Msg::Input(Input::Settings { site, watched }));
     }
 
-    /// New limits. Those under whom requests come next are to be told first.
+    /// Applies new limits. Must be called before any request under them.
     pub fn rules(&self, rules: Arc<RuleSet>) {
         self.tell(Msg::Input(Input::Rules(rules)));
     }
 
-    /// How fresh the list is, for the log.
+    /// Reports how recent the list is, for the log.
     pub fn list_state(&self, health: Health) {
         self.tell(Msg::ListState(health));
     }
 }
 
-/// Where the actor shows its figures.
+/// Metrics that the actor updates.
 pub struct Gauges {
-    /// The figures.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
-    /// Somebody may ask whom the module avoids: it is looked at now and then.
+    /// Whether the number of avoided servers is sampled periodically, because the metrics can be read.
     pub avoided: bool,
 }
 
-/// How often it is looked at whom the module avoids.
+/// Interval between samples of the number of avoided servers.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// The actor.
+/// The actor, which drives an engine.
 pub struct Actor<T: Transports, D> {
     engine: Engine<T::Payload, T::Body>,
     clock: Clock,
@@ -175,16 +176,16 @@
     directory: D,
     slots: FxHashMap<RequestId, oneshot::Sender<Answer<T::Body>>>,
     out: Vec<Output<T::Payload, T::Body>>,
-    /// The longest wait in the mailbox since the log last summed up.
+    /// The longest wait in the mailbox since the last summary.
     waited: Duration,
-    /// The list's state, and as it was when the log last summed up.
+    /// The state of the list, now and at the last summary.
     health: Health,
     summed: Health,
     gauges: Gauges,
 }
 
 impl<T: Transports, D: Directory> Actor<T, D> {
-    /// The actor around an engine.
+    /// Creates an actor around an engine.
     pub fn new(
         engine: Engine<T::Payload, T::Body>,
         clock: Clock,
@@ -197,9 +198,9 @@
         Actor { engine, clock, transports, directory, slots, out, waited, health, summed, gauges }
     }
 
-    /// Runs the actor from the list as last held, until all handles are gone.
+    /// Runs the actor, starting from the cached list `known`, until all handles are dropped.
     pub async fn run(mut self, mut mailbox: Mailbox<T::Payload, T::Body>, known: Delivery) {
-        // With this the module makes its first call of discovery, so the way there must stand.
+        // This makes the decision module open its first watch, so discovery must be reachable by now.
         self.input(Input::Listed(known));
         let mut sum_up = Instant::now() + SUM_UP;
         let mut look = Instant::now();
@@ -297,7 +298,7 @@
         for output in out.drain(..) {
             match output {
                 Output::Answer { id, answer } => {
-                    // Where the client has just gone, its word of that finds the request ended.
+                    // If the client has just left, its report finds the request already answered.
                     if let Some(slot) = self.slots.remove(&id) {
                         let _ = slot.send(answer);
                     }
@@ -356,7 +357,7 @@
             );
         }
         let (health, before) = (self.health, std::mem::replace(&mut self.summed, self.health));
-        // While discovery speaks the last sign of life is at most a heartbeat old.
+        // While discovery responds, its last message is at most one heartbeat interval old.
         let age = (self.clock.now() - health.fresh_at).0 / 1000;
         let ended = Cause::NAMES.iter().zip(health.ended.iter().zip(before.ended));
         let ended: String = ended
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -1,10 +1,11 @@
-//! What is due, in order of time and, at one time, of setting. Owns the timers of one engine.
+//! Timer queue of one engine. Timers expire in order of time; those with the same time expire in the order in which
+//! they were set.
 
 use dunlincleat::api::Time;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Timers with what they were set for.
+/// A queue of timers, each with a payload.
 #[derive(Clone, Debug)]
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<Due<T>>>,
@@ -45,19 +46,19 @@
 }
 
 impl<T> Timers<T> {
-    /// Sets one.
+    /// Adds a timer that expires at `at`.
     pub fn set(&mut self, at: Time, what: T) {
         self.set += 1;
         self.heap.push(Reverse(Due { at, order: self.set, what }));
     }
 
-    /// When the next is due.
+    /// Returns when the next timer expires.
     #[must_use]
     pub fn due(&self) -> Option<Time> {
         self.heap.peek().map(|Reverse(due)| due.at)
     }
 
-    /// The next that is due by now.
+    /// Removes the next timer that has expired by `now` and returns its payload.
     pub fn pop(&mut self, now: Time) -> Option<T> {
         self.due().filter(|at| *at <= now)?;
         self.heap.pop().map(|Reverse(due)| due.what)
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -1,9 +1,10 @@
-//! Stage: beside the deciding module. A second decision module under other settings sees the same events, never acts,
-//! and is counted against the first: how often, and in what way, these settings would have decided otherwise. It has
-//! its own draws and its own timers, which pass when the next event comes; nothing here reaches the deciding module.
+//! Shadow evaluation of other settings. A second decision module, under the settings `watch`, receives the same events
+//! as the active one, never acts, and counts how often and in what way it would have decided differently. It has its
+//! own random draws and its own timers, which expire when the next event arrives; nothing here affects the active
+//! module.
 //!
-//! After each decision it follows the real one: its own attempt becomes the attempt that went out, so that what it
-//! learns is what happened.
+//! After each decision the shadow module follows the active one: its attempt is mapped to the real attempt, so that it
+//! learns from what really happened.
 
 use crate::timers::Timers;
 use dunlincleat::Balancer;
@@ -13,46 +14,47 @@
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// How decisions compared since this was last asked for.
+/// Comparison of the decisions since the counts were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Watched {
-    /// Attempts at the same server.
+    /// Attempts sent to the server that the shadow module chose too.
     pub alike: u64,
-    /// Attempts at another server of the same zone. Servers are drawn: two modules under the same settings differ too.
+    /// Attempts sent to another server of the same zone. Servers are drawn at random, so two modules under the same
+    /// settings differ too.
     pub other_server: u64,
-    /// Attempts at a server of another zone.
+    /// Attempts sent to a server of another zone.
     pub other_zone: u64,
-    /// Sent, and would have been refused or failed.
+    /// Attempts sent for requests that the shadow module refused or failed.
     pub would_refuse: u64,
-    /// Refused or failed, and would have been sent.
+    /// Requests refused or failed that the shadow module sent.
     pub would_send: u64,
-    /// Sent at once, and would have waited for room or for probes.
+    /// Attempts sent at once while the shadow module still waited for capacity or for probes.
     pub would_wait: u64,
-    /// Further attempts that would have gone out beside the one that was out.
+    /// Hedged requests that only the shadow module sent.
     pub would_copy: u64,
-    /// Probes that would have been sent.
+    /// Probes that the shadow module wanted to send.
     pub would_probe: u64,
 }
 
-/// A request as it really went, and how the watching module stands with it.
+/// The real attempts of a request, and the attempts of the shadow module for it.
 #[derive(Debug, Default)]
 struct Seen {
-    /// The watching module's number of each real attempt, none where it made none.
+    /// The shadow module's attempt for each real attempt; none if it made none.
     own: Vec<Option<Attempt>>,
-    /// Attempts that the watching module made.
+    /// Number of attempts that the shadow module made.
     made: u32,
-    /// Real attempts that it has not made yet, by their number, and where they went.
+    /// Real attempts that the shadow module has not made yet, by index, with their servers.
     ahead: VecDeque<(usize, ServerId)>,
-    /// Its own attempts that no real one answers to yet.
+    /// Attempts of the shadow module without a real counterpart so far.
     early: VecDeque<(Attempt, ServerId)>,
-    /// It refused or failed the request, perhaps while the real one still waited.
+    /// The shadow module refused or failed the request, perhaps while the real request still waited.
     dropped: bool,
 }
 
-/// The watching module.
+/// The shadow decision module.
 pub struct Watch {
     balancer: Balancer,
-    /// Where each figure of its settings stands in a report.
+    /// Position in a received load report of each field of the shadow settings.
     fields: Vec<usize>,
     timers: Timers<Token>,
     seen: FxHashMap<RequestId, Seen>,
@@ -62,10 +64,11 @@
 }
 
 impl Watch {
-    /// One that decides by `settings`, with draws of its own. Load reports come in the order of `reported`.
+    /// Creates a shadow module under `settings`, with its own random draws. Load reports arrive in the order of
+    /// `reported`.
     #[must_use]
     pub fn new(settings: Settings, reported: &[Field], seed: u64) -> Watch {
-        // A report holds what the settings in force name; each figure goes where the other settings look for it.
+        // A load report has the fields of the active settings; they are reordered to those of the shadow settings.
         let at = |field: &Field| reported.iter().position(|f| f == field).unwrap_or(usize::MAX);
         Watch {
             fields: settings.fields.iter().map(at).collect(),
@@ -78,19 +81,19 @@
         }
     }
 
-    /// Takes up other settings to decide by.
+    /// Replaces the settings of the shadow module.
     pub fn adopt(&mut self, now: Time, settings: &Settings) {
         let mut own = std::mem::take(&mut self.actions);
         self.balancer.on_event(now, Event::Settings { set: settings }, &mut own);
         self.actions = own;
     }
 
-    /// What was counted since this was last called.
+    /// Returns the counts since the last call and resets them.
     pub fn take(&mut self) -> Watched {
         std::mem::take(&mut self.counts)
     }
 
-    /// Sees an event, and what the deciding module wanted done for it.
+    /// Processes an event and the actions that the active module took for it.
     pub fn see(&mut self, now: Time, event: Event<'_>, done: &[Action]) {
         let mut own = std::mem::take(&mut self.actions);
         while let Some(token) = self.timers.pop(now) {
@@ -114,12 +117,12 @@
         if let Event::Outcome { id, closed: true, .. } | Event::Gone { id } = event {
             self.seen.remove(&id);
         }
-        // What is undone may make room for a request that waited here.
+        // An attempt that was undone may free capacity for a request that waits in the shadow module.
         self.take_up(now, &mut own);
         self.actions = own;
     }
 
-    /// Takes up what the watching module wants; nothing of it leaves.
+    /// Records the actions of the shadow module; none of them is carried out.
     fn take_up(&mut self, now: Time, own: &mut Vec<Action>) {
         while !own.is_empty() {
             let action = own.remove(0);
@@ -142,9 +145,9 @@
 
     fn feed(&mut self, now: Time, event: Event<'_>, own: &mut Vec<Action>) {
         match event {
-            // Its own timers are its own, and no probe of its own is ever out.
+            // The shadow module has its own timers and never has a probe in flight.
             Event::Timer { .. } | Event::Probed { .. } => {}
-            // It has settings of its own, which come by `adopt`.
+            // The shadow module has its own settings, which are set by `adopt`.
             Event::Settings { .. } => {}
             Event::Outcome { id, attempt, status, closed, again, latency, server, load } => {
                 let seen = self.seen.get(&id);
@@ -180,13 +183,13 @@
         }
     }
 
-    /// The watching module would have made an attempt.
+    /// The shadow module made an attempt.
     fn made(&mut self, id: RequestId, server: ServerId) {
         let Some(seen) = self.seen.get_mut(&id) else { return };
         let attempt = Attempt(seen.made);
         seen.made += 1;
         match seen.ahead.pop_front() {
-            // The real one went out while this one waited.
+            // The real attempt was sent while the shadow module waited.
             Some((real, at)) => {
                 seen.own[real] = Some(attempt);
                 self.balancer.follow(id, at);
@@ -195,7 +198,7 @@
         }
     }
 
-    /// A real attempt went out.
+    /// A real attempt was sent.
     fn sent(&mut self, now: Time, id: RequestId, server: ServerId, own: &mut Vec<Action>) {
         let zone = |server: ServerId| self.zones.get(&server);
         let Some(seen) = self.seen.get_mut(&id) else { return };
@@ -209,7 +212,7 @@
             } else {
                 self.counts.other_zone += 1;
             }
-            // Its last attempt is the one to follow; a copy beside it is undone first.
+            // The balancer follows the last attempt that it made, so hedged requests beside it are undone first.
             while let Some((attempt, server)) = seen.early.pop_front() {
                 self.counts.would_copy += 1;
                 self.balancer.on_event(now, undone(id, attempt, server, false), own);
@@ -225,7 +228,7 @@
         }
     }
 
-    /// A request was really refused or failed.
+    /// The active module refused or failed a request.
     fn ended(&mut self, now: Time, id: RequestId, own: &mut Vec<Action>) {
         let Some(mut seen) = self.seen.remove(&id) else { return };
         self.counts.would_send += u64::from(!seen.early.is_empty());
@@ -235,7 +238,7 @@
         self.balancer.on_event(now, Event::Gone { id }, own);
     }
 
-    /// Attempts beside a real one that is out never went out.
+    /// Undoes and counts the hedged requests that the shadow module made beside a real attempt.
     fn copies(&mut self, now: Time, own: &mut Vec<Action>) {
         for (id, seen) in self.seen.iter_mut().filter(|(_, seen)| !seen.own.is_empty()) {
             while let Some((attempt, server)) = seen.early.pop_front() {
@@ -246,7 +249,7 @@
     }
 }
 
-/// The end of an attempt that was never sent.
+/// Outcome of an attempt that was never sent.
 fn undone(id: RequestId, attempt: Attempt, server: ServerId, closed: bool) -> Event<'static> {
     let (status, latency) = (Status::Moot, Span(0));
     Event::Outcome { id, attempt, status, closed, again: false, latency, server, load: &[] }
--- a/crates/engine/tests/passing.rs
+++ b/crates/engine/tests/passing.rs
@@ -1,4 +1,4 @@
-//! Answers that are passed on as they come, and settings that change: the engine's part, on a stepped clock.
+//! Tests of streamed responses, changes of settings and server counts, on a simulated clock.
 
 use dunlincleat::api::{Attempt, ListKind, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
@@ -72,8 +72,8 @@
     }
 }
 
-/// Guards the one final answer: an answer that began is it, is not called off by itself, and its later end, whatever it
-/// is, brings neither another answer nor another attempt.
+/// A streamed response is the final answer as soon as it starts. It must not cancel its own attempt, and the later end
+/// of the attempt, whatever its status, must cause neither a second answer nor another attempt.
 #[test]
 fn an_answer_that_began_is_final_and_its_attempt_ends_once() {
     for end in [Status::Ok, Status::Reset, Status::Cancelled] {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Guards the number of attempts: that of the settings under which a request was taken.
+/// An open request keeps the maximum number of attempts of the settings that it was received under.
 #[test]
 fn requests_in_hand_keep_their_number_of_attempts() {
     let mut world = World::new();
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -1,5 +1,5 @@
-//! The engine on a stepped clock, under random accepted files that change while it works, with servers that stall,
-//! fail, drain and go. An auditor that sees only what goes in and out keeps the four rules and the limits.
+//! Randomised tests of the engine on a simulated clock. Limits files change while it runs, and servers stall, fail,
+//! drain and leave. An auditor that sees only inputs and outputs checks the four safety rules and the limits.
 
 use dunlincleat::api::{Attempt, Effect, ListKind, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
@@ -25,7 +25,7 @@
     read(&text.replace("COPIES", &copies.to_string())).unwrap()
 }
 
-/// Files that are taken up in turn, and two that are refused.
+/// Limits files that are applied in random order; the last two are always rejected.
 const FILES: [&str; 7] = [
     "",
     "[defaults]\nattempts = 2\nattempt_timeout = '150ms'\nmax_in_hand = 12",
@@ -34,7 +34,7 @@
      [[pool]]\nname = 'a'\nzones = ['a']\nfall_back = ['b']\nleast_healthy = 0.5\n[[pool]]\nname = 'b'\nzones = ['b']",
     "[[route]]\nname = 'moves'\nmatch = { class = 'move' }\nattempts = 1\nmax_waiting = 3\npriority = 2\n\
      [[route]]\nname = 'reads'\nmatch = { class = 'read' }\nmax_in_hand = 5\nattempt_timeout = '90ms'",
-    // Refused where no second copies are allowed.
+    // Rejected if the settings do not allow hedged requests.
     "[[route]]\nname = 'reads'\nmatch = { class = 'read' }\nsecond_copy = { after = '40ms' }\n\
      retry_budget = { part = 0.3 }\n\
      [[route]]\nname = 'pays'\nmatch = { class = 'pay' }\nattempts = 2\ntimeout = '500ms'\nsecond_copy = { after_quantile = 0.6 }",
@@ -57,7 +57,7 @@
     rule: Option<Arc<Rule>>,
     answers: u32,
     gone: bool,
-    /// Server, when sent, and how it ended.
+    /// Server, time sent, and status at the end.
     attempts: Vec<(ServerId, u64, Option<Status>)>,
 }
 
@@ -70,21 +70,21 @@
     out: Vec<Out>,
     probes: Vec<(u64, ServerId, SlotId)>,
     seen: BTreeMap<u64, Seen>,
-    /// Server by name: state, start, when it was told to leave.
+    /// State and boot time of each server, by name.
     listed: BTreeMap<String, (State, u64)>,
     open: BTreeMap<ServerId, bool>,
     leaves: BTreeSet<ServerId>,
-    /// Attempts that the engine took back.
+    /// Attempts that the engine withdrew.
     withdrawn: BTreeSet<(u64, u32)>,
     faults: Vec<String>,
     copies: usize,
-    /// The engine is not told of the limits that the auditor holds it to.
+    /// Injected fault: the engine does not receive the limits that the auditor checks.
     planted: bool,
-    /// Clients leave often, and in the very moments in which something of their request is due.
+    /// Clients leave often, and at the moments when something of their request is due.
     leavers: bool,
-    /// The engine is not told that clients leave.
+    /// Injected fault: the engine is not notified that clients leave.
     deaf: bool,
-    /// What was sent of the requests whose clients left.
+    /// Number of clients that left, by what of their request had been sent.
     left: BTreeMap<&'static str, usize>,
     next: u64,
 }
@@ -129,7 +129,7 @@
         self.carry_out(out);
     }
 
-    /// A client leaves: what of its request is still out is taken back, so that nothing of it begins any more.
+    /// A client leaves. All attempts of its request in flight must be withdrawn, so that none of them starts any more.
     fn leaves(&mut self, id: u64) {
         let still: Vec<u32> = self.out.iter().filter(|o| o.request == id).map(|o| o.attempt.0).collect();
         let seen = self.seen.get_mut(&id).unwrap();
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Where clients leave often, this one may, or any of those that wait.
+    /// If clients leave often, lets the client of request `id` leave with some probability, or that of any open request
+    /// if `id` is none.
     fn may_leave(&mut self, id: Option<u64>) {
         if !self.leavers || !self.rng.random_bool(0.15) {
             return;
@@ -175,7 +176,7 @@
                 Output::Answer { id, answer } => self.answered(id.0, &answer),
                 Output::Attempt { id, attempt, server, payload, until, connect } => {
                     assert_eq!(payload, id.0);
-                    // A repeat under a key begins before that is forgotten, or not at all.
+                    // A retry with a key must start before the servers forget the key, or not at all.
                     let seen = &self.seen[&id.0];
                     let keyed = matches!(self.site.settings.classes[seen.class].effect, Effect::Keyed { .. });
                     let ran = seen.attempts.iter().find(|(.., ended)| ended.is_none_or(|s| !s.never_ran()));
@@ -190,7 +191,7 @@
                     let out = self.out.iter_mut().find(|o| (o.request, o.attempt) == (id.0, attempt));
                     out.into_iter().for_each(|o| (o.ends, o.status) = (self.now, Status::Cancelled));
                 }
-                // Half of them had not been written whole yet.
+                // Half of the withdrawn attempts had not been written completely.
                 Output::Withdraw { id, attempt, .. } => {
                     let unwritten = self.rng.random_bool(0.5);
                     let out = self.out.iter_mut().find(|o| (o.request, o.attempt) == (id.0, attempt));
@@ -332,14 +333,14 @@
         self.may_leave(Some(id));
     }
 
-    /// What is in hand of each route, counted from answers alone.
+    /// Checks the number of open requests of each route, counted from answers alone, against its cap.
     fn caps(&mut self) {
         let mut hand: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
         for seen in self.seen.values().filter(|s| s.answers == 0 && !s.gone) {
             let Some(rule) = &seen.rule else { continue };
             let (count, most) = hand.entry(&rule.name).or_insert((0, u32::MAX));
             *count += 1;
-            // Requests taken under an older file keep its cap: the widest counts.
+            // Requests admitted under an older file keep its cap, so the highest cap applies.
             *most = if *most == u32::MAX {
                 rule.max_in_hand.unwrap_or(u32::MAX - 1)
             } else {
@@ -359,7 +360,7 @@
             let due = self.engine.due().map_or(u64::MAX, |t| t.0);
             let ends = self.out.iter().map(|o| o.ends).chain(self.probes.iter().map(|p| p.0)).min();
             let next = due.min(ends.unwrap_or(u64::MAX)).max(self.now);
-            // A client whose time is over leaves.
+            // A client leaves when it has waited long enough.
             let leaves =
                 self.seen.iter().filter(|(_, s)| s.answers == 0 && !s.gone).map(|(id, s)| (s.gives_up, *id));
             let leaves = leaves.min().filter(|(at, _)| *at < next.min(end));
@@ -457,7 +458,7 @@
         world.run_to(to);
         world.change();
     }
-    // A jump of the clock: all that waits is due at once.
+    // The clock jumps, so that all pending timers expire at once.
     let jump = world.now + world.rng.random_range(0..3000) * MS;
     world.run_to(jump);
     let end = world.now + 3000 * MS;
@@ -498,7 +499,7 @@
     assert_eq!(day(7), day(7));
 }
 
-/// A client that has gone: nothing of its request begins any more, whatever was out, held or due of it.
+/// Once its client has left, no attempt of a request may start, whether it is in flight, queued or due.
 #[test]
 fn nothing_of_a_request_is_sent_once_its_client_has_left() {
     let mut left: BTreeMap<&str, usize> = BTreeMap::new();
--- a/crates/engine/tests/watch.rs
+++ b/crates/engine/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watching module beside the deciding one: it changes nothing, and counts by kind.
+//! Tests of the shadow decision module: it does not affect the active one, and counts differences by kind.
 
 use dunlincleat::api::{Attempt, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
@@ -31,7 +31,7 @@
     }
 }
 
-/// A day of requests under `settings`, watched or not: all outputs in words, and the counts.
+/// Runs requests under `settings`, with or without a shadow module. Returns all outputs as text, and its counts.
 fn day(watched: Option<&Site>, settings: &Site) -> (Vec<String>, Watched) {
     let mut engine: Engine<u64, u64> = Engine::new(settings, 7, 1_000);
     if let Some(other) = watched {
@@ -42,7 +42,7 @@
     for tick in 0..6_000_u64 {
         let now = Time(1_000_000_000 + tick * MS);
         if tick % 400 == 0 {
-            // Server 0 is told to be crowded ever more.
+            // The list reports an ever higher load of server 0.
             let weight = |n: u32| if n == 0 { 1.0 / (1.0 + (tick / 400) as f64 * 4.0) } else { 1.0 };
             let kind = if tick == 0 {
                 dunlincleat::api::ListKind::Whole
@@ -91,7 +91,7 @@
     (words, engine.take_watched().unwrap_or_default())
 }
 
-/// Watching shares no draw and no timer with deciding: not one output may differ.
+/// The shadow module shares no random draws and no timers with the active module, so no output may differ.
 #[test]
 fn no_output_changes_for_being_watched() {
     let (plain, other) = (site(""), site(r#""weight_source":"live","family_info":{"warm_keys":true},"#));
@@ -102,7 +102,8 @@
     assert!(counted.alike > 0 && counted.other_server + counted.other_zone > 100, "{counted:?}");
 }
 
-/// Each kind has its own count: what is dear to cross, what may be copied, what would be probed.
+/// Each kind of difference has its own count: with the same settings, with expensive cross-zone traffic, and with
+/// inline load reports.
 #[test]
 fn what_would_have_been_otherwise_is_counted_by_kind() {
     let plain = site("");
