--- a/crates/engine/benches/path.rs
+++ b/crates/engine/benches/path.rs
@@ -26,21 +26,21 @@
     "limits":{"try_limit":4,"connect_timeout":100000},
     "classes":[{"name":"read","aim":300000,"deadline":740000,"gain":1.0,"late_worth":0.5,"semantics":"retryable"}],
     "safety":{"cold":1000000,"cold_from":0.3}}"#;
-const FILE: &str =
+const LIMITS_FILE: &str =
     "[defaults]\nattempts = 3\nattempt_timeout = '200ms'\nmax_in_hand = 100\nretry_budget = { part = 0.2 }";
 
-struct Path {
+struct RequestPath {
     engine: Engine<u64, u64>,
     rule: Option<Arc<Rule>>,
     now: u64,
     id: u64,
-    out: Vec<Output<u64, u64>>,
+    outputs: Vec<Output<u64, u64>>,
 }
 
-impl Path {
-    fn new(servers: u16, limits: bool) -> Path {
+impl RequestPath {
+    fn new(servers: u16, limits: bool) -> RequestPath {
         let site: Site = read(SETTINGS).expect("the settings are right");
-        let rules = check(FILE, &site).1.expect("the file is right");
+        let rules = check(LIMITS_FILE, &site).1.expect("the file is right");
         let mut engine = Engine::new(&site, 7, 10_000);
         let entry = |n: u16| Entry {
             uid: format!("s{n}"),
@@ -54,27 +54,27 @@
         };
         let entries = (0..servers).map(entry).collect();
         let now = 1_800_000_000_000_000;
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         let known = Delivery { kind: ListKind::Cached, rev: 1, entries, odd: Vec::new() };
-        engine.input(Time(now), Input::Listed(known), &mut out);
+        engine.input(Time(now), Input::Listed(known), &mut outputs);
         let rule = limits.then(|| rules.default_rule().clone());
-        Path { engine, rule, now, id: 0, out }
+        RequestPath { engine, rule, now, id: 0, outputs }
     }
 
     /// Runs one request, one millisecond after the previous one, and first the timers that have expired by then.
     fn request(&mut self) {
         self.now += 1000;
-        self.out.clear();
-        self.engine.wake(Time(self.now), &mut self.out);
+        self.outputs.clear();
+        self.engine.wake(Time(self.now), &mut self.outputs);
         self.decide();
     }
 
     /// Runs the next window step.
-    fn step(&mut self) {
-        self.out.clear();
+    fn window_step(&mut self) {
+        self.outputs.clear();
         self.now = self.now.max(self.engine.due().map_or(0, |due| due.0));
-        self.engine.wake(Time(self.now), &mut self.out);
-        black_box(&self.out);
+        self.engine.wake(Time(self.now), &mut self.outputs);
+        black_box(&self.outputs);
     }
 
     /// Runs one request, answered with a latency of 5 ms.
@@ -82,18 +82,22 @@
         self.id += 1;
         let (now, id) = (Time(self.now), RequestId(self.id));
         let ask = Ask { wait: Span(740_000), rule: self.rule.clone(), ..Ask::default() };
-        self.out.clear();
-        self.engine.input(now, Input::Request { id, ask, received: now, payload: self.id }, &mut self.out);
-        let sent = self.out.iter().find_map(|output| match output {
+        self.outputs.clear();
+        self.engine.input(
+            now,
+            Input::Request { id, ask, received: now, payload: self.id },
+            &mut self.outputs,
+        );
+        let sent = self.outputs.iter().find_map(|output| match output {
             Output::Attempt { attempt, server, .. } => Some((*attempt, *server)),
             _ => None,
         });
         let Some((attempt, server)): Option<(Attempt, ServerId)> = sent else { return };
-        self.out.clear();
+        self.outputs.clear();
         let load = vec![1.0, 0.0, 0.4];
         let ended = Ended { status: Status::Ok, latency: Span(5000), load, body: Some(self.id) };
-        self.engine.input(now, Input::Ended { id, attempt, server, ended }, &mut self.out);
-        black_box(&self.out);
+        self.engine.input(now, Input::Ended { id, attempt, server, ended }, &mut self.outputs);
+        black_box(&self.outputs);
     }
 }
 
@@ -102,7 +106,7 @@
     for servers in [12, 160, 1000] {
         for limits in [false, true] {
             let name = if limits { "with limits" } else { "without a file" };
-            let mut path = Path::new(servers, limits);
+            let mut path = RequestPath::new(servers, limits);
             (0..5000).for_each(|_| path.request());
             let region = Region::new(GLOBAL);
             (0..5000).for_each(|_| path.request());
@@ -116,47 +120,47 @@
 
 /// Requests between two window steps, and the microseconds between these requests. Their product stays below the time
 /// after which a request would close the window early.
-const BURST: u64 = 25;
-const APART: u64 = 200;
+const REQUESTS_BETWEEN_STEPS: u64 = 25;
+const REQUEST_INTERVAL_US: u64 = 200;
 
 /// Measures decisions and window steps, each without the other.
-fn apart(c: &mut Criterion) {
+fn separate_steps(c: &mut Criterion) {
     let mut group = c.benchmark_group("apart");
     for servers in [6, 60, 200, 3100] {
-        let mut path = Path::new(servers, false);
+        let mut path = RequestPath::new(servers, false);
         (0..3 * servers.max(200)).for_each(|_| path.request());
         group.bench_function(BenchmarkId::new("decision", servers), |b| {
-            b.iter_custom(|all| {
-                let (mut took, mut left) = (Duration::ZERO, all);
+            b.iter_custom(|iterations| {
+                let (mut elapsed, mut left) = (Duration::ZERO, iterations);
                 while left > 0 {
-                    path.step();
-                    let some = left.min(BURST);
-                    let begun = Instant::now();
-                    for _ in 0..some {
-                        path.now += APART;
+                    path.window_step();
+                    let batch = left.min(REQUESTS_BETWEEN_STEPS);
+                    let started = Instant::now();
+                    for _ in 0..batch {
+                        path.now += REQUEST_INTERVAL_US;
                         path.decide();
                     }
-                    took += begun.elapsed();
-                    left -= some;
+                    elapsed += started.elapsed();
+                    left -= batch;
                 }
-                took
+                elapsed
             });
         });
         group.bench_function(BenchmarkId::new("window step", servers), |b| {
-            b.iter_custom(|all| {
-                let mut took = Duration::ZERO;
-                for _ in 0..all {
+            b.iter_custom(|iterations| {
+                let mut elapsed = Duration::ZERO;
+                for _ in 0..iterations {
                     (0..4).for_each(|_| path.decide());
-                    let begun = Instant::now();
-                    path.step();
-                    took += begun.elapsed();
+                    let started = Instant::now();
+                    path.window_step();
+                    elapsed += started.elapsed();
                 }
-                took
+                elapsed
             });
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, requests, apart);
+criterion_group!(benches, requests, separate_steps);
 criterion_main!(benches);
--- a/crates/engine/src/core.rs
+++ b/crates/engine/src/core.rs
@@ -1,6 +1,6 @@
 //! State machine between the fronts and the transports. It owns the table of requests, the timers of the decision
-//! modules and the final answer of each request: a request is answered once, by [`Engine::settle`], and removed from
-//! the table by [`Engine::forget`] when no attempt of it is in flight.
+//! modules and the final answer of each request: a request is answered once, by [`Engine::answer`], and removed from
+//! the table by [`Engine::remove_if_finished`] when no attempt of it is in flight.
 //!
 //! It makes no decisions of its own: the decision module chooses servers, retries and refusals, within what the
 //! operator's limits allow. Each pool of servers has its own decision module; without a limits file there is one pool.
@@ -253,47 +253,47 @@
 
 /// A request that has not been answered yet or has attempts in flight.
 #[derive(Clone, Debug)]
-struct Entry<P> {
+struct OpenRequest<P> {
     payload: P,
     wait: Span,
     slot: SlotId,
     rule: Option<Arc<Rule>>,
     /// Maximum number of attempts.
-    most: u32,
+    max_attempts: u32,
     /// What it occupies of its route's limits, until it is answered.
-    stand: Stand,
+    route_state: Stand,
     answered: bool,
     /// Its attempts, in order, and how many of them are in flight.
-    attempts: Vec<Tried>,
-    out: usize,
+    attempts: Vec<AttemptRecord>,
+    in_flight: usize,
     /// The attempt whose response is being streamed to the client.
-    passing: Option<Attempt>,
+    streaming: Option<Attempt>,
     /// How long servers remember its key, if its class has keys.
-    window: Option<Span>,
+    key_window: Option<Span>,
 }
 
 /// An attempt that the engine started.
 #[derive(Clone, Copy, Debug)]
-struct Tried {
+struct AttemptRecord {
     server: ServerId,
-    at: Time,
-    ended: Option<Status>,
+    started: Time,
+    status: Option<Status>,
 }
 
 /// Purpose of a timer.
 #[derive(Clone, Copy, Debug)]
-enum Due {
-    Module(SlotId, Token),
+enum TimerKind {
+    DecisionModule(SlotId, Token),
     /// The hedged request of an open request is due.
-    Copy(RequestId),
+    Hedge(RequestId),
 }
 
 /// Returns the longest time for which a request may be open.
-fn longest(site: &Site) -> Span {
+fn longest_deadline(site: &Site) -> Span {
     site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
 }
 
-fn windows(site: &Site) -> Vec<Option<Span>> {
+fn key_windows(site: &Site) -> Vec<Option<Span>> {
     let window = |effect| match effect {
         Effect::Keyed { window, .. } => Some(window),
         Effect::Safe | Effect::Unsafe => None,
@@ -307,44 +307,44 @@
     gate: Gate,
     max_attempts: u32,
     /// Attempts may be cancelled.
-    cancel: bool,
+    cancel_allowed: bool,
     /// How long servers remember the keys of each class, if it has keys.
-    windows: Vec<Option<Span>>,
-    timers: Timers<Due>,
-    requests: FxHashMap<RequestId, Entry<P>>,
+    key_windows: Vec<Option<Span>>,
+    timers: Timers<TimerKind>,
+    requests: FxHashMap<RequestId, OpenRequest<P>>,
     places: Places,
     /// How long the id of a removed server stays reserved: as long as an open request may refer to it.
-    remembered: Span,
+    id_retention: Span,
     /// Inputs that the engine produced itself while it carried out actions.
-    own: VecDeque<Input<P, B>>,
+    internal_inputs: VecDeque<Input<P, B>>,
     actions: Vec<Action>,
     tally: Tally,
     /// The request whose hedge was charged to the retry budget of its rule just now.
-    paid: Option<RequestId>,
+    charged_hedge: Option<RequestId>,
     /// Decision module under other settings that is only compared with the active one.
-    watch: Option<Box<Watch>>,
+    shadow: Option<Box<Watch>>,
 }
 
 impl<P: Clone, B> Engine<P, B> {
     /// Creates an engine that may have `most` requests open; `seed` initialises the random draws.
     #[must_use]
-    pub fn new(site: &Site, seed: u64, most: u32) -> Engine<P, B> {
-        let longest = longest(site);
+    pub fn new(site: &Site, seed: u64, max_requests: u32) -> Engine<P, B> {
+        let longest_deadline = longest_deadline(site);
         Engine {
             max_attempts: site.settings.limits.max_attempts,
-            cancel: site.settings.limits.cancel,
-            windows: windows(site),
-            remembered: longest,
-            pools: Pools::new(site, seed, longest),
-            gate: Gate::new(most),
+            cancel_allowed: site.settings.limits.cancel,
+            key_windows: key_windows(site),
+            id_retention: longest_deadline,
+            pools: Pools::new(site, seed, longest_deadline),
+            gate: Gate::new(max_requests),
             timers: Timers::default(),
             requests: FxHashMap::default(),
             places: Places::default(),
-            own: VecDeque::new(),
+            internal_inputs: VecDeque::new(),
             actions: Vec::new(),
             tally: Tally::default(),
-            paid: None,
-            watch: None,
+            charged_hedge: None,
+            shadow: None,
         }
     }
 
@@ -386,54 +386,56 @@
     /// Sets the shadow module. It is compared with the decision module over all servers only, not with those of other
     /// pools.
     pub fn watch(&mut self, watch: Watch) {
-        self.watch = Some(Box::new(watch));
+        self.shadow = Some(Box::new(watch));
     }
 
     /// Returns the counts of the shadow module since the last call and resets them; none without a shadow module.
     pub fn take_watched(&mut self) -> Option<Watched> {
-        self.watch.as_mut().map(|watch| watch.take())
+        self.shadow.as_mut().map(|watch| watch.take())
     }
 
     /// Processes all timers that have expired.
-    pub fn wake(&mut self, now: Time, out: &mut Vec<Output<P, B>>) {
+    pub fn wake(&mut self, now: Time, outputs: &mut Vec<Output<P, B>>) {
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::Module(slot, token) => self.event(now, slot, Event::Timer { token }, out),
-                Due::Copy(id) => self.copy(now, id, out),
+                TimerKind::DecisionModule(slot, token) => {
+                    self.notify_module(now, slot, Event::Timer { token }, outputs)
+                }
+                TimerKind::Hedge(id) => self.hedge(now, id, outputs),
             }
         }
-        self.own_inputs(now, out);
+        self.process_internal_inputs(now, outputs);
     }
 
     /// Processes one input.
-    pub fn input(&mut self, now: Time, input: Input<P, B>, out: &mut Vec<Output<P, B>>) {
-        self.take(now, input, out);
-        self.own_inputs(now, out);
+    pub fn input(&mut self, now: Time, input: Input<P, B>, outputs: &mut Vec<Output<P, B>>) {
+        self.process(now, input, outputs);
+        self.process_internal_inputs(now, outputs);
     }
 
-    fn own_inputs(&mut self, now: Time, out: &mut Vec<Output<P, B>>) {
-        while let Some(input) = self.own.pop_front() {
-            self.take(now, input, out);
+    fn process_internal_inputs(&mut self, now: Time, outputs: &mut Vec<Output<P, B>>) {
+        while let Some(input) = self.internal_inputs.pop_front() {
+            self.process(now, input, outputs);
         }
     }
 
-    fn take(&mut self, now: Time, input: Input<P, B>, out: &mut Vec<Output<P, B>>) {
+    fn process(&mut self, now: Time, input: Input<P, B>, outputs: &mut Vec<Output<P, B>>) {
         match input {
             Input::Request { id, ask, received, payload } => {
                 self.tally.taken += 1;
                 let Ask { class, tenant, wait, hint, key, repeat, rule } = ask;
-                let mut stand = Stand::default();
+                let mut route_state = Stand::default();
                 let mut slot = SlotId::ALL;
                 let mut wait = wait;
                 if let Some(rule) = &rule {
                     match self.gate.admit(now, rule) {
-                        Ok(admitted) => stand = admitted,
+                        Ok(admitted) => route_state = admitted,
                         Err(_) => {
                             // Nothing of it has run, and the decision module is never notified of it.
                             (self.tally.refused, self.tally.limited) =
                                 (self.tally.refused + 1, self.tally.limited + 1);
                             let answer = Answer::Refused { retry_after: None };
-                            return out.push(Output::Answer { id, answer });
+                            return outputs.push(Output::Answer { id, answer });
                         }
                     }
                     slot = self.pools.of(now, rule, &self.places);
@@ -441,75 +443,94 @@
                 }
                 let left = Span(wait.0.saturating_sub((now - received).0));
                 let (answered, attempts) = (false, Vec::new());
-                let most = self.max_attempts;
-                let entry = Entry {
+                let max_attempts = self.max_attempts;
+                let entry = OpenRequest {
                     payload,
                     wait,
                     slot,
                     rule,
-                    most,
-                    stand,
+                    max_attempts,
+                    route_state,
                     answered,
                     attempts,
-                    out: 0,
-                    passing: None,
-                    window: self.windows.get(class as usize).copied().flatten(),
+                    in_flight: 0,
+                    streaming: None,
+                    key_window: self.key_windows.get(class as usize).copied().flatten(),
                 };
                 self.requests.insert(id, entry);
-                self.event(now, slot, Event::Request { id, left, class, tenant, hint, key, repeat }, out);
+                self.notify_module(
+                    now,
+                    slot,
+                    Event::Request { id, left, class, tenant, hint, key, repeat },
+                    outputs,
+                );
             }
             Input::Gone(id) => {
-                if let Some(slot) = self.close(id) {
+                if let Some(slot) = self.mark_answered(id) {
                     self.tally.gone += 1;
                     // Without this, an attempt that waited for a connection was sent long after its client had left.
-                    self.out_of(id, out, |id, attempt, server| Output::Withdraw { id, attempt, server });
-                    self.event(now, slot, Event::Gone { id }, out);
+                    self.push_for_unfinished(id, outputs, |id, attempt, server| Output::Withdraw {
+                        id,
+                        attempt,
+                        server,
+                    });
+                    self.notify_module(now, slot, Event::Gone { id }, outputs);
                 }
-                self.forget(id);
+                self.remove_if_finished(id);
             }
             Input::Began { id, attempt, server, ended } => {
                 let Some(entry) = self.requests.get_mut(&id) else { return };
                 // For the decision module the attempt ends with the first bytes, because the rest of the stream says
                 // nothing about the service time of the server. In this table it stays in flight until its transport
                 // has finished, and its own answer does not cancel it.
-                entry.passing = Some(attempt);
-                entry.out += 1;
-                self.ended(now, id, attempt, server, ended, out);
+                entry.streaming = Some(attempt);
+                entry.in_flight += 1;
+                self.attempt_ended(now, id, attempt, server, ended, outputs);
             }
             Input::Uploads { id, server, over } => {
                 if let Some(slot) = self.requests.get(&id).map(|entry| entry.slot) {
-                    self.event(now, slot, Event::Uploads { id, server, over }, out);
+                    self.notify_module(now, slot, Event::Uploads { id, server, over }, outputs);
                 }
             }
             Input::Ended { id, attempt, server, ended } => {
                 self.places.returned(now, server, ended.status);
-                if let Some(entry) = self.requests.get_mut(&id).filter(|e| e.passing == Some(attempt)) {
-                    entry.out = entry.out.saturating_sub(1);
-                    return self.forget(id);
+                if let Some(entry) = self.requests.get_mut(&id).filter(|e| e.streaming == Some(attempt)) {
+                    entry.in_flight = entry.in_flight.saturating_sub(1);
+                    return self.remove_if_finished(id);
                 }
-                self.ended(now, id, attempt, server, ended, out);
+                self.attempt_ended(now, id, attempt, server, ended, outputs);
             }
             Input::Probed { server, asked, ended } => {
                 self.places.returned(now, server, ended.status);
                 let Ended { status, latency, load, .. } = ended;
-                self.event(now, asked, Event::Probed { server, status, latency, load: &load }, out);
+                self.notify_module(
+                    now,
+                    asked,
+                    Event::Probed { server, status, latency, load: &load },
+                    outputs,
+                );
             }
-            Input::Listed(delivery) => self.listed(now, &delivery, out),
+            Input::Listed(delivery) => self.update_servers(now, &delivery, outputs),
             Input::ListFailed => {
                 for slot in self.pools.slots() {
-                    self.event(now, slot, Event::Members { kind: ListKind::Failed, entries: &[] }, out);
+                    self.notify_module(
+                        now,
+                        slot,
+                        Event::Members { kind: ListKind::Failed, entries: &[] },
+                        outputs,
+                    );
                 }
             }
             Input::Settings { site, watched } => {
                 self.max_attempts = site.settings.limits.max_attempts;
-                self.cancel = site.settings.limits.cancel;
-                self.windows = windows(&site);
+                self.cancel_allowed = site.settings.limits.cancel;
+                self.key_windows = key_windows(&site);
                 // An open request may still have the longer deadline of earlier settings.
-                self.remembered = self.remembered.max(longest(&site));
-                for slot in self.pools.settle(&site, self.remembered) {
-                    self.event(now, slot, Event::Settings { set: &site.settings }, out);
+                self.id_retention = self.id_retention.max(longest_deadline(&site));
+                for slot in self.pools.settle(&site, self.id_retention) {
+                    self.notify_module(now, slot, Event::Settings { set: &site.settings }, outputs);
                 }
-                if let (Some(watch), Some(settings)) = (&mut self.watch, &watched) {
+                if let (Some(watch), Some(settings)) = (&mut self.shadow, &watched) {
                     watch.adopt(now, settings);
                 }
             }
@@ -517,73 +538,78 @@
                 self.gate.keep(rules.rules().map(|rule| rule.name.as_str()));
                 for (slot, members) in self.pools.adopt(now, &rules) {
                     let entries = &members;
-                    self.event(now, slot, Event::Members { kind: ListKind::Cached, entries }, out);
+                    self.notify_module(
+                        now,
+                        slot,
+                        Event::Members { kind: ListKind::Cached, entries },
+                        outputs,
+                    );
                 }
             }
         }
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         now: Time,
         id: RequestId,
         attempt: Attempt,
         server: ServerId,
         ended: Ended<B>,
-        out: &mut Vec<Output<P, B>>,
+        outputs: &mut Vec<Output<P, B>>,
     ) {
         let Ended { status, latency, load, body } = ended;
         let (mut closed, mut again, mut slot) = (true, true, SlotId::ALL);
         if let Some(entry) = self.requests.get_mut(&id) {
-            entry.out = entry.out.saturating_sub(1);
-            if let Some(tried) = entry.attempts.get_mut(attempt.0 as usize) {
-                tried.ended = Some(status);
+            entry.in_flight = entry.in_flight.saturating_sub(1);
+            if let Some(record) = entry.attempts.get_mut(attempt.0 as usize) {
+                record.status = Some(status);
             }
             if let Some(rule) = entry.rule.as_ref().filter(|_| status == Status::Ok) {
                 self.gate.took(rule, latency);
             }
             slot = entry.slot;
             match (status, body) {
-                (Status::Ok, Some(body)) => self.settle(id, Answer::Served(body), out),
+                (Status::Ok, Some(body)) => self.answer(id, Answer::Served(body), outputs),
                 _ => closed = entry.answered,
             }
         }
-        if let Some(entry) = self.requests.get_mut(&id).filter(|e| !e.answered && e.out == 0)
+        if let Some(entry) = self.requests.get_mut(&id).filter(|e| !e.answered && e.in_flight == 0)
             && let Some(rule) = &entry.rule
         {
-            self.gate.waits_again(rule, &mut entry.stand);
-            again = self.gate.repeat(now, rule, &mut entry.stand, entry.attempts.len() as u32);
+            self.gate.waits_again(rule, &mut entry.route_state);
+            again = self.gate.repeat(now, rule, &mut entry.route_state, entry.attempts.len() as u32);
         }
         let outcome = Event::Outcome { id, attempt, status, closed, again, latency, server, load: &load };
-        self.event(now, slot, outcome, out);
-        self.forget(id);
+        self.notify_module(now, slot, outcome, outputs);
+        self.remove_if_finished(id);
     }
 
     /// Removes a request from the table if it has been answered and no attempt is in flight.
-    fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|entry| entry.answered && entry.out == 0) {
+    fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|entry| entry.answered && entry.in_flight == 0) {
             self.requests.remove(&id);
         }
     }
 
-    fn listed(&mut self, now: Time, listing: &Delivery, out: &mut Vec<Output<P, B>>) {
-        let kind = listing.kind;
-        let cleared = self.places.clear_out(now, self.remembered);
-        out.extend(cleared.into_iter().map(|server| Output::Close { server }));
-        let mut numbers = Vec::with_capacity(listing.entries.len());
-        for entry in &listing.entries {
+    fn update_servers(&mut self, now: Time, delivery: &Delivery, outputs: &mut Vec<Output<P, B>>) {
+        let kind = delivery.kind;
+        let cleared = self.places.clear_out(now, self.id_retention);
+        outputs.extend(cleared.into_iter().map(|server| Output::Close { server }));
+        let mut numbers = Vec::with_capacity(delivery.entries.len());
+        for entry in &delivery.entries {
             let server = self.places.number(&entry.uid);
             let Some(place) = self.places.get_mut(server) else { continue };
             let state = entry.state;
             place.gone = (state == State::Gone).then(|| place.gone.unwrap_or(now));
             let at = entry.endpoint.map(|at| (at, entry.boot_ms));
             match at {
-                at if place.open => out.push(Output::Listed { server, at, state }),
+                at if place.open => outputs.push(Output::Listed { server, at, state }),
                 Some((at, boot_ms)) if state != State::Gone => {
                     place.open = true;
-                    out.push(Output::Open { server, at, boot_ms });
+                    outputs.push(Output::Open { server, at, boot_ms });
                     // It may be draining when it is first listed.
-                    out.push(Output::Listed { server, at: Some((at, boot_ms)), state });
+                    outputs.push(Output::Listed { server, at: Some((at, boot_ms)), state });
                 }
                 Some(_) | None => {}
             }
@@ -592,129 +618,135 @@
         if kind == ListKind::Whole {
             // Servers that are missing from a whole list are gone, although no entry says so.
             let listed: FxHashSet<ServerId> = numbers.iter().copied().collect();
-            let lacking = self.places.taken().map(|(server, _)| server).filter(|s| !listed.contains(s));
-            for server in lacking.collect::<Vec<_>>() {
+            let missing = self.places.taken().map(|(server, _)| server).filter(|s| !listed.contains(s));
+            for server in missing.collect::<Vec<_>>() {
                 let Some(place) = self.places.get_mut(server) else { continue };
                 place.gone = place.gone.or(Some(now));
                 if place.open {
-                    out.push(Output::Listed { server, at: None, state: State::Gone });
+                    outputs.push(Output::Listed { server, at: None, state: State::Gone });
                 }
             }
         }
-        for (slot, members) in self.pools.listed(now, kind, &listing.entries, &numbers) {
-            self.event(now, slot, Event::Members { kind, entries: &members }, out);
+        for (slot, members) in self.pools.listed(now, kind, &delivery.entries, &numbers) {
+            self.notify_module(now, slot, Event::Members { kind, entries: &members }, outputs);
         }
     }
 
     /// Passes an event to the decision module of a pool and carries out the resulting actions.
-    fn event(&mut self, now: Time, slot: SlotId, event: Event<'_>, out: &mut Vec<Output<P, B>>) {
+    fn notify_module(&mut self, now: Time, slot: SlotId, event: Event<'_>, outputs: &mut Vec<Output<P, B>>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.pools.on_event(now, slot, event, &mut actions);
-        if let Some(watch) = self.watch.as_mut().filter(|_| slot == SlotId::ALL) {
+        if let Some(watch) = self.shadow.as_mut().filter(|_| slot == SlotId::ALL) {
             watch.see(now, event, &actions);
         }
         for action in actions.drain(..) {
-            self.act(now, slot, action, out);
+            self.apply(now, slot, action, outputs);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, now: Time, slot: SlotId, action: Action, out: &mut Vec<Output<P, B>>) {
+    fn apply(&mut self, now: Time, slot: SlotId, action: Action, outputs: &mut Vec<Output<P, B>>) {
         match action {
-            Action::Send { id, server, until } => self.send(now, id, server, until, out),
+            Action::Send { id, server, until } => self.start_attempt(now, id, server, until, outputs),
             Action::Refuse { id, retry_after } => {
-                self.settle(id, Answer::Refused { retry_after }, out);
-                self.forget(id);
+                self.answer(id, Answer::Refused { retry_after }, outputs);
+                self.remove_if_finished(id);
             }
             Action::Fail { id } => {
-                self.settle(id, Answer::Failed, out);
-                self.forget(id);
+                self.answer(id, Answer::Failed, outputs);
+                self.remove_if_finished(id);
             }
             Action::Cancel { id, attempt } => {
                 let entry = self.requests.get(&id);
-                if let Some(tried) = entry.and_then(|e| e.attempts.get(attempt.0 as usize)) {
-                    out.push(Output::Cancel { id, attempt, server: tried.server });
+                if let Some(record) = entry.and_then(|e| e.attempts.get(attempt.0 as usize)) {
+                    outputs.push(Output::Cancel { id, attempt, server: record.server });
                 }
             }
             Action::Probe { server } => {
                 if self.places.goes_out(server) {
-                    out.push(Output::Probe { server, asked: slot });
+                    outputs.push(Output::Probe { server, asked: slot });
                 } else {
                     let ended = Ended::unsent(Status::ConnectFailed);
-                    self.own.push_back(Input::Probed { server, asked: slot, ended });
+                    self.internal_inputs.push_back(Input::Probed { server, asked: slot, ended });
                 }
             }
-            Action::Timer { token, delay } => self.timers.set(now + delay, Due::Module(slot, token)),
-            Action::Watch => out.push(Output::Watch),
+            Action::Timer { token, delay } => {
+                self.timers.set(now + delay, TimerKind::DecisionModule(slot, token))
+            }
+            Action::Watch => outputs.push(Output::Watch),
             // Messages between instances have no protocol yet, and the settings do not allow the decision module to
             // send any.
             Action::Tell { .. } => {}
-            Action::Log { server, text } => out.push(Output::Say { server, text }),
+            Action::Log { server, text } => outputs.push(Output::Say { server, text }),
         }
     }
 
     /// Handles a due hedge. If the first attempt is still the only one, is in flight, and the retry budget of the rule
     /// allows one more, the decision module chooses whether and where to send the hedged request.
-    fn copy(&mut self, now: Time, id: RequestId, out: &mut Vec<Output<P, B>>) {
+    fn hedge(&mut self, now: Time, id: RequestId, outputs: &mut Vec<Output<P, B>>) {
         let Some(entry) = self.requests.get_mut(&id) else { return };
-        let Some(rule) = entry.rule.as_ref().filter(|_| !entry.answered && entry.out == 1) else { return };
-        if entry.attempts.len() == 1 && self.gate.repeat(now, rule, &mut entry.stand, 1) {
+        let Some(rule) = entry.rule.as_ref().filter(|_| !entry.answered && entry.in_flight == 1) else {
+            return;
+        };
+        if entry.attempts.len() == 1 && self.gate.repeat(now, rule, &mut entry.route_state, 1) {
             let slot = entry.slot;
-            self.paid = Some(id);
-            self.event(now, slot, Event::Copy { id }, out);
-            self.paid = None;
+            self.charged_hedge = Some(id);
+            self.notify_module(now, slot, Event::Copy { id }, outputs);
+            self.charged_hedge = None;
         }
     }
 
-    fn send(
+    fn start_attempt(
         &mut self,
         now: Time,
         id: RequestId,
         server: ServerId,
         until: Option<Time>,
-        out: &mut Vec<Output<P, B>>,
+        outputs: &mut Vec<Output<P, B>>,
     ) {
         let Some(entry) = self.requests.get_mut(&id) else { return };
         let attempt = Attempt(entry.attempts.len() as u32);
         // A repeat must start before the servers forget the key of the first attempt that may have run. Without this,
         // a repeat that waited for a connection started after that.
-        let ran = entry.attempts.iter().find(|tried| !tried.ended.is_some_and(Status::never_ran));
-        let forgotten = entry.window.zip(ran).map(|(window, first)| first.at + window);
-        entry.attempts.push(Tried { server, at: now, ended: None });
-        entry.out += 1;
+        let ran = entry.attempts.iter().find(|record| !record.status.is_some_and(Status::never_ran));
+        let key_expiry = entry.key_window.zip(ran).map(|(window, first)| first.started + window);
+        entry.attempts.push(AttemptRecord { server, started: now, status: None });
+        entry.in_flight += 1;
         self.tally.attempts += 1;
-        let mut over = entry.answered || attempt.0 >= entry.most;
+        let mut rejected = entry.answered || attempt.0 >= entry.max_attempts;
         // A hedge that the decision module chose itself is sent only if the rule of its route allows one more attempt.
-        if let Some(rule) = entry.rule.as_ref().filter(|_| entry.out > 1 && self.paid != Some(id)) {
-            over |= !self.gate.repeat(now, rule, &mut entry.stand, attempt.0);
+        if let Some(rule) =
+            entry.rule.as_ref().filter(|_| entry.in_flight > 1 && self.charged_hedge != Some(id))
+        {
+            rejected |= !self.gate.repeat(now, rule, &mut entry.route_state, attempt.0);
         }
         // An attempt without its own time limit lasts until the client gives up, which ends it as a client that left.
         let mut until = until.unwrap_or(now + entry.wait);
         let mut connect = None;
         if let Some(rule) = &entry.rule {
-            self.gate.goes_out(rule, &mut entry.stand);
+            self.gate.goes_out(rule, &mut entry.route_state);
             until = rule.attempt_timeout.map_or(until, |timeout| until.min(now + timeout));
             connect = rule.connect_timeout;
             if let Some(after) = self.gate.copy_after(rule).filter(|_| attempt.0 == 0) {
-                self.timers.set(now + after, Due::Copy(id));
+                self.timers.set(now + after, TimerKind::Hedge(id));
             }
         }
-        if let Some(forgotten) = forgotten {
-            let left = forgotten - now;
+        if let Some(key_expiry) = key_expiry {
+            let left = key_expiry - now;
             connect = Some(connect.map_or(left, |connect| connect.min(left)));
         }
         let payload = entry.payload.clone();
-        let there = self.places.goes_out(server);
-        if there && !over {
-            return out.push(Output::Attempt { id, attempt, server, payload, until, connect });
+        let transport_open = self.places.goes_out(server);
+        if transport_open && !rejected {
+            return outputs.push(Output::Attempt { id, attempt, server, payload, until, connect });
         }
-        let status = if over { Status::Moot } else { Status::ConnectFailed };
-        self.own.push_back(Input::Ended { id, attempt, server, ended: Ended::unsent(status) });
+        let status = if rejected { Status::Moot } else { Status::ConnectFailed };
+        self.internal_inputs.push_back(Input::Ended { id, attempt, server, ended: Ended::unsent(status) });
     }
 
     /// Gives a request its final answer, unless it already has one.
-    fn settle(&mut self, id: RequestId, answer: Answer<B>, out: &mut Vec<Output<P, B>>) {
-        if self.close(id).is_none() {
+    fn answer(&mut self, id: RequestId, answer: Answer<B>, outputs: &mut Vec<Output<P, B>>) {
+        if self.mark_answered(id).is_none() {
             return;
         }
         match answer {
@@ -722,34 +754,34 @@
             Answer::Refused { .. } => self.tally.refused += 1,
             Answer::Failed => self.tally.failed += 1,
         }
-        out.push(Output::Answer { id, answer });
+        outputs.push(Output::Answer { id, answer });
         // The response to the losing hedge or first attempt is not needed any more.
-        let cancel = self.cancel;
-        self.out_of(id, out, |id, attempt, server| match cancel {
+        let cancel = self.cancel_allowed;
+        self.push_for_unfinished(id, outputs, |id, attempt, server| match cancel {
             true => Output::Cancel { id, attempt, server },
             false => Output::Withdraw { id, attempt, server },
         });
     }
 
     /// Emits an output for each attempt of a request that has not ended.
-    fn out_of(
+    fn push_for_unfinished(
         &self,
         id: RequestId,
-        out: &mut Vec<Output<P, B>>,
-        say: impl Fn(RequestId, Attempt, ServerId) -> Output<P, B>,
+        outputs: &mut Vec<Output<P, B>>,
+        output: impl Fn(RequestId, Attempt, ServerId) -> Output<P, B>,
     ) {
         let Some(entry) = self.requests.get(&id) else { return };
-        let still = entry.attempts.iter().enumerate().filter(|(_, tried)| tried.ended.is_none());
-        out.extend(still.map(|(n, tried)| say(id, Attempt(n as u32), tried.server)));
+        let unfinished = entry.attempts.iter().enumerate().filter(|(_, record)| record.status.is_none());
+        outputs.extend(unfinished.map(|(n, record)| output(id, Attempt(n as u32), record.server)));
     }
 
     /// Marks a request as answered. Its share of the route's limits is released here and nowhere else. Returns the
     /// pool of the request, or none if it was already answered.
-    fn close(&mut self, id: RequestId) -> Option<SlotId> {
+    fn mark_answered(&mut self, id: RequestId) -> Option<SlotId> {
         let entry = self.requests.get_mut(&id).filter(|entry| !entry.answered)?;
         entry.answered = true;
         if let Some(rule) = &entry.rule {
-            self.gate.over(rule, std::mem::take(&mut entry.stand));
+            self.gate.over(rule, std::mem::take(&mut entry.route_state));
         }
         Some(entry.slot)
     }
--- a/crates/engine/src/places.rs
+++ b/crates/engine/src/places.rs
@@ -20,16 +20,16 @@
 }
 
 /// Consecutive failures after which a server counts as unhealthy.
-const FAILED: u32 = 3;
+const UNHEALTHY_FAILURES: u32 = 3;
 /// How long after the last failure a server stays unhealthy. Without traffic nothing else would show that it has
 /// recovered.
-const FAILED_FOR: Span = Span(10_000_000);
+const UNHEALTHY_DURATION: Span = Span(10_000_000);
 
 impl Place {
     /// Whether the server counts as healthy in the choice of a pool. The draw of servers does not use this.
     #[must_use]
     pub fn healthy(&self, now: Time) -> bool {
-        self.failed.0 < FAILED || now - self.failed.1 > FAILED_FOR
+        self.failed.0 < UNHEALTHY_FAILURES || now - self.failed.1 > UNHEALTHY_DURATION
     }
 }
 
@@ -39,7 +39,7 @@
     places: Vec<Place>,
     by_uid: FxHashMap<String, ServerId>,
     /// Released ids, reused for new servers.
-    free: Vec<ServerId>,
+    free_ids: Vec<ServerId>,
 }
 
 impl Places {
@@ -48,7 +48,7 @@
         if let Some(server) = self.by_uid.get(uid) {
             return *server;
         }
-        let server = self.free.pop().unwrap_or_else(|| {
+        let server = self.free_ids.pop().unwrap_or_else(|| {
             self.places.push(Place::default());
             ServerId(self.places.len() as u32 - 1)
         });
@@ -104,21 +104,22 @@
 
     /// Iterates over all assigned ids.
     pub fn taken(&self) -> impl Iterator<Item = (ServerId, &Place)> {
-        let numbered = self.places.iter().enumerate().map(|(n, place)| (ServerId(n as u32), place));
-        numbered.filter(|(_, place)| !place.uid.is_empty())
+        let with_id = self.places.iter().enumerate().map(|(index, place)| (ServerId(index as u32), place));
+        with_id.filter(|(_, place)| !place.uid.is_empty())
     }
 
     /// Releases the ids of servers that were removed at least `remembered` ago, after which no request can refer to
     /// them, and returns these ids. Without this, the table grew with each replaced server.
     pub fn clear_out(&mut self, now: Time, remembered: Span) -> Vec<ServerId> {
-        let over = |place: &Place| place.out == 0 && place.gone.is_some_and(|gone| now - gone >= remembered);
-        let cleared: Vec<ServerId> =
-            self.taken().filter(|(_, p)| over(p)).map(|(server, _)| server).collect();
-        for server in &cleared {
+        let releasable =
+            |place: &Place| place.out == 0 && place.gone.is_some_and(|gone| now - gone >= remembered);
+        let released: Vec<ServerId> =
+            self.taken().filter(|(_, place)| releasable(place)).map(|(server, _)| server).collect();
+        for server in &released {
             let place = std::mem::take(&mut self.places[server.0 as usize]);
             self.by_uid.remove(&place.uid);
-            self.free.push(*server);
+            self.free_ids.push(*server);
         }
-        cleared
+        released
     }
 }
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// How long a front may take from looking up the rule of a request to passing the request to the engine.
-const HANDED_IN: Span = Span(10_000_000);
+const MAX_SUBMIT_DELAY: Span = Span(10_000_000);
 
 /// Identifies a pool, and its decision module, within one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,16 +22,16 @@
     pub const ALL: SlotId = SlotId(0);
 }
 
-struct Slot {
+struct Pool {
     /// Rule that selects the servers of the pool; none for the pool of all servers.
     rule: Option<PoolRule>,
     balancer: Balancer,
     /// When a new limits file dropped the pool.
-    gone: Option<Time>,
+    dropped_at: Option<Time>,
 }
 
 /// A server as last listed.
-struct Known {
+struct ListedServer {
     member: Member,
     zone: String,
     model: String,
@@ -42,13 +42,13 @@
     settings: Settings,
     zones: Vec<String>,
     seed: u64,
-    longest: Span,
-    slots: BTreeMap<SlotId, Slot>,
-    next: u32,
-    listed: BTreeMap<u32, Known>,
+    longest_deadline: Span,
+    pools: BTreeMap<SlotId, Pool>,
+    next_id: u32,
+    servers: BTreeMap<u32, ListedServer>,
 }
 
-fn selects(rule: Option<&PoolRule>, known: &Known) -> bool {
+fn selects(rule: Option<&PoolRule>, known: &ListedServer) -> bool {
     let Member { cell, weight, .. } = known.member;
     rule.is_none_or(|rule| rule.selects(&known.zone, &known.model, cell, weight))
 }
@@ -56,50 +56,58 @@
 impl Pools {
     /// Creates the pool of all servers.
     #[must_use]
-    pub fn new(site: &Site, seed: u64, longest: Span) -> Pools {
+    pub fn new(site: &Site, seed: u64, longest_deadline: Span) -> Pools {
         let settings = site.settings.clone();
         let balancer = Balancer::new(settings.clone(), seed);
-        let slots = BTreeMap::from([(SlotId::ALL, Slot { rule: None, balancer, gone: None })]);
-        Pools { settings, zones: site.zones.clone(), seed, longest, slots, next: 1, listed: BTreeMap::new() }
+        let pools = BTreeMap::from([(SlotId::ALL, Pool { rule: None, balancer, dropped_at: None })]);
+        Pools {
+            settings,
+            zones: site.zones.clone(),
+            seed,
+            longest_deadline,
+            pools,
+            next_id: 1,
+            servers: BTreeMap::new(),
+        }
     }
 
     /// Returns the ids of all pools.
     #[must_use]
     pub fn slots(&self) -> Vec<SlotId> {
-        self.slots.keys().copied().collect()
+        self.pools.keys().copied().collect()
     }
 
     /// Returns the number of listed servers that the decision module over all servers currently avoids.
     #[must_use]
     pub fn avoided(&self, now: Time) -> usize {
-        self.slots.get(&SlotId::ALL).map_or(0, |slot| slot.balancer.avoided(now))
+        self.pools.get(&SlotId::ALL).map_or(0, |pool| pool.balancer.avoided(now))
     }
 
     /// Passes an event to the decision module of a pool. Events of a removed pool are dropped.
     pub fn on_event(&mut self, now: Time, slot: SlotId, event: Event<'_>, actions: &mut Vec<Action>) {
-        if let Some(slot) = self.slots.get_mut(&slot) {
-            slot.balancer.on_event(now, event, actions);
+        if let Some(pool) = self.pools.get_mut(&slot) {
+            pool.balancer.on_event(now, event, actions);
         }
     }
 
     /// Returns the pool that serves requests under `rule`.
     #[must_use]
     pub fn of(&self, now: Time, rule: &Rule, places: &Places) -> SlotId {
-        let named = |name: &str| {
-            let named = |slot: &&Slot| slot.rule.as_ref().is_some_and(|rule| rule.name == name);
+        let find = |name: &str| {
+            let has_name = |pool: &&Pool| pool.rule.as_ref().is_some_and(|rule| rule.name == name);
             // If two pools have the same name, the one with the larger id is from the newer file.
-            self.slots.iter().rev().find(|(_, slot)| named(slot))
+            self.pools.iter().rev().find(|(_, pool)| has_name(pool))
         };
         let health = |name: &str| {
-            let Some((_, slot)) = named(name) else { return (0, 0) };
-            let ready = self.listed.values().filter(|known| known.member.state == State::Ready);
-            let mine = ready.filter(|known| selects(slot.rule.as_ref(), known));
-            mine.fold((0, 0), |(all, well), known| {
-                let healthy = places.get(known.member.server).is_some_and(|place| place.healthy(now));
-                (all + 1, well + usize::from(healthy))
+            let Some((_, pool)) = find(name) else { return (0, 0) };
+            let ready = self.servers.values().filter(|known| known.member.state == State::Ready);
+            let members = ready.filter(|known| selects(pool.rule.as_ref(), known));
+            members.fold((0, 0), |(total, healthy), known| {
+                let is_healthy = places.get(known.member.server).is_some_and(|place| place.healthy(now));
+                (total + 1, healthy + usize::from(is_healthy))
             })
         };
-        rule.pool(health).and_then(named).map_or(SlotId::ALL, |(id, _)| *id)
+        rule.pool(health).and_then(find).map_or(SlotId::ALL, |(id, _)| *id)
     }
 
     /// Applies a list, or changes to it. `numbers` holds the server ids of `entries`. Returns the members to report to
@@ -111,12 +119,11 @@
         entries: &[Entry],
         numbers: &[ServerId],
     ) -> Vec<(SlotId, Vec<Member>)> {
-        let over = Span(self.longest.0.saturating_add(HANDED_IN.0));
-        self.slots.retain(|_, slot| slot.gone.is_none_or(|gone| now - gone <= over));
-        let whole = kind != ListKind::Changes;
-        let mut told = Vec::with_capacity(entries.len());
-        if whole {
-            self.listed.clear();
+        let retention = Span(self.longest_deadline.0.saturating_add(MAX_SUBMIT_DELAY.0));
+        self.pools.retain(|_, pool| pool.dropped_at.is_none_or(|dropped_at| now - dropped_at <= retention));
+        let mut updates = Vec::with_capacity(entries.len());
+        if kind != ListKind::Changes {
+            self.servers.clear();
         }
         for (entry, server) in entries.iter().zip(numbers) {
             let zone = self.zones.iter().position(|z| *z == entry.zone);
@@ -129,51 +136,52 @@
                 state: entry.state,
                 common: common_name(&entry.uid),
             };
-            let known = Known { member, zone: entry.zone.clone(), model: entry.model.clone() };
-            told.push((member, self.listed.insert(server.0, known)));
+            let known = ListedServer { member, zone: entry.zone.clone(), model: entry.model.clone() };
+            updates.push((member, self.servers.insert(server.0, known)));
         }
-        let of = |rule: Option<&PoolRule>| -> Vec<Member> {
-            let mine = told.iter().filter_map(|(member, before)| {
-                let now = self.listed.get(&member.server.0).is_some_and(|known| selects(rule, known));
-                let was = before.as_ref().is_some_and(|known| selects(rule, known));
+        let members_of = |rule: Option<&PoolRule>| -> Vec<Member> {
+            let members = updates.iter().filter_map(|(member, before)| {
+                let selected = self.servers.get(&member.server.0).is_some_and(|known| selects(rule, known));
+                let was_selected = before.as_ref().is_some_and(|known| selects(rule, known));
                 // A server that the pool no longer selects is removed from the pool. An entry of a server that is
                 // draining or gone may lack its zone and cell, so it goes to the pool of all servers in any case.
-                let state = if now { member.state } else { State::Gone };
-                (now || was || member.state != State::Ready && rule.is_none())
+                let state = if selected { member.state } else { State::Gone };
+                (selected || was_selected || member.state != State::Ready && rule.is_none())
                     .then_some(Member { state, ..*member })
             });
-            mine.collect()
+            members.collect()
         };
-        let each = self.slots.iter().map(|(id, slot)| (*id, of(slot.rule.as_ref()))).collect();
-        self.listed.retain(|_, known| known.member.state != State::Gone);
-        each
+        let members_by_pool =
+            self.pools.iter().map(|(id, pool)| (*id, members_of(pool.rule.as_ref()))).collect();
+        self.servers.retain(|_, known| known.member.state != State::Gone);
+        members_by_pool
     }
 
     /// Applies new settings to pools created later; returns the existing pools, which must be notified.
-    pub fn settle(&mut self, site: &Site, longest: Span) -> Vec<SlotId> {
-        (self.settings, self.longest) = (site.settings.clone(), longest);
+    pub fn settle(&mut self, site: &Site, longest_deadline: Span) -> Vec<SlotId> {
+        (self.settings, self.longest_deadline) = (site.settings.clone(), longest_deadline);
         self.slots()
     }
 
     /// Applies the pools of a new limits file; returns each new pool with its servers.
     pub fn adopt(&mut self, now: Time, rules: &RuleSet) -> Vec<(SlotId, Vec<Member>)> {
-        for slot in self.slots.values_mut().filter(|slot| slot.rule.is_some()) {
-            let stays = rules.pools().iter().any(|pool| slot.rule.as_ref() == Some(pool));
-            slot.gone = if stays { None } else { slot.gone.or(Some(now)) };
+        for pool in self.pools.values_mut().filter(|pool| pool.rule.is_some()) {
+            let kept = rules.pools().iter().any(|rule| pool.rule.as_ref() == Some(rule));
+            pool.dropped_at = if kept { None } else { pool.dropped_at.or(Some(now)) };
         }
         let mut new = Vec::new();
-        for pool in rules.pools() {
-            if self.slots.values().any(|slot| slot.rule.as_ref() == Some(pool)) {
+        for rule in rules.pools() {
+            if self.pools.values().any(|pool| pool.rule.as_ref() == Some(rule)) {
                 continue;
             }
-            let id = SlotId(self.next);
-            self.next += 1;
+            let id = SlotId(self.next_id);
+            self.next_id += 1;
             // Each pool draws independently, and identically in each run with the same seed.
             let seed = self.seed ^ u64::from(id.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let balancer = Balancer::new(self.settings.clone(), seed);
-            self.slots.insert(id, Slot { rule: Some(pool.clone()), balancer, gone: None });
-            let mine = self.listed.values().filter(|known| selects(Some(pool), known));
-            new.push((id, mine.map(|known| known.member).collect()));
+            self.pools.insert(id, Pool { rule: Some(rule.clone()), balancer, dropped_at: None });
+            let members = self.servers.values().filter(|known| selects(Some(rule), known));
+            new.push((id, members.map(|known| known.member).collect()));
         }
         new
     }
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Interval between summaries in the log.
-const SUM_UP: Duration = Duration::from_secs(10);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Transports to the servers, one per server. The end of each attempt and each probe must be reported exactly once
 /// through a [`Handle`], whatever happens.
@@ -59,13 +59,13 @@
     fn watch(&mut self);
 }
 
-enum Msg<P, B> {
-    Request { id: RequestId, ask: Ask, payload: P, received: Instant, slot: oneshot::Sender<Answer<B>> },
+enum Message<P, B> {
+    Request { id: RequestId, ask: Ask, payload: P, received: Instant, reply: oneshot::Sender<Answer<B>> },
     Input(Input<P, B>),
     ListState(Health),
 }
 
-type Mail<P, B> = (Instant, Msg<P, B>);
+type Mail<P, B> = (Instant, Message<P, B>);
 
 /// Sender of the actor's mailbox. The mailbox needs no bound of its own: the fronts bound the number of open requests,
 /// each of which has at most a few attempts, and each server has at most one probe in flight.
@@ -88,9 +88,9 @@
 }
 
 impl<P, B> Handle<P, B> {
-    fn tell(&self, msg: Msg<P, B>) {
+    fn send(&self, message: Message<P, B>) {
         // The actor lives as long as the process.
-        let _ = self.0.send((Instant::now(), msg));
+        let _ = self.0.send((Instant::now(), message));
     }
 
     /// Submits a request that was received at `received`; its answer is sent to `slot`.
@@ -100,60 +100,60 @@
         ask: Ask,
         payload: P,
         received: Instant,
-        slot: oneshot::Sender<Answer<B>>,
+        reply: oneshot::Sender<Answer<B>>,
     ) {
-        self.tell(Msg::Request { id, ask, payload, received, slot });
+        self.send(Message::Request { id, ask, payload, received, reply });
     }
 
     /// Reports that the client of a request left.
     pub fn gone(&self, id: RequestId) {
-        self.tell(Msg::Input(Input::Gone(id)));
+        self.send(Message::Input(Input::Gone(id)));
     }
 
     /// Reports that an attempt ended.
     pub fn ended(&self, id: RequestId, attempt: Attempt, server: ServerId, ended: Ended<B>) {
-        self.tell(Msg::Input(Input::Ended { id, attempt, server, ended }));
+        self.send(Message::Input(Input::Ended { id, attempt, server, ended }));
     }
 
     /// Reports that the response to an attempt has started and is being streamed; the attempt ends later.
     pub fn began(&self, id: RequestId, attempt: Attempt, server: ServerId, ended: Ended<B>) {
-        self.tell(Msg::Input(Input::Began { id, attempt, server, ended }));
+        self.send(Message::Input(Input::Began { id, attempt, server, ended }));
     }
 
     /// Reports that the upload of the body of an attempt is in progress, or has finished. Each start is followed by
     /// one finish, before the end of the attempt.
     pub fn uploads(&self, id: RequestId, server: ServerId, over: bool) {
-        self.tell(Msg::Input(Input::Uploads { id, server, over }));
+        self.send(Message::Input(Input::Uploads { id, server, over }));
     }
 
     /// Reports that a probe ended.
     pub fn probed(&self, server: ServerId, asked: SlotId, ended: Ended<B>) {
-        self.tell(Msg::Input(Input::Probed { server, asked, ended }));
+        self.send(Message::Input(Input::Probed { server, asked, ended }));
     }
 
     /// Delivers a server list, or changes to it.
     pub fn listed(&self, delivery: Delivery) {
-        self.tell(Msg::Input(Input::Listed(delivery)));
+        self.send(Message::Input(Input::Listed(delivery)));
     }
 
     /// Reports that a discovery call failed or the watch ended.
     pub fn list_failed(&self) {
-        self.tell(Msg::Input(Input::ListFailed));
+        self.send(Message::Input(Input::ListFailed));
     }
 
     /// Applies new settings, and those of the shadow module. Must be called before any request under them.
     pub fn settings(&self, site: Arc<Site>, watched: Option<Settings>) {
-        self.tell(Msg::Input(Input::Settings { site, watched }));
+        self.send(Message::Input(Input::Settings { site, watched }));
     }
 
     /// Applies new limits. Must be called before any request under them.
     pub fn rules(&self, rules: Arc<RuleSet>) {
-        self.tell(Msg::Input(Input::Rules(rules)));
+        self.send(Message::Input(Input::Rules(rules)));
     }
 
     /// Reports how recent the list is, for the log.
     pub fn list_state(&self, health: Health) {
-        self.tell(Msg::ListState(health));
+        self.send(Message::ListState(health));
     }
 }
 
@@ -166,7 +166,7 @@
 }
 
 /// Interval between samples of the number of avoided servers.
-const LOOK: Duration = Duration::from_millis(100);
+const AVOIDED_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The actor, which drives an engine.
 pub struct Actor<T: Transports, D> {
@@ -174,13 +174,13 @@
     clock: Clock,
     transports: T,
     directory: D,
-    slots: FxHashMap<RequestId, oneshot::Sender<Answer<T::Body>>>,
-    out: Vec<Output<T::Payload, T::Body>>,
+    replies: FxHashMap<RequestId, oneshot::Sender<Answer<T::Body>>>,
+    outputs: Vec<Output<T::Payload, T::Body>>,
     /// The longest wait in the mailbox since the last summary.
-    waited: Duration,
+    longest_mailbox_wait: Duration,
     /// The state of the list, now and at the last summary.
     health: Health,
-    summed: Health,
+    health_at_summary: Health,
     gauges: Gauges,
 }
 
@@ -193,62 +193,74 @@
         directory: D,
         gauges: Gauges,
     ) -> Self {
-        let (slots, out) = (FxHashMap::default(), Vec::new());
-        let (waited, health, summed) = (Duration::ZERO, Health::default(), Health::default());
-        Actor { engine, clock, transports, directory, slots, out, waited, health, summed, gauges }
+        let (replies, outputs) = (FxHashMap::default(), Vec::new());
+        let (longest_mailbox_wait, health, health_at_summary) =
+            (Duration::ZERO, Health::default(), Health::default());
+        Actor {
+            engine,
+            clock,
+            transports,
+            directory,
+            replies,
+            outputs,
+            longest_mailbox_wait,
+            health,
+            health_at_summary,
+            gauges,
+        }
     }
 
     /// Runs the actor, starting from the cached list `known`, until all handles are dropped.
     pub async fn run(mut self, mut mailbox: Mailbox<T::Payload, T::Body>, known: Delivery) {
         // This makes the decision module open its first watch, so discovery must be reachable by now.
-        self.input(Input::Listed(known));
-        let mut sum_up = Instant::now() + SUM_UP;
-        let mut look = Instant::now();
+        self.process(Input::Listed(known));
+        let mut next_summary = Instant::now() + SUMMARY_INTERVAL;
+        let mut next_sample = Instant::now();
         loop {
             let due = self.engine.due().map(|at| self.clock.instant(at));
             tokio::select! {
                 biased;
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                    self.engine.wake(self.clock.now(), &mut self.out);
+                    self.engine.wake(self.clock.now(), &mut self.outputs);
                     self.carry_out();
                 }
                 mail = mailbox.0.recv() => match mail {
-                    Some((told, msg)) => {
-                        self.waited = self.waited.max(told.elapsed());
-                        self.take(msg);
+                    Some((sent_at, message)) => {
+                        self.longest_mailbox_wait = self.longest_mailbox_wait.max(sent_at.elapsed());
+                        self.handle(message);
                     }
                     None => return,
                 },
-                () = sleep_until(look), if self.gauges.avoided => {
+                () = sleep_until(next_sample), if self.gauges.avoided => {
                     self.gauges.metrics.skipped.set(self.engine.avoided(self.clock.now()));
-                    look = Instant::now() + LOOK;
+                    next_sample = Instant::now() + AVOIDED_SAMPLE_INTERVAL;
                 }
-                () = sleep_until(sum_up) => {
-                    self.sum_up();
-                    sum_up = Instant::now() + SUM_UP;
+                () = sleep_until(next_summary) => {
+                    self.log_summary();
+                    next_summary = Instant::now() + SUMMARY_INTERVAL;
                 }
             }
         }
     }
 
-    fn take(&mut self, msg: Msg<T::Payload, T::Body>) {
-        match msg {
-            Msg::Request { id, ask, payload, received, slot } => {
-                self.slots.insert(id, slot);
+    fn handle(&mut self, message: Message<T::Payload, T::Body>) {
+        match message {
+            Message::Request { id, ask, payload, received, reply } => {
+                self.replies.insert(id, reply);
                 let received = self.clock.time(received);
-                self.input(Input::Request { id, ask, received, payload });
+                self.process(Input::Request { id, ask, received, payload });
             }
-            Msg::Input(input) => {
+            Message::Input(input) => {
                 if let Input::Gone(id) = &input {
-                    self.slots.remove(id);
+                    self.replies.remove(id);
                 }
-                self.input(input);
+                self.process(input);
             }
-            Msg::ListState(health) => self.health = health,
+            Message::ListState(health) => self.health = health,
         }
     }
 
-    fn input(&mut self, input: Input<T::Payload, T::Body>) {
+    fn process(&mut self, input: Input<T::Payload, T::Body>) {
         match &input {
             Input::Began { id, attempt, server, ended } | Input::Ended { id, attempt, server, ended } => {
                 tracing::debug!(
@@ -286,7 +298,7 @@
             | Input::Rules(_) => {}
         }
         let listed = matches!(input, Input::Listed(_));
-        self.engine.input(self.clock.now(), input, &mut self.out);
+        self.engine.input(self.clock.now(), input, &mut self.outputs);
         if listed {
             self.gauges.metrics.known.set(self.engine.listed_now());
         }
@@ -294,13 +306,13 @@
     }
 
     fn carry_out(&mut self) {
-        let mut out = std::mem::take(&mut self.out);
-        for output in out.drain(..) {
+        let mut outputs = std::mem::take(&mut self.outputs);
+        for output in outputs.drain(..) {
             match output {
                 Output::Answer { id, answer } => {
                     // If the client has just left, its report finds the request already answered.
-                    if let Some(slot) = self.slots.remove(&id) {
-                        let _ = slot.send(answer);
+                    if let Some(reply) = self.replies.remove(&id) {
+                        let _ = reply.send(answer);
                     }
                 }
                 Output::Attempt { id, attempt, server, payload, until, connect } => {
@@ -322,41 +334,44 @@
                 }
             }
         }
-        self.out = out;
+        self.outputs = outputs;
     }
 
-    fn sum_up(&mut self) {
+    fn log_summary(&mut self) {
         let Tally { taken, served, refused, limited, failed, gone, attempts } = self.engine.take_tally();
-        let waited = std::mem::take(&mut self.waited);
+        let longest_mailbox_wait = std::mem::take(&mut self.longest_mailbox_wait);
         if taken + attempts > 0 {
             tracing::info!(
                 "in {} s: {taken} taken, {served} served, {refused} refused, {failed} failed, {gone} gone; \
                  {attempts} attempts; {} in hand; {} connections to servers free; mailbox wait at most {} us",
-                SUM_UP.as_secs(),
+                SUMMARY_INTERVAL.as_secs(),
                 self.engine.in_hand(),
                 self.transports.room(),
-                waited.as_micros()
+                longest_mailbox_wait.as_micros()
             );
         }
         if limited > 0 {
-            tracing::info!("in {} s: {limited} of the refused by limits of their routes", SUM_UP.as_secs());
+            tracing::info!(
+                "in {} s: {limited} of the refused by limits of their routes",
+                SUMMARY_INTERVAL.as_secs()
+            );
         }
-        if let Some(w) = self.engine.take_watched().filter(|w| *w != Watched::default()) {
+        if let Some(counts) = self.engine.take_watched().filter(|counts| *counts != Watched::default()) {
             tracing::info!(
                 "watch: in {} s: {} alike, {} other server, {} other zone, {} would refuse, {} would send, {} would \
                  wait, {} would copy, {} would probe",
-                SUM_UP.as_secs(),
-                w.alike,
-                w.other_server,
-                w.other_zone,
-                w.would_refuse,
-                w.would_send,
-                w.would_wait,
-                w.would_copy,
-                w.would_probe
+                SUMMARY_INTERVAL.as_secs(),
+                counts.alike,
+                counts.other_server,
+                counts.other_zone,
+                counts.would_refuse,
+                counts.would_send,
+                counts.would_wait,
+                counts.would_copy,
+                counts.would_probe
             );
         }
-        let (health, before) = (self.health, std::mem::replace(&mut self.summed, self.health));
+        let (health, before) = (self.health, std::mem::replace(&mut self.health_at_summary, self.health));
         // While discovery responds, its last message is at most one heartbeat interval old.
         let age = (self.clock.now() - health.fresh_at).0 / 1000;
         let ended = Cause::NAMES.iter().zip(health.ended.iter().zip(before.ended));
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -38,26 +38,26 @@
 
 /// The real attempts of a request, and the attempts of the shadow module for it.
 #[derive(Debug, Default)]
-struct Seen {
+struct ShadowRequest {
     /// The shadow module's attempt for each real attempt; none if it made none.
-    own: Vec<Option<Attempt>>,
+    own_attempts: Vec<Option<Attempt>>,
     /// Number of attempts that the shadow module made.
-    made: u32,
+    attempt_count: u32,
     /// Real attempts that the shadow module has not made yet, by index, with their servers.
-    ahead: VecDeque<(usize, ServerId)>,
+    unmatched_real: VecDeque<(usize, ServerId)>,
     /// Attempts of the shadow module without a real counterpart so far.
-    early: VecDeque<(Attempt, ServerId)>,
+    unmatched_own: VecDeque<(Attempt, ServerId)>,
     /// The shadow module refused or failed the request, perhaps while the real request still waited.
-    dropped: bool,
+    rejected: bool,
 }
 
 /// The shadow decision module.
 pub struct Watch {
     balancer: Balancer,
     /// Position in a received load report of each field of the shadow settings.
-    fields: Vec<usize>,
+    report_positions: Vec<usize>,
     timers: Timers<Token>,
-    seen: FxHashMap<RequestId, Seen>,
+    requests: FxHashMap<RequestId, ShadowRequest>,
     zones: FxHashMap<ServerId, u32>,
     counts: Watched,
     actions: Vec<Action>,
@@ -69,12 +69,12 @@
     #[must_use]
     pub fn new(settings: Settings, reported: &[Field], seed: u64) -> Watch {
         // A load report has the fields of the active settings; they are reordered to those of the shadow settings.
-        let at = |field: &Field| reported.iter().position(|f| f == field).unwrap_or(usize::MAX);
+        let position = |field: &Field| reported.iter().position(|f| f == field).unwrap_or(usize::MAX);
         Watch {
-            fields: settings.fields.iter().map(at).collect(),
+            report_positions: settings.fields.iter().map(position).collect(),
             balancer: Balancer::new(settings, seed),
             timers: Timers::default(),
-            seen: FxHashMap::default(),
+            requests: FxHashMap::default(),
             zones: FxHashMap::default(),
             counts: Watched::default(),
             actions: Vec::new(),
@@ -83,9 +83,9 @@
 
     /// Replaces the settings of the shadow module.
     pub fn adopt(&mut self, now: Time, settings: &Settings) {
-        let mut own = std::mem::take(&mut self.actions);
-        self.balancer.on_event(now, Event::Settings { set: settings }, &mut own);
-        self.actions = own;
+        let mut actions = std::mem::take(&mut self.actions);
+        self.balancer.on_event(now, Event::Settings { set: settings }, &mut actions);
+        self.actions = actions;
     }
 
     /// Returns the counts since the last call and resets them.
@@ -94,17 +94,19 @@
     }
 
     /// Processes an event and the actions that the active module took for it.
-    pub fn see(&mut self, now: Time, event: Event<'_>, done: &[Action]) {
-        let mut own = std::mem::take(&mut self.actions);
+    pub fn see(&mut self, now: Time, event: Event<'_>, real_actions: &[Action]) {
+        let mut actions = std::mem::take(&mut self.actions);
         while let Some(token) = self.timers.pop(now) {
-            self.balancer.on_event(now, Event::Timer { token }, &mut own);
+            self.balancer.on_event(now, Event::Timer { token }, &mut actions);
         }
-        self.feed(now, event, &mut own);
-        self.take_up(now, &mut own);
-        for action in done {
+        self.forward(now, event, &mut actions);
+        self.record_actions(now, &mut actions);
+        for action in real_actions {
             match action {
-                Action::Send { id, server, .. } => self.sent(now, *id, *server, &mut own),
-                Action::Refuse { id, .. } | Action::Fail { id } => self.ended(now, *id, &mut own),
+                Action::Send { id, server, .. } => self.real_attempt(now, *id, *server, &mut actions),
+                Action::Refuse { id, .. } | Action::Fail { id } => {
+                    self.request_rejected(now, *id, &mut actions)
+                }
                 Action::Cancel { .. }
                 | Action::Probe { .. }
                 | Action::Timer { .. }
@@ -113,144 +115,149 @@
                 | Action::Log { .. } => {}
             }
         }
-        self.copies(now, &mut own);
+        self.undo_hedges(now, &mut actions);
         if let Event::Outcome { id, closed: true, .. } | Event::Gone { id } = event {
-            self.seen.remove(&id);
+            self.requests.remove(&id);
         }
         // An attempt that was undone may free capacity for a request that waits in the shadow module.
-        self.take_up(now, &mut own);
-        self.actions = own;
+        self.record_actions(now, &mut actions);
+        self.actions = actions;
     }
 
     /// Records the actions of the shadow module; none of them is carried out.
-    fn take_up(&mut self, now: Time, own: &mut Vec<Action>) {
-        while !own.is_empty() {
-            let action = own.remove(0);
+    fn record_actions(&mut self, now: Time, actions: &mut Vec<Action>) {
+        while !actions.is_empty() {
+            let action = actions.remove(0);
             match action {
                 Action::Timer { token, delay } => self.timers.set(now + delay, token),
                 Action::Probe { server } => {
                     self.counts.would_probe += 1;
                     let (status, latency) = (Status::Moot, Span(0));
                     let unsent = Event::Probed { server, status, latency, load: &[] };
-                    self.balancer.on_event(now, unsent, own);
+                    self.balancer.on_event(now, unsent, actions);
                 }
-                Action::Send { id, server, .. } => self.made(id, server),
+                Action::Send { id, server, .. } => self.own_attempt(id, server),
                 Action::Refuse { id, .. } | Action::Fail { id } => {
-                    self.seen.entry(id).and_modify(|seen| seen.dropped = true);
+                    self.requests.entry(id).and_modify(|request| request.rejected = true);
                 }
                 Action::Cancel { .. } | Action::Watch | Action::Tell { .. } | Action::Log { .. } => {}
             }
         }
     }
 
-    fn feed(&mut self, now: Time, event: Event<'_>, own: &mut Vec<Action>) {
+    fn forward(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             // The shadow module has its own timers and never has a probe in flight.
             Event::Timer { .. } | Event::Probed { .. } => {}
             // The shadow module has its own settings, which are set by `adopt`.
             Event::Settings { .. } => {}
             Event::Outcome { id, attempt, status, closed, again, latency, server, load } => {
-                let seen = self.seen.get(&id);
-                let mine = seen.and_then(|seen| seen.own.get(attempt.0 as usize).copied().flatten());
-                let attempt = mine.unwrap_or(Attempt(u32::MAX));
+                let request = self.requests.get(&id);
+                let own_attempt = request
+                    .and_then(|request| request.own_attempts.get(attempt.0 as usize).copied().flatten());
+                let attempt = own_attempt.unwrap_or(Attempt(u32::MAX));
                 let load: Vec<f64> = if load.is_empty() {
                     Vec::new()
                 } else {
-                    self.fields.iter().map(|at| load.get(*at).copied().unwrap_or(f64::NAN)).collect()
+                    self.report_positions
+                        .iter()
+                        .map(|at| load.get(*at).copied().unwrap_or(f64::NAN))
+                        .collect()
                 };
                 let load = &load;
                 let outcome = Event::Outcome { id, attempt, status, closed, again, latency, server, load };
-                self.balancer.on_event(now, outcome, own);
+                self.balancer.on_event(now, outcome, actions);
             }
             Event::Members { kind, entries } => {
                 if kind != ListKind::Changes && kind != ListKind::Failed {
                     self.zones.clear();
                 }
                 self.zones.extend(entries.iter().map(|entry| (entry.server, entry.zone)));
-                self.balancer.on_event(now, event, own);
+                self.balancer.on_event(now, event, actions);
             }
             Event::Request { id, .. } => {
-                self.seen.insert(id, Seen::default());
-                self.balancer.on_event(now, event, own);
+                self.requests.insert(id, ShadowRequest::default());
+                self.balancer.on_event(now, event, actions);
             }
             Event::Gone { .. }
             | Event::First { .. }
             | Event::Uploads { .. }
             | Event::Copy { .. }
             | Event::Peer { .. } => {
-                self.balancer.on_event(now, event, own);
+                self.balancer.on_event(now, event, actions);
             }
         }
     }
 
     /// The shadow module made an attempt.
-    fn made(&mut self, id: RequestId, server: ServerId) {
-        let Some(seen) = self.seen.get_mut(&id) else { return };
-        let attempt = Attempt(seen.made);
-        seen.made += 1;
-        match seen.ahead.pop_front() {
+    fn own_attempt(&mut self, id: RequestId, server: ServerId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let attempt = Attempt(request.attempt_count);
+        request.attempt_count += 1;
+        match request.unmatched_real.pop_front() {
             // The real attempt was sent while the shadow module waited.
             Some((real, at)) => {
-                seen.own[real] = Some(attempt);
+                request.own_attempts[real] = Some(attempt);
                 self.balancer.follow(id, at);
             }
-            None => seen.early.push_back((attempt, server)),
+            None => request.unmatched_own.push_back((attempt, server)),
         }
     }
 
     /// A real attempt was sent.
-    fn sent(&mut self, now: Time, id: RequestId, server: ServerId, own: &mut Vec<Action>) {
+    fn real_attempt(&mut self, now: Time, id: RequestId, server: ServerId, actions: &mut Vec<Action>) {
         let zone = |server: ServerId| self.zones.get(&server);
-        let Some(seen) = self.seen.get_mut(&id) else { return };
-        let real = seen.own.len();
-        if let Some((attempt, mine)) = seen.early.pop_front() {
-            seen.own.push(Some(attempt));
-            if mine == server {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let real = request.own_attempts.len();
+        if let Some((attempt, chosen)) = request.unmatched_own.pop_front() {
+            request.own_attempts.push(Some(attempt));
+            if chosen == server {
                 self.counts.alike += 1;
-            } else if zone(mine) == zone(server) {
+            } else if zone(chosen) == zone(server) {
                 self.counts.other_server += 1;
             } else {
                 self.counts.other_zone += 1;
             }
             // The balancer follows the last attempt that it made, so hedged requests beside it are undone first.
-            while let Some((attempt, server)) = seen.early.pop_front() {
+            while let Some((attempt, server)) = request.unmatched_own.pop_front() {
                 self.counts.would_copy += 1;
-                self.balancer.on_event(now, undone(id, attempt, server, false), own);
+                self.balancer.on_event(now, never_sent(id, attempt, server, false), actions);
             }
             return self.balancer.follow(id, server);
         }
-        seen.own.push(None);
-        if seen.dropped {
+        request.own_attempts.push(None);
+        if request.rejected {
             self.counts.would_refuse += 1;
         } else {
             self.counts.would_wait += 1;
-            seen.ahead.push_back((real, server));
+            request.unmatched_real.push_back((real, server));
         }
     }
 
     /// The active module refused or failed a request.
-    fn ended(&mut self, now: Time, id: RequestId, own: &mut Vec<Action>) {
-        let Some(mut seen) = self.seen.remove(&id) else { return };
-        self.counts.would_send += u64::from(!seen.early.is_empty());
-        for (attempt, server) in seen.early.drain(..) {
-            self.balancer.on_event(now, undone(id, attempt, server, true), own);
+    fn request_rejected(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(mut request) = self.requests.remove(&id) else { return };
+        self.counts.would_send += u64::from(!request.unmatched_own.is_empty());
+        for (attempt, server) in request.unmatched_own.drain(..) {
+            self.balancer.on_event(now, never_sent(id, attempt, server, true), actions);
         }
-        self.balancer.on_event(now, Event::Gone { id }, own);
+        self.balancer.on_event(now, Event::Gone { id }, actions);
     }
 
     /// Undoes and counts the hedged requests that the shadow module made beside a real attempt.
-    fn copies(&mut self, now: Time, own: &mut Vec<Action>) {
-        for (id, seen) in self.seen.iter_mut().filter(|(_, seen)| !seen.own.is_empty()) {
-            while let Some((attempt, server)) = seen.early.pop_front() {
+    fn undo_hedges(&mut self, now: Time, actions: &mut Vec<Action>) {
+        for (id, request) in self.requests.iter_mut().filter(|(_, request)| !request.own_attempts.is_empty())
+        {
+            while let Some((attempt, server)) = request.unmatched_own.pop_front() {
                 self.counts.would_copy += 1;
-                self.balancer.on_event(now, undone(*id, attempt, server, false), own);
+                self.balancer.on_event(now, never_sent(*id, attempt, server, false), actions);
             }
         }
     }
 }
 
 /// Outcome of an attempt that was never sent.
-fn undone(id: RequestId, attempt: Attempt, server: ServerId, closed: bool) -> Event<'static> {
+fn never_sent(id: RequestId, attempt: Attempt, server: ServerId, closed: bool) -> Event<'static> {
     let (status, latency) = (Status::Moot, Span(0));
     Event::Outcome { id, attempt, status, closed, again: false, latency, server, load: &[] }
 }
--- a/crates/engine/tests/passing.rs
+++ b/crates/engine/tests/passing.rs
@@ -8,10 +8,10 @@
 
 const START: u64 = 5_000_000_000;
 
-fn site(most: u32) -> Site {
+fn site(max_attempts: u32) -> Site {
     let text = format!(
         r#"{{"classes":[{{"name":"a","aim":300000,"deadline":740000,"semantics":"retryable"}}],
-            "limits":{{"try_limit":{most},"cancel":true}},"safety":{{}}}}"#
+            "limits":{{"try_limit":{max_attempts},"cancel":true}},"safety":{{}}}}"#
     );
     dunlincleat_settings::read(&text).unwrap()
 }
@@ -40,15 +40,15 @@
             boot_ms: 0,
         });
         let entries = entries.collect();
-        world.tell(Input::Listed(Delivery { kind: ListKind::Cached, rev: 1, entries, odd: Vec::new() }));
+        world.input(Input::Listed(Delivery { kind: ListKind::Cached, rev: 1, entries, odd: Vec::new() }));
         world
     }
 
-    fn tell(&mut self, input: Input<u64, u64>) {
-        let mut out = Vec::new();
+    fn input(&mut self, input: Input<u64, u64>) {
+        let mut outputs = Vec::new();
         self.now += 1000;
-        self.engine.input(Time(self.now), input, &mut out);
-        for output in out {
+        self.engine.input(Time(self.now), input, &mut outputs);
+        for output in outputs {
             match output {
                 Output::Attempt { id, attempt, server, .. } => self.attempts.push((id.0, attempt, server)),
                 Output::Answer { id, answer } => self.answers.push((id.0, answer)),
@@ -58,36 +58,36 @@
         }
     }
 
-    fn ask(&mut self, id: u64) -> (Attempt, ServerId) {
+    fn submit_request(&mut self, id: u64) -> (Attempt, ServerId) {
         let ask = Ask { wait: Span(740_000), ..Ask::default() };
         let received = Time(self.now);
-        self.tell(Input::Request { id: RequestId(id), ask, received, payload: id });
-        let (of, attempt, server) = *self.attempts.last().unwrap();
-        assert_eq!(of, id);
+        self.input(Input::Request { id: RequestId(id), ask, received, payload: id });
+        let (request, attempt, server) = *self.attempts.last().unwrap();
+        assert_eq!(request, id);
         (attempt, server)
     }
 
-    fn ended(&mut self, id: u64, (attempt, server): (Attempt, ServerId), status: Status) {
-        self.tell(Input::Ended { id: RequestId(id), attempt, server, ended: Ended::unsent(status) });
+    fn end_attempt(&mut self, id: u64, (attempt, server): (Attempt, ServerId), status: Status) {
+        self.input(Input::Ended { id: RequestId(id), attempt, server, ended: Ended::unsent(status) });
     }
 }
 
 /// A streamed response is the final answer as soon as it starts. It must not cancel its own attempt, and the later end
 /// of the attempt, whatever its status, must cause neither a second answer nor another attempt.
 #[test]
-fn an_answer_that_began_is_final_and_its_attempt_ends_once() {
-    for end in [Status::Ok, Status::Reset, Status::Cancelled] {
-        for gone in [false, true] {
+fn streamed_response_is_final_and_its_attempt_ends_once() {
+    for end_status in [Status::Ok, Status::Reset, Status::Cancelled] {
+        for client_left in [false, true] {
             let mut world = World::new();
-            let (attempt, server) = world.ask(1);
+            let (attempt, server) = world.submit_request(1);
             let ended = Ended { status: Status::Ok, latency: Span(900), load: Vec::new(), body: Some(1) };
-            world.tell(Input::Began { id: RequestId(1), attempt, server, ended });
+            world.input(Input::Began { id: RequestId(1), attempt, server, ended });
             assert_eq!(world.answers, [(1, Answer::Served(1))]);
             assert_eq!((world.cancels, world.engine.in_hand()), (0, 1), "its transport is not done");
-            if gone {
-                world.tell(Input::Gone(RequestId(1)));
+            if client_left {
+                world.input(Input::Gone(RequestId(1)));
             }
-            world.ended(1, (attempt, server), end);
+            world.end_attempt(1, (attempt, server), end_status);
             assert_eq!((world.answers.len(), world.attempts.len(), world.engine.in_hand()), (1, 1, 0));
             let tally = world.engine.take_tally();
             assert_eq!((tally.served, tally.gone), (1, 0));
@@ -97,24 +97,24 @@
 
 /// An open request keeps the maximum number of attempts of the settings that it was received under.
 #[test]
-fn requests_in_hand_keep_their_number_of_attempts() {
+fn open_requests_keep_their_maximum_number_of_attempts() {
     let mut world = World::new();
-    let before = world.ask(1);
-    world.tell(Input::Settings { site: Arc::new(site(1)), watched: None });
-    let after = world.ask(2);
-    world.ended(1, before, Status::Reset);
-    world.ended(2, after, Status::Reset);
-    let attempts = |id| world.attempts.iter().filter(|(of, ..)| *of == id).count();
+    let old_attempt = world.submit_request(1);
+    world.input(Input::Settings { site: Arc::new(site(1)), watched: None });
+    let new_attempt = world.submit_request(2);
+    world.end_attempt(1, old_attempt, Status::Reset);
+    world.end_attempt(2, new_attempt, Status::Reset);
+    let attempts = |id| world.attempts.iter().filter(|(request, ..)| *request == id).count();
     assert_eq!((attempts(1), attempts(2)), (2, 1));
     assert_eq!(world.answers, [(2, Answer::Refused { retry_after: None })]);
 }
 
 #[test]
-fn known_and_avoided_servers_are_told() {
+fn listed_and_avoided_servers_are_counted() {
     let mut world = World::new();
     assert_eq!((world.engine.listed_now(), world.engine.avoided(Time(world.now))), (4, 0));
-    let at = world.ask(1);
-    world.ended(1, at, Status::ConnectFailed);
+    let attempt = world.submit_request(1);
+    world.end_attempt(1, attempt, Status::ConnectFailed);
     assert_eq!(world.engine.avoided(Time(world.now)), 1);
     assert_eq!(world.engine.avoided(Time(world.now + 60_000_000)), 0, "a question of the moment");
 }
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -42,7 +42,7 @@
     "[defaults]\nattempts = 99",
 ];
 
-struct Out {
+struct InFlight {
     request: u64,
     attempt: Attempt,
     server: ServerId,
@@ -51,9 +51,9 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct RequestRecord {
     class: usize,
-    gives_up: u64,
+    client_deadline: u64,
     rule: Option<Arc<Rule>>,
     answers: u32,
     gone: bool,
@@ -67,29 +67,29 @@
     engine: Engine<u64, u64>,
     rng: SmallRng,
     rules: Option<Arc<RuleSet>>,
-    out: Vec<Out>,
+    in_flight: Vec<InFlight>,
     probes: Vec<(u64, ServerId, SlotId)>,
-    seen: BTreeMap<u64, Seen>,
+    requests: BTreeMap<u64, RequestRecord>,
     /// State and boot time of each server, by name.
     listed: BTreeMap<String, (State, u64)>,
     open: BTreeMap<ServerId, bool>,
-    leaves: BTreeSet<ServerId>,
+    leaving: BTreeSet<ServerId>,
     /// Attempts that the engine withdrew.
     withdrawn: BTreeSet<(u64, u32)>,
-    faults: Vec<String>,
-    copies: usize,
+    violations: Vec<String>,
+    hedges: usize,
     /// Injected fault: the engine does not receive the limits that the auditor checks.
-    planted: bool,
+    hide_limits: bool,
     /// Clients leave often, and at the moments when something of their request is due.
-    leavers: bool,
+    clients_leave_often: bool,
     /// Injected fault: the engine is not notified that clients leave.
-    deaf: bool,
+    hide_departures: bool,
     /// Number of clients that left, by what of their request had been sent.
-    left: BTreeMap<&'static str, usize>,
-    next: u64,
+    departures: BTreeMap<&'static str, usize>,
+    next_id: u64,
 }
 
-fn zone(uid: &str) -> &'static str {
+fn zone_of(uid: &str) -> &'static str {
     if uid.len().is_multiple_of(2) { "a" } else { "b" }
 }
 
@@ -102,51 +102,56 @@
             site,
             rng: SmallRng::seed_from_u64(seed),
             rules: None,
-            out: Vec::new(),
+            in_flight: Vec::new(),
             probes: Vec::new(),
-            seen: BTreeMap::new(),
+            requests: BTreeMap::new(),
             listed: BTreeMap::new(),
             open: BTreeMap::new(),
-            leaves: BTreeSet::new(),
+            leaving: BTreeSet::new(),
             withdrawn: BTreeSet::new(),
-            faults: Vec::new(),
-            copies: 0,
-            planted: false,
-            leavers: false,
-            deaf: false,
-            left: BTreeMap::new(),
-            next: 0,
+            violations: Vec::new(),
+            hedges: 0,
+            hide_limits: false,
+            clients_leave_often: false,
+            hide_departures: false,
+            departures: BTreeMap::new(),
+            next_id: 0,
         }
     }
 
-    fn fault(&mut self, what: String) {
-        self.faults.push(format!("{} ms: {what}", (self.now - START) / MS));
+    fn report(&mut self, what: String) {
+        self.violations.push(format!("{} ms: {what}", (self.now - START) / MS));
     }
 
-    fn tell(&mut self, input: Input<u64, u64>) {
-        let mut out = Vec::new();
-        self.engine.input(Time(self.now), input, &mut out);
-        self.carry_out(out);
+    fn input(&mut self, input: Input<u64, u64>) {
+        let mut outputs = Vec::new();
+        self.engine.input(Time(self.now), input, &mut outputs);
+        self.carry_out(outputs);
     }
 
     /// A client leaves. All attempts of its request in flight must be withdrawn, so that none of them starts any more.
-    fn leaves(&mut self, id: u64) {
-        let still: Vec<u32> = self.out.iter().filter(|o| o.request == id).map(|o| o.attempt.0).collect();
-        let seen = self.seen.get_mut(&id).unwrap();
-        seen.gone = true;
-        let moment = match (seen.attempts.len(), still.len()) {
+    fn client_leaves(&mut self, id: u64) {
+        let in_flight: Vec<u32> = self
+            .in_flight
+            .iter()
+            .filter(|flight| flight.request == id)
+            .map(|flight| flight.attempt.0)
+            .collect();
+        let request = self.requests.get_mut(&id).unwrap();
+        request.gone = true;
+        let progress = match (request.attempts.len(), in_flight.len()) {
             (0, _) => "nothing",
             (1, _) => "its first attempt",
             (_, 0 | 1) => "a further attempt",
             _ => "two attempts at a time",
         };
-        *self.left.entry(moment).or_default() += 1;
-        if !self.deaf {
-            self.tell(Input::Gone(RequestId(id)));
+        *self.departures.entry(progress).or_default() += 1;
+        if !self.hide_departures {
+            self.input(Input::Gone(RequestId(id)));
         }
-        for attempt in still {
+        for attempt in in_flight {
             if !self.withdrawn.contains(&(id, attempt)) {
-                self.fault(format!("request {id}: attempt {attempt} goes on without its client"));
+                self.report(format!("request {id}: attempt {attempt} goes on without its client"));
             }
         }
     }
@@ -154,49 +159,59 @@
     /// If clients leave often, lets the client of request `id` leave with some probability, or that of any open request
     /// if `id` is none.
     fn may_leave(&mut self, id: Option<u64>) {
-        if !self.leavers || !self.rng.random_bool(0.15) {
+        if !self.clients_leave_often || !self.rng.random_bool(0.15) {
             return;
         }
-        let waits = |s: &Seen| s.answers == 0 && !s.gone;
-        let waiting: Vec<u64> = self.seen.iter().filter(|(_, s)| waits(s)).map(|(id, _)| *id).collect();
+        let is_open = |s: &RequestRecord| s.answers == 0 && !s.gone;
+        let waiting: Vec<u64> = self.requests.iter().filter(|(_, s)| is_open(s)).map(|(id, _)| *id).collect();
         let any = waiting.get(self.rng.random_range(0..waiting.len().max(1))).copied();
         let leaves = id.map_or(any, |id| waiting.contains(&id).then_some(id));
-        leaves.into_iter().for_each(|id| self.leaves(id));
+        leaves.into_iter().for_each(|id| self.client_leaves(id));
     }
 
     fn wake(&mut self) {
-        let mut out = Vec::new();
-        self.engine.wake(Time(self.now), &mut out);
-        self.carry_out(out);
+        let mut outputs = Vec::new();
+        self.engine.wake(Time(self.now), &mut outputs);
+        self.carry_out(outputs);
     }
 
-    fn carry_out(&mut self, out: Vec<Output<u64, u64>>) {
-        for output in out {
+    fn carry_out(&mut self, outputs: Vec<Output<u64, u64>>) {
+        for output in outputs {
             match output {
-                Output::Answer { id, answer } => self.answered(id.0, &answer),
+                Output::Answer { id, answer } => self.check_answer(id.0, &answer),
                 Output::Attempt { id, attempt, server, payload, until, connect } => {
                     assert_eq!(payload, id.0);
                     // A retry with a key must start before the servers forget the key, or not at all.
-                    let seen = &self.seen[&id.0];
-                    let keyed = matches!(self.site.settings.classes[seen.class].effect, Effect::Keyed { .. });
-                    let ran = seen.attempts.iter().find(|(.., ended)| ended.is_none_or(|s| !s.never_ran()));
-                    let left = ran
+                    let request = &self.requests[&id.0];
+                    let keyed =
+                        matches!(self.site.settings.classes[request.class].effect, Effect::Keyed { .. });
+                    let may_have_run =
+                        request.attempts.iter().find(|(.., ended)| ended.is_none_or(|s| !s.never_ran()));
+                    let left = may_have_run
                         .filter(|_| keyed)
                         .map(|(_, first, _)| *first)
                         .map(|first| Span((first + 600 * MS).saturating_sub(self.now)));
                     assert_eq!(connect, left);
-                    self.attempted(id.0, attempt, server, until.0);
+                    self.check_attempt(id.0, attempt, server, until.0);
                 }
                 Output::Cancel { id, attempt, .. } => {
-                    let out = self.out.iter_mut().find(|o| (o.request, o.attempt) == (id.0, attempt));
-                    out.into_iter().for_each(|o| (o.ends, o.status) = (self.now, Status::Cancelled));
+                    let flight = self
+                        .in_flight
+                        .iter_mut()
+                        .find(|flight| (flight.request, flight.attempt) == (id.0, attempt));
+                    flight
+                        .into_iter()
+                        .for_each(|flight| (flight.ends, flight.status) = (self.now, Status::Cancelled));
                 }
                 // Half of the withdrawn attempts had not been written completely.
                 Output::Withdraw { id, attempt, .. } => {
                     let unwritten = self.rng.random_bool(0.5);
-                    let out = self.out.iter_mut().find(|o| (o.request, o.attempt) == (id.0, attempt));
-                    if let Some(out) = out.filter(|_| unwritten) {
-                        (out.ends, out.status) = (self.now, Status::Moot);
+                    let flight = self
+                        .in_flight
+                        .iter_mut()
+                        .find(|flight| (flight.request, flight.attempt) == (id.0, attempt));
+                    if let Some(flight) = flight.filter(|_| unwritten) {
+                        (flight.ends, flight.status) = (self.now, Status::Moot);
                     }
                     self.withdrawn.insert((id.0, attempt.0));
                 }
@@ -206,20 +221,22 @@
                 }
                 Output::Open { server, .. } => {
                     if self.open.insert(server, true) == Some(true) {
-                        self.fault(format!("{server:?} opened twice"));
+                        self.report(format!("{server:?} opened twice"));
                     }
-                    self.leaves.remove(&server);
+                    self.leaving.remove(&server);
                 }
                 Output::Listed { server, state, .. } => {
                     if state == State::Ready {
-                        self.leaves.remove(&server)
+                        self.leaving.remove(&server)
                     } else {
-                        self.leaves.insert(server)
+                        self.leaving.insert(server)
                     };
                 }
                 Output::Close { server } => {
-                    if self.out.iter().any(|o| o.server == server) || self.open.remove(&server).is_none() {
-                        self.fault(format!("{server:?} closed in use"));
+                    if self.in_flight.iter().any(|flight| flight.server == server)
+                        || self.open.remove(&server).is_none()
+                    {
+                        self.report(format!("{server:?} closed in use"));
                     }
                 }
                 Output::Watch | Output::Say { .. } => {}
@@ -227,44 +244,44 @@
         }
     }
 
-    fn attempted(&mut self, id: u64, attempt: Attempt, server: ServerId, until: u64) {
+    fn check_attempt(&mut self, id: u64, attempt: Attempt, server: ServerId, until: u64) {
         let (now, site) = (self.now, &self.site);
-        let mut faults = Vec::new();
-        let seen = self.seen.get_mut(&id).unwrap();
-        if seen.answers > 0 {
-            faults.push("sent after its answer".to_owned());
+        let mut violations = Vec::new();
+        let request = self.requests.get_mut(&id).unwrap();
+        if request.answers > 0 {
+            violations.push("sent after its answer".to_owned());
         }
-        if seen.gone {
-            faults.push("sent after its client left".to_owned());
+        if request.gone {
+            violations.push("sent after its client left".to_owned());
         }
-        let out = seen.attempts.iter().filter(|(.., ended)| ended.is_none()).count();
-        if out > usize::from(site.settings.limits.second_copies) {
-            faults.push(format!("{} attempts at a time", out + 1));
+        let others = request.attempts.iter().filter(|(.., ended)| ended.is_none()).count();
+        if others > usize::from(site.settings.limits.second_copies) {
+            violations.push(format!("{} attempts at a time", others + 1));
         }
-        self.copies += out;
-        if self.leaves.contains(&server) || !self.open.contains_key(&server) {
-            faults.push("sent to a server that leaves".into());
+        self.hedges += others;
+        if self.leaving.contains(&server) || !self.open.contains_key(&server) {
+            violations.push("sent to a server that leaves".into());
         }
-        let ran = seen.attempts.iter().find(|(.., ended)| ended.is_none_or(|s| !s.never_ran()));
-        match (site.settings.classes[seen.class].effect, ran) {
-            (Effect::Unsafe, Some(_)) => faults.push("an effect twice".into()),
+        let may_have_run = request.attempts.iter().find(|(.., ended)| ended.is_none_or(|s| !s.never_ran()));
+        match (site.settings.classes[request.class].effect, may_have_run) {
+            (Effect::Unsafe, Some(_)) => violations.push("an effect twice".into()),
             (Effect::Keyed { window, .. }, Some((_, first, _))) if now >= first + window.0 => {
-                faults.push("a repeat after its key is forgotten".into());
+                violations.push("a repeat after its key is forgotten".into());
             }
             (Effect::Unsafe | Effect::Safe | Effect::Keyed { .. }, _) => {}
         }
-        if until > seen.gives_up.max(now) {
-            faults.push("an attempt outlives its client".into());
+        if until > request.client_deadline.max(now) {
+            violations.push("an attempt outlives its client".into());
         }
-        let most = seen.rule.as_ref().and_then(|r| r.attempts).unwrap_or(4).min(4) as usize;
-        if seen.attempts.len() >= most {
-            faults.push(format!("attempt {} of {most}", seen.attempts.len() + 1));
+        let max_attempts = request.rule.as_ref().and_then(|r| r.attempts).unwrap_or(4).min(4) as usize;
+        if request.attempts.len() >= max_attempts {
+            violations.push(format!("attempt {} of {max_attempts}", request.attempts.len() + 1));
         }
-        let longest = seen.rule.as_ref().and_then(|r| r.attempt_timeout);
-        if longest.is_some_and(|longest| until > now + longest.0) {
-            faults.push("an attempt over its time".into());
+        let attempt_timeout = request.rule.as_ref().and_then(|r| r.attempt_timeout);
+        if attempt_timeout.is_some_and(|timeout| until > now + timeout.0) {
+            violations.push("an attempt over its time".into());
         }
-        seen.attempts.push((server, now, None));
+        request.attempts.push((server, now, None));
         let (takes, status) = match self.rng.random_range(0..20) {
             0 => (5, Status::Error),
             1 => (2, Status::Reset),
@@ -275,69 +292,74 @@
         };
         let ends = now + takes * MS;
         let (ends, status) = if ends > until { (until, Status::Timeout) } else { (ends, status) };
-        self.out.push(Out { request: id, attempt, server, ends, status });
-        faults.into_iter().for_each(|fault| self.fault(format!("request {id}: {fault}")));
+        self.in_flight.push(InFlight { request: id, attempt, server, ends, status });
+        violations.into_iter().for_each(|violation| self.report(format!("request {id}: {violation}")));
     }
 
-    fn answered(&mut self, id: u64, answer: &Answer<u64>) {
+    fn check_answer(&mut self, id: u64, answer: &Answer<u64>) {
         let now = self.now;
-        let seen = self.seen.get_mut(&id).unwrap();
-        seen.answers += 1;
-        let mut faults = Vec::new();
-        if seen.answers > 1 || seen.gone {
-            faults.push("answered twice, or after its client left");
+        let request = self.requests.get_mut(&id).unwrap();
+        request.answers += 1;
+        let mut violations = Vec::new();
+        if request.answers > 1 || request.gone {
+            violations.push("answered twice, or after its client left");
         }
-        if now > seen.gives_up {
-            faults.push("answered after its client gave up");
+        if now > request.client_deadline {
+            violations.push("answered after its client gave up");
         }
-        let ran = seen.attempts.iter().any(|(.., ended)| ended.is_none_or(|s| !s.never_ran()));
-        let effect = self.site.settings.classes[seen.class].effect;
-        if matches!(answer, Answer::Refused { .. }) && ran && effect == Effect::Unsafe {
-            faults.push("refused, though it may have run");
+        let may_have_run = request.attempts.iter().any(|(.., ended)| ended.is_none_or(|s| !s.never_ran()));
+        let effect = self.site.settings.classes[request.class].effect;
+        if matches!(answer, Answer::Refused { .. }) && may_have_run && effect == Effect::Unsafe {
+            violations.push("refused, though it may have run");
         }
         if matches!(answer, Answer::Served(body) if *body != id) {
-            faults.push("another request's answer");
+            violations.push("another request's answer");
         }
-        faults.into_iter().for_each(|fault| self.fault(format!("request {id}: {fault}")));
+        violations.into_iter().for_each(|violation| self.report(format!("request {id}: {violation}")));
     }
 
-    fn list(&mut self, kind: ListKind, uids: &[String]) {
+    fn send_list(&mut self, kind: ListKind, uids: &[String]) {
         let entries = uids.iter().map(|uid| {
             let (state, boot) = self.listed[uid];
             let port = 1 + uid.len() as u16;
             let endpoint = (state != State::Gone).then(|| ([127, 0, 0, 1], port).into());
-            let (zone, model) = (zone(uid).to_owned(), String::new());
+            let (zone, model) = (zone_of(uid).to_owned(), String::new());
             let (uid, weight) = (uid.clone(), 1.0);
             Entry { uid, endpoint, zone, model, cell: 0, state, weight, boot_ms: boot / MS }
         });
         let delivery = Delivery { kind, rev: 1, entries: entries.collect(), odd: Vec::new() };
-        self.tell(Input::Listed(delivery));
+        self.input(Input::Listed(delivery));
     }
 
-    fn ask(&mut self) {
-        let (id, class) = (self.next, self.rng.random_range(0..3_usize));
-        self.next += 1;
+    fn submit_request(&mut self) {
+        let (id, class) = (self.next_id, self.rng.random_range(0..3_usize));
+        self.next_id += 1;
         let path = format!("/{}", self.site.classes[class]);
         let method = if class == 0 { "GET" } else { "POST" };
         let none = |_: &str| None;
         let facts = Facts { path: &path, method, class: class as u32, tenant: 0, header: &none };
         let rule = self.rules.as_ref().map(|rules| rules.find(&facts).clone());
         let wait = Span(self.rng.random_range(50..740) * MS);
-        let seen = Seen { class, gives_up: self.now + wait.0, rule: rule.clone(), ..Seen::default() };
-        self.seen.insert(id, seen);
+        let request = RequestRecord {
+            class,
+            client_deadline: self.now + wait.0,
+            rule: rule.clone(),
+            ..RequestRecord::default()
+        };
+        self.requests.insert(id, request);
         let (class, hint) = (class as u32, None);
-        let rule = rule.filter(|_| !self.planted);
+        let rule = rule.filter(|_| !self.hide_limits);
         let ask = Ask { class, tenant: 0, wait, hint, key: None, repeat: false, rule };
-        self.tell(Input::Request { id: RequestId(id), ask, received: Time(self.now), payload: id });
-        self.caps();
+        self.input(Input::Request { id: RequestId(id), ask, received: Time(self.now), payload: id });
+        self.check_caps();
         self.may_leave(Some(id));
     }
 
     /// Checks the number of open requests of each route, counted from answers alone, against its cap.
-    fn caps(&mut self) {
+    fn check_caps(&mut self) {
         let mut hand: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
-        for seen in self.seen.values().filter(|s| s.answers == 0 && !s.gone) {
-            let Some(rule) = &seen.rule else { continue };
+        for request in self.requests.values().filter(|request| request.answers == 0 && !request.gone) {
+            let Some(rule) = &request.rule else { continue };
             let (count, most) = hand.entry(&rule.name).or_insert((0, u32::MAX));
             *count += 1;
             // Requests admitted under an older file keep its cap, so the highest cap applies.
@@ -352,22 +374,26 @@
             .filter(|(_, (count, most))| count > most)
             .map(|(name, c)| format!("{name}: {c:?}"))
             .collect();
-        over.into_iter().for_each(|over| self.fault(format!("over its cap: {over}")));
+        over.into_iter().for_each(|over| self.report(format!("over its cap: {over}")));
     }
 
     fn run_to(&mut self, end: u64) {
         loop {
             let due = self.engine.due().map_or(u64::MAX, |t| t.0);
-            let ends = self.out.iter().map(|o| o.ends).chain(self.probes.iter().map(|p| p.0)).min();
+            let ends =
+                self.in_flight.iter().map(|flight| flight.ends).chain(self.probes.iter().map(|p| p.0)).min();
             let next = due.min(ends.unwrap_or(u64::MAX)).max(self.now);
             // A client leaves when it has waited long enough.
-            let leaves =
-                self.seen.iter().filter(|(_, s)| s.answers == 0 && !s.gone).map(|(id, s)| (s.gives_up, *id));
+            let leaves = self
+                .requests
+                .iter()
+                .filter(|(_, request)| request.answers == 0 && !request.gone)
+                .map(|(id, request)| (request.client_deadline, *id));
             let leaves = leaves.min().filter(|(at, _)| *at < next.min(end));
             if let Some((at, id)) = leaves {
                 self.now = at.max(self.now);
-                self.fault(format!("request {id} had no answer in time"));
-                self.leaves(id);
+                self.report(format!("request {id} had no answer in time"));
+                self.client_leaves(id);
                 continue;
             }
             if next > end {
@@ -377,27 +403,27 @@
             self.now = next;
             self.may_leave(None);
             self.wake();
-            let ends = self.out.iter().find(|o| o.ends <= next).map(|o| o.request);
+            let ends = self.in_flight.iter().find(|flight| flight.ends <= next).map(|flight| flight.request);
             ends.into_iter().for_each(|id| self.may_leave(Some(id)));
-            if let Some(n) = self.out.iter().position(|o| o.ends <= next) {
-                let Out { request, attempt, server, status, .. } = self.out.remove(n);
-                let seen = self.seen.get_mut(&request).unwrap();
-                seen.attempts[attempt.0 as usize].2 = Some(status);
-                let latency = Span(next - seen.attempts[attempt.0 as usize].1);
-                let body = (status == Status::Ok).then_some(request);
+            if let Some(n) = self.in_flight.iter().position(|flight| flight.ends <= next) {
+                let InFlight { request: id, attempt, server, status, .. } = self.in_flight.remove(n);
+                let request = self.requests.get_mut(&id).unwrap();
+                request.attempts[attempt.0 as usize].2 = Some(status);
+                let latency = Span(next - request.attempts[attempt.0 as usize].1);
+                let body = (status == Status::Ok).then_some(id);
                 let ended = Ended { status, latency, load: vec![1.0], body };
-                self.tell(Input::Ended { id: RequestId(request), attempt, server, ended });
+                self.input(Input::Ended { id: RequestId(id), attempt, server, ended });
             }
             if let Some(n) = self.probes.iter().position(|p| p.0 <= next) {
                 let (_, server, asked) = self.probes.remove(n);
                 let load = vec![f64::from(self.rng.random_range(0..4_u32))];
                 let ended = Ended { status: Status::Ok, latency: Span(MS), load, body: None };
-                self.tell(Input::Probed { server, asked, ended });
+                self.input(Input::Probed { server, asked, ended });
             }
         }
     }
 
-    fn change(&mut self) {
+    fn random_step(&mut self) {
         let uids: Vec<String> = self.listed.keys().cloned().collect();
         match self.rng.random_range(0..30) {
             0 if !uids.is_empty() => {
@@ -407,7 +433,7 @@
                     State::Ready => State::Draining,
                     State::Draining | State::Gone => State::Gone,
                 };
-                self.list(ListKind::Changes, &[uid]);
+                self.send_list(ListKind::Changes, &[uid]);
                 let gone = |(_, (state, _)): &(&String, &(State, u64))| *state == State::Gone;
                 let gone: Vec<String> = self.listed.iter().filter(gone).map(|(uid, _)| uid.clone()).collect();
                 self.listed.retain(|uid, _| !gone.contains(uid));
@@ -415,48 +441,56 @@
             1 | 2 if uids.len() < 8 => {
                 let uid = format!("s{}", "x".repeat(self.rng.random_range(1..400)));
                 self.listed.entry(uid.clone()).or_insert((State::Ready, self.now));
-                self.list(ListKind::Changes, &[uid]);
+                self.send_list(ListKind::Changes, &[uid]);
             }
-            3 if !uids.is_empty() => self.list(ListKind::Whole, &uids),
+            3 if !uids.is_empty() => self.send_list(ListKind::Whole, &uids),
             4 => {
                 let text = FILES[self.rng.random_range(0..FILES.len())];
                 if let (_, Some(rules)) = check(text, &self.site) {
                     let rules = Arc::new(rules);
-                    self.tell(Input::Rules(rules.clone()));
+                    self.input(Input::Rules(rules.clone()));
                     self.rules = Some(rules);
                 }
             }
             5 => {
-                let open = self.seen.iter().filter(|(_, s)| s.answers == 0 && !s.gone).map(|(id, _)| *id);
+                let open = self
+                    .requests
+                    .iter()
+                    .filter(|(_, request)| request.answers == 0 && !request.gone)
+                    .map(|(id, _)| *id);
                 if let Some(id) = open.max() {
-                    self.leaves(id);
+                    self.client_leaves(id);
                 }
             }
-            _ => self.ask(),
+            _ => self.submit_request(),
         }
     }
 }
 
-fn day(seed: u64) -> (Vec<String>, usize, usize, usize) {
-    play(World::new(seed))
+fn run_seed(seed: u64) -> (Vec<String>, usize, usize, usize) {
+    run(World::new(seed))
 }
 
-fn play(mut world: World) -> (Vec<String>, usize, usize, usize) {
-    whole_day(&mut world);
-    let served = world.seen.values().filter(|s| s.attempts.iter().any(|a| a.2 == Some(Status::Ok))).count();
-    (world.faults, served, world.seen.len(), world.copies)
+fn run(mut world: World) -> (Vec<String>, usize, usize, usize) {
+    run_scenario(&mut world);
+    let served = world
+        .requests
+        .values()
+        .filter(|request| request.attempts.iter().any(|a| a.2 == Some(Status::Ok)))
+        .count();
+    (world.violations, served, world.requests.len(), world.hedges)
 }
 
-fn whole_day(world: &mut World) {
+fn run_scenario(world: &mut World) {
     for n in 0..5 {
         world.listed.insert(format!("s{}", "x".repeat(n)), (State::Ready, 0));
     }
     let uids: Vec<String> = world.listed.keys().cloned().collect();
-    world.list(ListKind::Cached, &uids);
+    world.send_list(ListKind::Cached, &uids);
     for _ in 0..600 {
         let to = world.now + world.rng.random_range(0..6) * MS;
         world.run_to(to);
-        world.change();
+        world.random_step();
     }
     // The clock jumps, so that all pending timers expire at once.
     let jump = world.now + world.rng.random_range(0..3000) * MS;
@@ -464,62 +498,66 @@
     let end = world.now + 3000 * MS;
     world.run_to(end);
     if world.engine.in_hand() > 0 {
-        let held = world.engine.in_hand();
-        world.fault(format!("{held} entries are never given back"));
+        let open_requests = world.engine.in_hand();
+        world.report(format!("{open_requests} entries are never given back"));
     }
-    let unanswered = world.seen.values().filter(|s| s.answers == 0 && !s.gone).count();
+    let unanswered = world.requests.values().filter(|request| request.answers == 0 && !request.gone).count();
     if unanswered > 0 {
-        world.fault(format!("{unanswered} requests wait for ever"));
+        world.report(format!("{unanswered} requests wait for ever"));
     }
 }
 
 #[test]
-fn random_days_under_changing_files_keep_the_rules_and_the_limits() {
-    let (mut served, mut asked, mut copied) = (0, 0, 0);
+fn random_runs_with_changing_limits_files_respect_safety_rules_and_limits() {
+    let (mut served, mut requests, mut hedged) = (0, 0, 0);
     for seed in 0..120 {
-        let (faults, s, a, c) = day(seed);
-        assert!(faults.is_empty(), "seed {seed}: {faults:#?}");
-        (served, asked, copied) = (served + s, asked + a, copied + c);
+        let (violations, run_served, run_requests, run_hedged) = run_seed(seed);
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
+        (served, requests, hedged) = (served + run_served, requests + run_requests, hedged + run_hedged);
     }
-    assert!(copied > 100, "only {copied} second copies went out");
-    assert!(served * 3 > asked, "only {served} of {asked} were served: the days show nothing");
+    assert!(hedged > 100, "only {hedged} second copies went out");
+    assert!(served * 3 > requests, "only {served} of {requests} were served: the days show nothing");
 }
 
 #[test]
-fn the_auditor_finds_an_engine_that_is_blind_to_its_limits() {
-    let blind = |seed| World { planted: true, ..World::new(seed) };
-    let faults: Vec<String> = (0..20).flat_map(|seed| play(blind(seed)).0).collect();
+fn auditor_detects_engine_without_limits() {
+    let without_limits = |seed| World { hide_limits: true, ..World::new(seed) };
+    let violations: Vec<String> = (0..20).flat_map(|seed| run(without_limits(seed)).0).collect();
     for what in ["over its cap", "an attempt over its time", "attempt 2 of 1"] {
-        assert!(faults.iter().any(|fault| fault.contains(what)), "'{what}' is not found");
+        assert!(violations.iter().any(|violation| violation.contains(what)), "'{what}' is not found");
     }
 }
 
 #[test]
-fn the_same_seed_gives_the_same_day() {
-    assert_eq!(day(7), day(7));
+fn same_seed_gives_same_run() {
+    assert_eq!(run_seed(7), run_seed(7));
 }
 
 /// Once its client has left, no attempt of a request may start, whether it is in flight, queued or due.
 #[test]
-fn nothing_of_a_request_is_sent_once_its_client_has_left() {
+fn no_attempt_starts_after_the_client_left() {
     let mut left: BTreeMap<&str, usize> = BTreeMap::new();
     for seed in 0..200 {
-        let mut world = World { leavers: true, ..World::new(seed) };
-        whole_day(&mut world);
-        assert!(world.faults.is_empty(), "seed {seed}: {:#?}", world.faults);
-        world.left.into_iter().for_each(|(moment, count)| *left.entry(moment).or_default() += count);
+        let mut world = World { clients_leave_often: true, ..World::new(seed) };
+        run_scenario(&mut world);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
+        world
+            .departures
+            .into_iter()
+            .for_each(|(progress, count)| *left.entry(progress).or_default() += count);
     }
-    for moment in ["nothing", "its first attempt", "a further attempt", "two attempts at a time"] {
-        let count = left.get(moment).copied().unwrap_or_default();
-        assert!(count >= 100, "only {count} left when {moment} was sent: {left:?}");
+    for progress in ["nothing", "its first attempt", "a further attempt", "two attempts at a time"] {
+        let count = left.get(progress).copied().unwrap_or_default();
+        assert!(count >= 100, "only {count} left when {progress} was sent: {left:?}");
     }
 }
 
 #[test]
-fn the_auditor_finds_an_engine_that_is_not_told_that_clients_left() {
-    let deaf = |seed| World { leavers: true, deaf: true, ..World::new(seed) };
-    let faults: Vec<String> = (0..20).flat_map(|seed| play(deaf(seed)).0).collect();
+fn auditor_detects_engine_that_is_not_notified_of_departures() {
+    let without_departures =
+        |seed| World { clients_leave_often: true, hide_departures: true, ..World::new(seed) };
+    let violations: Vec<String> = (0..20).flat_map(|seed| run(without_departures(seed)).0).collect();
     for what in ["sent after its client left", "goes on without its client"] {
-        assert!(faults.iter().any(|fault| fault.contains(what)), "'{what}' is not found");
+        assert!(violations.iter().any(|violation| violation.contains(what)), "'{what}' is not found");
     }
 }
--- a/crates/engine/tests/watch.rs
+++ b/crates/engine/tests/watch.rs
@@ -8,9 +8,9 @@
 
 const MS: u64 = 1_000;
 
-fn site(more: &str) -> Site {
+fn site(extra: &str) -> Site {
     let text = format!(
-        r#"{{"balancers":2,"zones":["a","b"],"safety":{{}},"limits":{{"try_limit":3,"cancel":true}},{more}
+        r#"{{"balancers":2,"zones":["a","b"],"safety":{{}},"limits":{{"try_limit":3,"cancel":true}},{extra}
         "classes":[{{"name":"read","aim":200000,"deadline":600000,"gain":1,"semantics":"retryable"}}]}}"#
     );
     read(&text).expect("settings of this test")
@@ -32,12 +32,12 @@
 }
 
 /// Runs requests under `settings`, with or without a shadow module. Returns all outputs as text, and its counts.
-fn day(watched: Option<&Site>, settings: &Site) -> (Vec<String>, Watched) {
+fn run(shadow: Option<&Site>, settings: &Site) -> (Vec<String>, Watched) {
     let mut engine: Engine<u64, u64> = Engine::new(settings, 7, 1_000);
-    if let Some(other) = watched {
-        engine.watch(Watch::new(other.settings.clone(), &settings.settings.fields, 99));
+    if let Some(shadow) = shadow {
+        engine.watch(Watch::new(shadow.settings.clone(), &settings.settings.fields, 99));
     }
-    let (mut words, mut out, mut flying) =
+    let (mut log, mut outputs, mut in_flight) =
         (Vec::new(), Vec::new(), Vec::<(u64, RequestId, Attempt, ServerId)>::new());
     for tick in 0..6_000_u64 {
         let now = Time(1_000_000_000 + tick * MS);
@@ -53,10 +53,10 @@
             engine.input(
                 now,
                 Input::Listed(Delivery { kind, rev: tick, entries, odd: Vec::new() }),
-                &mut out,
+                &mut outputs,
             );
         }
-        engine.wake(now, &mut out);
+        engine.wake(now, &mut outputs);
         if tick % 7 == 0 {
             let ask = Ask {
                 class: 0,
@@ -70,48 +70,58 @@
             engine.input(
                 now,
                 Input::Request { id: RequestId(tick), ask, received: now, payload: tick },
-                &mut out,
+                &mut outputs,
             );
         }
-        let (due, rest) = flying.into_iter().partition(|(at, ..)| *at <= tick);
-        flying = rest;
+        let (due, later) = in_flight.into_iter().partition(|(at, ..)| *at <= tick);
+        in_flight = later;
         for (_, id, attempt, server) in due {
             let status = if id.0 % 11 == 0 { Status::Error } else { Status::Ok };
             let body = (status == Status::Ok).then_some(id.0);
             let ended = Ended { status, latency: Span(20 * MS), load: Vec::new(), body };
-            engine.input(now, Input::Ended { id, attempt, server, ended }, &mut out);
+            engine.input(now, Input::Ended { id, attempt, server, ended }, &mut outputs);
         }
-        for output in out.drain(..) {
+        for output in outputs.drain(..) {
             if let Output::Attempt { id, attempt, server, .. } = &output {
-                flying.push((tick + 20 + id.0 % 30, *id, *attempt, *server));
+                in_flight.push((tick + 20 + id.0 % 30, *id, *attempt, *server));
             }
-            words.push(format!("{tick} {output:?}"));
+            log.push(format!("{tick} {output:?}"));
         }
     }
-    (words, engine.take_watched().unwrap_or_default())
+    (log, engine.take_watched().unwrap_or_default())
 }
 
 /// The shadow module shares no random draws and no timers with the active module, so no output may differ.
 #[test]
-fn no_output_changes_for_being_watched() {
+fn shadow_module_changes_no_output() {
     let (plain, other) = (site(""), site(r#""weight_source":"live","family_info":{"warm_keys":true},"#));
-    let (unwatched, none) = day(None, &plain);
-    let (watched, counted) = day(Some(&other), &plain);
-    assert!(unwatched == watched, "first at {:?}", unwatched.iter().zip(&watched).find(|(a, b)| a != b));
-    assert_eq!(none, Watched::default());
-    assert!(counted.alike > 0 && counted.other_server + counted.other_zone > 100, "{counted:?}");
+    let (without_shadow, no_counts) = run(None, &plain);
+    let (with_shadow, counts) = run(Some(&other), &plain);
+    assert!(
+        without_shadow == with_shadow,
+        "first at {:?}",
+        without_shadow.iter().zip(&with_shadow).find(|(a, b)| a != b)
+    );
+    assert_eq!(no_counts, Watched::default());
+    assert!(counts.alike > 0 && counts.other_server + counts.other_zone > 100, "{counts:?}");
 }
 
 /// Each kind of difference has its own count: with the same settings, with expensive cross-zone traffic, and with
 /// inline load reports.
 #[test]
-fn what_would_have_been_otherwise_is_counted_by_kind() {
+fn differences_are_counted_by_kind() {
     let plain = site("");
-    let counts = |more: &str| day(Some(&site(more)), &plain).1;
+    let counts = |extra: &str| run(Some(&site(extra)), &plain).1;
     let same = counts("");
     assert_eq!((same.would_refuse, same.would_copy, same.would_probe), (0, 0, 0), "{same:?}");
-    let dear = counts(r#""deductions":{"cross_zone":0.5},"#);
-    assert!(dear.other_zone > 2 * same.other_zone / 3 && dear.other_zone > 200, "{dear:?} against {same:?}");
-    let looks = counts(r#""stats":{"how":"inline","fields":["inflight"]},"#);
-    assert!(looks.alike + looks.other_server + looks.other_zone > 500, "{looks:?}");
+    let expensive_crossing = counts(r#""deductions":{"cross_zone":0.5},"#);
+    assert!(
+        expensive_crossing.other_zone > 2 * same.other_zone / 3 && expensive_crossing.other_zone > 200,
+        "{expensive_crossing:?} against {same:?}"
+    );
+    let inline_reports = counts(r#""stats":{"how":"inline","fields":["inflight"]},"#);
+    assert!(
+        inline_reports.alike + inline_reports.other_server + inline_reports.other_zone > 500,
+        "{inline_reports:?}"
+    );
 }
