--- a/crates/engine/src/core.rs
+++ b/crates/engine/src/core.rs
@@ -332,7 +332,7 @@
         let longest_deadline = longest_deadline(site);
         Engine {
             max_attempts: site.settings.limits.max_attempts,
-            cancel_allowed: site.settings.limits.cancel,
+            cancel_allowed: site.settings.limits.cancellation,
             key_windows: key_windows(site),
             id_retention: longest_deadline,
             pools: Pools::new(site, seed, longest_deadline),
@@ -474,7 +474,7 @@
                         attempt,
                         server,
                     });
-                    self.notify_module(now, slot, Event::Gone { id }, outputs);
+                    self.notify_module(now, slot, Event::ClientLeft { id }, outputs);
                 }
                 self.remove_if_finished(id);
             }
@@ -489,7 +489,7 @@
             }
             Input::Uploads { id, server, over } => {
                 if let Some(slot) = self.requests.get(&id).map(|entry| entry.slot) {
-                    self.notify_module(now, slot, Event::Uploads { id, server, over }, outputs);
+                    self.notify_module(now, slot, Event::Upload { id, server, finished: over }, outputs);
                 }
             }
             Input::Ended { id, attempt, server, ended } => {
@@ -506,7 +506,7 @@
                 self.notify_module(
                     now,
                     asked,
-                    Event::Probed { server, status, latency, load: &load },
+                    Event::ProbeFinished { server, status, latency, load: &load },
                     outputs,
                 );
             }
@@ -523,7 +523,7 @@
             }
             Input::Settings { site, watched } => {
                 self.max_attempts = site.settings.limits.max_attempts;
-                self.cancel_allowed = site.settings.limits.cancel;
+                self.cancel_allowed = site.settings.limits.cancellation;
                 self.key_windows = key_windows(&site);
                 // An open request may still have the longer deadline of earlier settings.
                 self.id_retention = self.id_retention.max(longest_deadline(&site));
@@ -580,7 +580,16 @@
             self.gate.waits_again(rule, &mut entry.route_state);
             again = self.gate.repeat(now, rule, &mut entry.route_state, entry.attempts.len() as u32);
         }
-        let outcome = Event::Outcome { id, attempt, status, closed, again, latency, server, load: &load };
+        let outcome = Event::AttemptFinished {
+            id,
+            attempt,
+            status,
+            request_closed: closed,
+            retry_allowed: again,
+            latency,
+            server,
+            load: &load,
+        };
         self.notify_module(now, slot, outcome, outputs);
         self.remove_if_finished(id);
     }
@@ -601,11 +610,11 @@
             let server = self.places.number(&entry.uid);
             let Some(place) = self.places.get_mut(server) else { continue };
             let state = entry.state;
-            place.gone = (state == State::Gone).then(|| place.gone.unwrap_or(now));
+            place.gone = (state == State::Removed).then(|| place.gone.unwrap_or(now));
             let at = entry.endpoint.map(|at| (at, entry.boot_ms));
             match at {
                 at if place.open => outputs.push(Output::Listed { server, at, state }),
-                Some((at, boot_ms)) if state != State::Gone => {
+                Some((at, boot_ms)) if state != State::Removed => {
                     place.open = true;
                     outputs.push(Output::Open { server, at, boot_ms });
                     // It may be draining when it is first listed.
@@ -615,7 +624,7 @@
             }
             numbers.push(server);
         }
-        if kind == ListKind::Whole {
+        if kind == ListKind::Full {
             // Servers that are missing from a whole list are gone, although no entry says so.
             let listed: FxHashSet<ServerId> = numbers.iter().copied().collect();
             let missing = self.places.taken().map(|(server, _)| server).filter(|s| !listed.contains(s));
@@ -623,7 +632,7 @@
                 let Some(place) = self.places.get_mut(server) else { continue };
                 place.gone = place.gone.or(Some(now));
                 if place.open {
-                    outputs.push(Output::Listed { server, at: None, state: State::Gone });
+                    outputs.push(Output::Listed { server, at: None, state: State::Removed });
                 }
             }
         }
@@ -673,10 +682,10 @@
             Action::Timer { token, delay } => {
                 self.timers.set(now + delay, TimerKind::DecisionModule(slot, token))
             }
-            Action::Watch => outputs.push(Output::Watch),
+            Action::WatchServers => outputs.push(Output::Watch),
             // Messages between instances have no protocol yet, and the settings do not allow the decision module to
             // send any.
-            Action::Tell { .. } => {}
+            Action::SendToPeers { .. } => {}
             Action::Log { server, text } => outputs.push(Output::Say { server, text }),
         }
     }
@@ -691,7 +700,7 @@
         if entry.attempts.len() == 1 && self.gate.repeat(now, rule, &mut entry.route_state, 1) {
             let slot = entry.slot;
             self.charged_hedge = Some(id);
-            self.notify_module(now, slot, Event::Copy { id }, outputs);
+            self.notify_module(now, slot, Event::HedgeDue { id }, outputs);
             self.charged_hedge = None;
         }
     }
@@ -740,7 +749,7 @@
         if transport_open && !rejected {
             return outputs.push(Output::Attempt { id, attempt, server, payload, until, connect });
         }
-        let status = if rejected { Status::Moot } else { Status::ConnectFailed };
+        let status = if rejected { Status::NotSent } else { Status::ConnectFailed };
         self.internal_inputs.push_back(Input::Ended { id, attempt, server, ended: Ended::unsent(status) });
     }
 
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -129,12 +129,12 @@
             let zone = self.zones.iter().position(|z| *z == entry.zone);
             let member = Member {
                 server: *server,
-                born: Time(entry.boot_ms.saturating_mul(1000)),
+                started_at: Time(entry.boot_ms.saturating_mul(1000)),
                 weight: entry.weight,
                 zone: zone.unwrap_or(self.zones.len()) as u32,
                 cell: entry.cell,
                 state: entry.state,
-                common: common_name(&entry.uid),
+                global_id: common_name(&entry.uid),
             };
             let known = ListedServer { member, zone: entry.zone.clone(), model: entry.model.clone() };
             updates.push((member, self.servers.insert(server.0, known)));
@@ -145,7 +145,7 @@
                 let was_selected = before.as_ref().is_some_and(|known| selects(rule, known));
                 // A server that the pool no longer selects is removed from the pool. An entry of a server that is
                 // draining or gone may lack its zone and cell, so it goes to the pool of all servers in any case.
-                let state = if selected { member.state } else { State::Gone };
+                let state = if selected { member.state } else { State::Removed };
                 (selected || was_selected || member.state != State::Ready && rule.is_none())
                     .then_some(Member { state, ..*member })
             });
@@ -153,7 +153,7 @@
         };
         let members_by_pool =
             self.pools.iter().map(|(id, pool)| (*id, members_of(pool.rule.as_ref()))).collect();
-        self.servers.retain(|_, known| known.member.state != State::Gone);
+        self.servers.retain(|_, known| known.member.state != State::Removed);
         members_by_pool
     }
 
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -5,7 +5,7 @@
 use crate::core::{Answer, Ask, Ended, Engine, Input, Output, Tally};
 use crate::pools::SlotId;
 use crate::watch::Watched;
-use dunlincleat::api::{Attempt, RequestId, ServerId, Settings, State, Time};
+use dunlincleat::api::{Attempt, RequestId, ServerId, Settings, State, Status, Time};
 use dunlincleat_directory::{Cause, Delivery, Health};
 use dunlincleat_limits::RuleSet;
 use dunlincleat_settings::Site;
@@ -264,11 +264,11 @@
         match &input {
             Input::Began { id, attempt, server, ended } | Input::Ended { id, attempt, server, ended } => {
                 tracing::debug!(
-                    "attempt {} of request {} at {}: {:?} after {} us, load {:?}",
+                    "attempt {} of request {} at {}: {} after {} us, load {:?}",
                     attempt.0,
                     id.0,
                     self.engine.places().uid(*server),
-                    ended.status,
+                    status_text(ended.status),
                     ended.latency.0,
                     ended.load
                 )
@@ -279,14 +279,14 @@
                     "list {} revision {}: {} up, {} draining, {} removed",
                     match delivery.kind {
                         dunlincleat::api::ListKind::Cached => "as last held",
-                        dunlincleat::api::ListKind::Whole => "in whole",
+                        dunlincleat::api::ListKind::Full => "in whole",
                         dunlincleat::api::ListKind::Changes => "changes",
                         dunlincleat::api::ListKind::Failed => "failed",
                     },
                     delivery.rev,
                     count(State::Ready),
                     count(State::Draining),
-                    count(State::Gone)
+                    count(State::Removed)
                 );
             }
             Input::Request { .. }
@@ -393,3 +393,17 @@
         );
     }
 }
+
+/// Text of a status in log lines. Two statuses keep their earlier names there.
+fn status_text(status: Status) -> &'static str {
+    match status {
+        Status::Ok => "Ok",
+        Status::Error => "Error",
+        Status::Rejected => "Full",
+        Status::Timeout => "Timeout",
+        Status::ConnectFailed => "ConnectFailed",
+        Status::Reset => "Reset",
+        Status::Cancelled => "Cancelled",
+        Status::NotSent => "Moot",
+    }
+}
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -110,13 +110,13 @@
                 Action::Cancel { .. }
                 | Action::Probe { .. }
                 | Action::Timer { .. }
-                | Action::Watch
-                | Action::Tell { .. }
+                | Action::WatchServers
+                | Action::SendToPeers { .. }
                 | Action::Log { .. } => {}
             }
         }
         self.undo_hedges(now, &mut actions);
-        if let Event::Outcome { id, closed: true, .. } | Event::Gone { id } = event {
+        if let Event::AttemptFinished { id, request_closed: true, .. } | Event::ClientLeft { id } = event {
             self.requests.remove(&id);
         }
         // An attempt that was undone may free capacity for a request that waits in the shadow module.
@@ -132,15 +132,18 @@
                 Action::Timer { token, delay } => self.timers.set(now + delay, token),
                 Action::Probe { server } => {
                     self.counts.would_probe += 1;
-                    let (status, latency) = (Status::Moot, Span(0));
-                    let unsent = Event::Probed { server, status, latency, load: &[] };
+                    let (status, latency) = (Status::NotSent, Span(0));
+                    let unsent = Event::ProbeFinished { server, status, latency, load: &[] };
                     self.balancer.on_event(now, unsent, actions);
                 }
                 Action::Send { id, server, .. } => self.own_attempt(id, server),
                 Action::Refuse { id, .. } | Action::Fail { id } => {
                     self.requests.entry(id).and_modify(|request| request.rejected = true);
                 }
-                Action::Cancel { .. } | Action::Watch | Action::Tell { .. } | Action::Log { .. } => {}
+                Action::Cancel { .. }
+                | Action::WatchServers
+                | Action::SendToPeers { .. }
+                | Action::Log { .. } => {}
             }
         }
     }
@@ -148,10 +151,19 @@
     fn forward(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             // The shadow module has its own timers and never has a probe in flight.
-            Event::Timer { .. } | Event::Probed { .. } => {}
+            Event::Timer { .. } | Event::ProbeFinished { .. } => {}
             // The shadow module has its own settings, which are set by `adopt`.
             Event::Settings { .. } => {}
-            Event::Outcome { id, attempt, status, closed, again, latency, server, load } => {
+            Event::AttemptFinished {
+                id,
+                attempt,
+                status,
+                request_closed: closed,
+                retry_allowed: again,
+                latency,
+                server,
+                load,
+            } => {
                 let request = self.requests.get(&id);
                 let own_attempt = request
                     .and_then(|request| request.own_attempts.get(attempt.0 as usize).copied().flatten());
@@ -165,7 +177,16 @@
                         .collect()
                 };
                 let load = &load;
-                let outcome = Event::Outcome { id, attempt, status, closed, again, latency, server, load };
+                let outcome = Event::AttemptFinished {
+                    id,
+                    attempt,
+                    status,
+                    request_closed: closed,
+                    retry_allowed: again,
+                    latency,
+                    server,
+                    load,
+                };
                 self.balancer.on_event(now, outcome, actions);
             }
             Event::Members { kind, entries } => {
@@ -179,10 +200,10 @@
                 self.requests.insert(id, ShadowRequest::default());
                 self.balancer.on_event(now, event, actions);
             }
-            Event::Gone { .. }
-            | Event::First { .. }
-            | Event::Uploads { .. }
-            | Event::Copy { .. }
+            Event::ClientLeft { .. }
+            | Event::ResponseStarted { .. }
+            | Event::Upload { .. }
+            | Event::HedgeDue { .. }
             | Event::Peer { .. } => {
                 self.balancer.on_event(now, event, actions);
             }
@@ -241,7 +262,7 @@
         for (attempt, server) in request.unmatched_own.drain(..) {
             self.balancer.on_event(now, never_sent(id, attempt, server, true), actions);
         }
-        self.balancer.on_event(now, Event::Gone { id }, actions);
+        self.balancer.on_event(now, Event::ClientLeft { id }, actions);
     }
 
     /// Undoes and counts the hedged requests that the shadow module made beside a real attempt.
@@ -258,6 +279,15 @@
 
 /// Outcome of an attempt that was never sent.
 fn never_sent(id: RequestId, attempt: Attempt, server: ServerId, closed: bool) -> Event<'static> {
-    let (status, latency) = (Status::Moot, Span(0));
-    Event::Outcome { id, attempt, status, closed, again: false, latency, server, load: &[] }
+    let (status, latency) = (Status::NotSent, Span(0));
+    Event::AttemptFinished {
+        id,
+        attempt,
+        status,
+        request_closed: closed,
+        retry_allowed: false,
+        latency,
+        server,
+        load: &[],
+    }
 }
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -211,7 +211,7 @@
                         .iter_mut()
                         .find(|flight| (flight.request, flight.attempt) == (id.0, attempt));
                     if let Some(flight) = flight.filter(|_| unwritten) {
-                        (flight.ends, flight.status) = (self.now, Status::Moot);
+                        (flight.ends, flight.status) = (self.now, Status::NotSent);
                     }
                     self.withdrawn.insert((id.0, attempt.0));
                 }
@@ -255,7 +255,7 @@
             violations.push("sent after its client left".to_owned());
         }
         let others = request.attempts.iter().filter(|(.., ended)| ended.is_none()).count();
-        if others > usize::from(site.settings.limits.second_copies) {
+        if others > usize::from(site.settings.limits.hedging) {
             violations.push(format!("{} attempts at a time", others + 1));
         }
         self.hedges += others;
@@ -286,7 +286,7 @@
             0 => (5, Status::Error),
             1 => (2, Status::Reset),
             2 => (1, Status::ConnectFailed),
-            3 => (1, Status::Full),
+            3 => (1, Status::Rejected),
             4 | 5 => (100_000, Status::Timeout),
             _ => (self.rng.random_range(3..120), Status::Ok),
         };
@@ -322,7 +322,7 @@
         let entries = uids.iter().map(|uid| {
             let (state, boot) = self.listed[uid];
             let port = 1 + uid.len() as u16;
-            let endpoint = (state != State::Gone).then(|| ([127, 0, 0, 1], port).into());
+            let endpoint = (state != State::Removed).then(|| ([127, 0, 0, 1], port).into());
             let (zone, model) = (zone_of(uid).to_owned(), String::new());
             let (uid, weight) = (uid.clone(), 1.0);
             Entry { uid, endpoint, zone, model, cell: 0, state, weight, boot_ms: boot / MS }
@@ -431,10 +431,10 @@
                 let entry = self.listed.get_mut(&uid).unwrap();
                 entry.0 = match entry.0 {
                     State::Ready => State::Draining,
-                    State::Draining | State::Gone => State::Gone,
+                    State::Draining | State::Removed => State::Removed,
                 };
                 self.send_list(ListKind::Changes, &[uid]);
-                let gone = |(_, (state, _)): &(&String, &(State, u64))| *state == State::Gone;
+                let gone = |(_, (state, _)): &(&String, &(State, u64))| *state == State::Removed;
                 let gone: Vec<String> = self.listed.iter().filter(gone).map(|(uid, _)| uid.clone()).collect();
                 self.listed.retain(|uid, _| !gone.contains(uid));
             }
@@ -443,7 +443,7 @@
                 self.listed.entry(uid.clone()).or_insert((State::Ready, self.now));
                 self.send_list(ListKind::Changes, &[uid]);
             }
-            3 if !uids.is_empty() => self.send_list(ListKind::Whole, &uids),
+            3 if !uids.is_empty() => self.send_list(ListKind::Full, &uids),
             4 => {
                 let text = FILES[self.rng.random_range(0..FILES.len())];
                 if let (_, Some(rules)) = check(text, &self.site) {
