--- a/crates/engine/benches/path.rs
+++ b/crates/engine/benches/path.rs
@@ -9,7 +9,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dunlincleat::api::{Attempt, ListKind, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
-use dunlincleat_engine::{Ask, Ended, Engine, Input, Output};
+use dunlincleat_engine::{Completion, Engine, Input, Output, RequestInfo};
 use dunlincleat_limits::{Rule, check};
 use dunlincleat_settings::{Site, read};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
@@ -56,7 +56,7 @@
         let now = 1_800_000_000_000_000;
         let mut outputs = Vec::new();
         let known = Delivery { kind: ListKind::Cached, rev: 1, entries, odd: Vec::new() };
-        engine.input(Time(now), Input::Listed(known), &mut outputs);
+        engine.input(Time(now), Input::ServerList(known), &mut outputs);
         let rule = limits.then(|| rules.default_rule().clone());
         RequestPath { engine, rule, now, id: 0, outputs }
     }
@@ -81,11 +81,11 @@
     fn decide(&mut self) {
         self.id += 1;
         let (now, id) = (Time(self.now), RequestId(self.id));
-        let ask = Ask { wait: Span(740_000), rule: self.rule.clone(), ..Ask::default() };
+        let info = RequestInfo { wait: Span(740_000), rule: self.rule.clone(), ..RequestInfo::default() };
         self.outputs.clear();
         self.engine.input(
             now,
-            Input::Request { id, ask, received: now, payload: self.id },
+            Input::Request { id, info, received: now, payload: self.id },
             &mut self.outputs,
         );
         let sent = self.outputs.iter().find_map(|output| match output {
@@ -95,8 +95,8 @@
         let Some((attempt, server)): Option<(Attempt, ServerId)> = sent else { return };
         self.outputs.clear();
         let load = vec![1.0, 0.0, 0.4];
-        let ended = Ended { status: Status::Ok, latency: Span(5000), load, body: Some(self.id) };
-        self.engine.input(now, Input::Ended { id, attempt, server, ended }, &mut self.outputs);
+        let completion = Completion { status: Status::Ok, latency: Span(5000), load, body: Some(self.id) };
+        self.engine.input(now, Input::AttemptEnded { id, attempt, server, completion }, &mut self.outputs);
         black_box(&self.outputs);
     }
 }
--- a/crates/engine/src/core.rs
+++ b/crates/engine/src/core.rs
@@ -5,10 +5,10 @@
 //! It makes no decisions of its own: the decision module chooses servers, retries and refusals, within what the
 //! operator's limits allow. Each pool of servers has its own decision module; without a limits file there is one pool.
 
-use crate::places::Places;
-use crate::pools::{Pools, SlotId};
+use crate::pools::{PoolId, Pools};
+use crate::server_table::ServerTable;
+use crate::shadow::{Shadow, ShadowCounts};
 use crate::timers::Timers;
-use crate::watch::{Watch, Watched};
 use dunlincleat::api::{
     Action, Attempt, Effect, Event, ListKind, RequestId, ServerId, Settings, Span, State, Status, Time, Token,
 };
@@ -23,7 +23,7 @@
 
 /// What a front knows of a request besides its payload.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct RequestInfo {
     /// Index of its class.
     pub class: u32,
     /// Index of its tenant; one past the last if the request names no known tenant.
@@ -42,7 +42,7 @@
 
 /// Result of an attempt or a probe.
 #[derive(Clone, Debug)]
-pub struct Ended<B> {
+pub struct Completion<B> {
     /// How it ended.
     pub status: Status,
     /// Time since it was started.
@@ -53,11 +53,11 @@
     pub body: Option<B>,
 }
 
-impl<B> Ended<B> {
+impl<B> Completion<B> {
     /// A result without a response.
     #[must_use]
-    pub fn unsent(status: Status) -> Ended<B> {
-        Ended { status, latency: Span(0), load: Vec::new(), body: None }
+    pub fn without_response(status: Status) -> Completion<B> {
+        Completion { status, latency: Span(0), load: Vec::new(), body: None }
     }
 }
 
@@ -75,6 +75,15 @@
     Failed,
 }
 
+/// Where a server is reached, and since when.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Endpoint {
+    /// Address of the server.
+    pub address: SocketAddr,
+    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    pub boot_ms: u64,
+}
+
 /// Inputs of the engine.
 #[derive(Clone, Debug)]
 pub enum Input<P, B> {
@@ -83,16 +92,16 @@
         /// Id of the request.
         id: RequestId,
         /// What the front knows of it.
-        ask: Ask,
+        info: RequestInfo,
         /// When its last byte was received.
         received: Time,
         /// What the transport sends.
         payload: P,
     },
     /// The client of a request left; no answer is needed any more.
-    Gone(RequestId),
+    ClientLeft(RequestId),
     /// An attempt ended. Each attempt that was started ends exactly once.
-    Ended {
+    AttemptEnded {
         /// Request of the attempt.
         id: RequestId,
         /// Number of the attempt within its request.
@@ -100,11 +109,11 @@
         /// Server that it was sent to.
         server: ServerId,
         /// Its result.
-        ended: Ended<B>,
+        completion: Completion<B>,
     },
     /// The response to an attempt has started and is streamed to the client as it arrives, so it is the final answer.
     /// The attempt itself ends later, once.
-    Began {
+    ResponseStarted {
         /// Request of the attempt.
         id: RequestId,
         /// Number of the attempt within its request.
@@ -112,36 +121,36 @@
         /// Server that it was sent to.
         server: ServerId,
         /// The result so far, with the response.
-        ended: Ended<B>,
+        completion: Completion<B>,
     },
     /// The upload of a request body to an attempt is still in progress, or has finished.
-    Uploads {
+    Upload {
         /// Request of the attempt.
         id: RequestId,
         /// Server that it was sent to.
         server: ServerId,
         /// Whether the upload has finished.
-        over: bool,
+        finished: bool,
     },
     /// A probe ended. Each probe that was started ends exactly once.
-    Probed {
+    ProbeEnded {
         /// Server that was probed.
         server: ServerId,
         /// Pool that the probe was sent for, as in [`Output::Probe`].
-        asked: SlotId,
+        pool: PoolId,
         /// Its result.
-        ended: Ended<B>,
+        completion: Completion<B>,
     },
     /// The list of servers, or changes to it.
-    Listed(Delivery),
+    ServerList(Delivery),
     /// A discovery call failed or the watch ended, where lists are delivered on request.
-    ListFailed,
+    DiscoveryFailed,
     /// New settings. Open requests keep their class and number of attempts.
     Settings {
         /// Settings of the decision modules.
         site: Arc<Site>,
         /// Settings of the shadow module, if there is one.
-        watched: Option<Settings>,
+        shadow: Option<Settings>,
     },
     /// New limits. Open requests keep the rule that they were admitted under.
     Rules(Arc<RuleSet>),
@@ -170,7 +179,7 @@
         /// When to stop waiting for a response.
         until: Time,
         /// Limit on the time to connect, if it is tighter than that of the settings.
-        connect: Option<Span>,
+        connect_timeout: Option<Span>,
     },
     /// Cancel an attempt. Its end must still be reported.
     Cancel {
@@ -196,23 +205,21 @@
         /// Server to probe.
         server: ServerId,
         /// Pool that the probe is sent for; returned with the result.
-        asked: SlotId,
+        pool: PoolId,
     },
     /// Open a transport to a server.
     Open {
         /// Id of the server.
         server: ServerId,
-        /// Address of the server.
-        at: SocketAddr,
-        /// When it last started, in milliseconds of Unix time; 0 for long ago.
-        boot_ms: u64,
+        /// Where it is reached.
+        endpoint: Endpoint,
     },
     /// Update a server whose transport is open, as listed.
-    Listed {
+    UpdateServer {
         /// Id of the server.
         server: ServerId,
-        /// Address and boot time; none if the list has no address.
-        at: Option<(SocketAddr, u64)>,
+        /// Where it is reached; none if the list has no address.
+        endpoint: Option<Endpoint>,
         /// Whether it takes new work.
         state: State,
     },
@@ -224,7 +231,7 @@
     /// Open a watch of the server list, where lists are delivered on request.
     Watch,
     /// Write a log line for operators.
-    Say {
+    Log {
         /// Server that the line is about, if any.
         server: Option<ServerId>,
         /// The line.
@@ -234,9 +241,9 @@
 
 /// Event counts since they were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Counters {
     /// Requests received.
-    pub taken: u64,
+    pub received: u64,
     /// Requests answered by a server.
     pub served: u64,
     /// Requests refused.
@@ -246,7 +253,7 @@
     /// Refused requests that exceeded a limit of their route.
     pub limited: u64,
     /// Requests whose client left before the answer.
-    pub gone: u64,
+    pub client_left: u64,
     /// Attempts started.
     pub attempts: u64,
 }
@@ -256,7 +263,7 @@
 struct OpenRequest<P> {
     payload: P,
     wait: Span,
-    slot: SlotId,
+    pool: PoolId,
     rule: Option<Arc<Rule>>,
     /// Maximum number of attempts.
     max_attempts: u32,
@@ -283,7 +290,7 @@
 /// Purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 enum TimerKind {
-    DecisionModule(SlotId, Token),
+    DecisionModule(PoolId, Token),
     /// The hedged request of an open request is due.
     Hedge(RequestId),
 }
@@ -312,17 +319,17 @@
     key_windows: Vec<Option<Span>>,
     timers: Timers<TimerKind>,
     requests: FxHashMap<RequestId, OpenRequest<P>>,
-    places: Places,
+    servers: ServerTable,
     /// How long the id of a removed server stays reserved: as long as an open request may refer to it.
     id_retention: Span,
     /// Inputs that the engine produced itself while it carried out actions.
     internal_inputs: VecDeque<Input<P, B>>,
     actions: Vec<Action>,
-    tally: Tally,
+    counters: Counters,
     /// The request whose hedge was charged to the retry budget of its rule just now.
     charged_hedge: Option<RequestId>,
     /// Decision module under other settings that is only compared with the active one.
-    shadow: Option<Box<Watch>>,
+    shadow: Option<Box<Shadow>>,
 }
 
 impl<P: Clone, B> Engine<P, B> {
@@ -339,10 +346,10 @@
             gate: Gate::new(max_requests),
             timers: Timers::default(),
             requests: FxHashMap::default(),
-            places: Places::default(),
+            servers: ServerTable::default(),
             internal_inputs: VecDeque::new(),
             actions: Vec::new(),
-            tally: Tally::default(),
+            counters: Counters::default(),
             charged_hedge: None,
             shadow: None,
         }
@@ -356,20 +363,20 @@
 
     /// Returns the number of open requests.
     #[must_use]
-    pub fn in_hand(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// Returns the table of servers.
     #[must_use]
-    pub fn places(&self) -> &Places {
-        &self.places
+    pub fn servers(&self) -> &ServerTable {
+        &self.servers
     }
 
     /// Returns the number of listed servers.
     #[must_use]
-    pub fn listed_now(&self) -> usize {
-        self.places.taken().filter(|(_, place)| place.gone.is_none()).count()
+    pub fn listed_servers(&self) -> usize {
+        self.servers.assigned().filter(|(_, record)| record.removed_at.is_none()).count()
     }
 
     /// Returns the number of listed servers that the decision module over all servers currently avoids.
@@ -379,27 +386,27 @@
     }
 
     /// Returns the event counts since the last call and resets them.
-    pub fn take_tally(&mut self) -> Tally {
-        std::mem::take(&mut self.tally)
+    pub fn take_counters(&mut self) -> Counters {
+        std::mem::take(&mut self.counters)
     }
 
     /// Sets the shadow module. It is compared with the decision module over all servers only, not with those of other
     /// pools.
-    pub fn watch(&mut self, watch: Watch) {
-        self.shadow = Some(Box::new(watch));
+    pub fn set_shadow(&mut self, shadow: Shadow) {
+        self.shadow = Some(Box::new(shadow));
     }
 
     /// Returns the counts of the shadow module since the last call and resets them; none without a shadow module.
-    pub fn take_watched(&mut self) -> Option<Watched> {
-        self.shadow.as_mut().map(|watch| watch.take())
+    pub fn take_shadow_counts(&mut self) -> Option<ShadowCounts> {
+        self.shadow.as_mut().map(|shadow| shadow.take_counts())
     }
 
     /// Processes all timers that have expired.
     pub fn wake(&mut self, now: Time, outputs: &mut Vec<Output<P, B>>) {
         while let Some(due) = self.timers.pop(now) {
             match due {
-                TimerKind::DecisionModule(slot, token) => {
-                    self.notify_module(now, slot, Event::Timer { token }, outputs)
+                TimerKind::DecisionModule(pool, token) => {
+                    self.notify_module(now, pool, Event::Timer { token }, outputs)
                 }
                 TimerKind::Hedge(id) => self.hedge(now, id, outputs),
             }
@@ -421,24 +428,24 @@
 
     fn process(&mut self, now: Time, input: Input<P, B>, outputs: &mut Vec<Output<P, B>>) {
         match input {
-            Input::Request { id, ask, received, payload } => {
-                self.tally.taken += 1;
-                let Ask { class, tenant, wait, hint, key, repeat, rule } = ask;
+            Input::Request { id, info, received, payload } => {
+                self.counters.received += 1;
+                let RequestInfo { class, tenant, wait, hint, key, repeat, rule } = info;
                 let mut route_state = Stand::default();
-                let mut slot = SlotId::ALL;
+                let mut pool = PoolId::ALL;
                 let mut wait = wait;
                 if let Some(rule) = &rule {
                     match self.gate.admit(now, rule) {
                         Ok(admitted) => route_state = admitted,
                         Err(_) => {
                             // Nothing of it has run, and the decision module is never notified of it.
-                            (self.tally.refused, self.tally.limited) =
-                                (self.tally.refused + 1, self.tally.limited + 1);
+                            (self.counters.refused, self.counters.limited) =
+                                (self.counters.refused + 1, self.counters.limited + 1);
                             let answer = Answer::Refused { retry_after: None };
                             return outputs.push(Output::Answer { id, answer });
                         }
                     }
-                    slot = self.pools.of(now, rule, &self.places);
+                    pool = self.pools.pool_for(now, rule, &self.servers);
                     wait = rule.timeout.map_or(wait, |timeout| wait.min(timeout));
                 }
                 let left = Span(wait.0.saturating_sub((now - received).0));
@@ -447,7 +454,7 @@
                 let entry = OpenRequest {
                     payload,
                     wait,
-                    slot,
+                    pool,
                     rule,
                     max_attempts,
                     route_state,
@@ -460,87 +467,87 @@
                 self.requests.insert(id, entry);
                 self.notify_module(
                     now,
-                    slot,
+                    pool,
                     Event::Request { id, left, class, tenant, hint, key, repeat },
                     outputs,
                 );
             }
-            Input::Gone(id) => {
-                if let Some(slot) = self.mark_answered(id) {
-                    self.tally.gone += 1;
+            Input::ClientLeft(id) => {
+                if let Some(pool) = self.mark_answered(id) {
+                    self.counters.client_left += 1;
                     // Without this, an attempt that waited for a connection was sent long after its client had left.
                     self.push_for_unfinished(id, outputs, |id, attempt, server| Output::Withdraw {
                         id,
                         attempt,
                         server,
                     });
-                    self.notify_module(now, slot, Event::ClientLeft { id }, outputs);
+                    self.notify_module(now, pool, Event::ClientLeft { id }, outputs);
                 }
                 self.remove_if_finished(id);
             }
-            Input::Began { id, attempt, server, ended } => {
+            Input::ResponseStarted { id, attempt, server, completion } => {
                 let Some(entry) = self.requests.get_mut(&id) else { return };
                 // For the decision module the attempt ends with the first bytes, because the rest of the stream says
                 // nothing about the service time of the server. In this table it stays in flight until its transport
                 // has finished, and its own answer does not cancel it.
                 entry.streaming = Some(attempt);
                 entry.in_flight += 1;
-                self.attempt_ended(now, id, attempt, server, ended, outputs);
+                self.attempt_ended(now, id, attempt, server, completion, outputs);
             }
-            Input::Uploads { id, server, over } => {
-                if let Some(slot) = self.requests.get(&id).map(|entry| entry.slot) {
-                    self.notify_module(now, slot, Event::Upload { id, server, finished: over }, outputs);
+            Input::Upload { id, server, finished } => {
+                if let Some(pool) = self.requests.get(&id).map(|entry| entry.pool) {
+                    self.notify_module(now, pool, Event::Upload { id, server, finished }, outputs);
                 }
             }
-            Input::Ended { id, attempt, server, ended } => {
-                self.places.returned(now, server, ended.status);
+            Input::AttemptEnded { id, attempt, server, completion } => {
+                self.servers.record_end(now, server, completion.status);
                 if let Some(entry) = self.requests.get_mut(&id).filter(|e| e.streaming == Some(attempt)) {
                     entry.in_flight = entry.in_flight.saturating_sub(1);
                     return self.remove_if_finished(id);
                 }
-                self.attempt_ended(now, id, attempt, server, ended, outputs);
+                self.attempt_ended(now, id, attempt, server, completion, outputs);
             }
-            Input::Probed { server, asked, ended } => {
-                self.places.returned(now, server, ended.status);
-                let Ended { status, latency, load, .. } = ended;
+            Input::ProbeEnded { server, pool, completion } => {
+                self.servers.record_end(now, server, completion.status);
+                let Completion { status, latency, load, .. } = completion;
                 self.notify_module(
                     now,
-                    asked,
+                    pool,
                     Event::ProbeFinished { server, status, latency, load: &load },
                     outputs,
                 );
             }
-            Input::Listed(delivery) => self.update_servers(now, &delivery, outputs),
-            Input::ListFailed => {
-                for slot in self.pools.slots() {
+            Input::ServerList(delivery) => self.update_servers(now, &delivery, outputs),
+            Input::DiscoveryFailed => {
+                for pool in self.pools.ids() {
                     self.notify_module(
                         now,
-                        slot,
+                        pool,
                         Event::Members { kind: ListKind::Failed, entries: &[] },
                         outputs,
                     );
                 }
             }
-            Input::Settings { site, watched } => {
+            Input::Settings { site, shadow } => {
                 self.max_attempts = site.settings.limits.max_attempts;
                 self.cancel_allowed = site.settings.limits.cancellation;
                 self.key_windows = key_windows(&site);
                 // An open request may still have the longer deadline of earlier settings.
                 self.id_retention = self.id_retention.max(longest_deadline(&site));
-                for slot in self.pools.settle(&site, self.id_retention) {
-                    self.notify_module(now, slot, Event::Settings { set: &site.settings }, outputs);
+                for pool in self.pools.set_settings(&site, self.id_retention) {
+                    self.notify_module(now, pool, Event::Settings { set: &site.settings }, outputs);
                 }
-                if let (Some(watch), Some(settings)) = (&mut self.shadow, &watched) {
-                    watch.adopt(now, settings);
+                if let (Some(shadow), Some(settings)) = (&mut self.shadow, &shadow) {
+                    shadow.set_settings(now, settings);
                 }
             }
             Input::Rules(rules) => {
                 self.gate.keep(rules.rules().map(|rule| rule.name.as_str()));
-                for (slot, members) in self.pools.adopt(now, &rules) {
+                for (pool, members) in self.pools.set_rules(now, &rules) {
                     let entries = &members;
                     self.notify_module(
                         now,
-                        slot,
+                        pool,
                         Event::Members { kind: ListKind::Cached, entries },
                         outputs,
                     );
@@ -555,11 +562,11 @@
         id: RequestId,
         attempt: Attempt,
         server: ServerId,
-        ended: Ended<B>,
+        completion: Completion<B>,
         outputs: &mut Vec<Output<P, B>>,
     ) {
-        let Ended { status, latency, load, body } = ended;
-        let (mut closed, mut again, mut slot) = (true, true, SlotId::ALL);
+        let Completion { status, latency, load, body } = completion;
+        let (mut closed, mut again, mut pool) = (true, true, PoolId::ALL);
         if let Some(entry) = self.requests.get_mut(&id) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
             if let Some(record) = entry.attempts.get_mut(attempt.0 as usize) {
@@ -568,7 +575,7 @@
             if let Some(rule) = entry.rule.as_ref().filter(|_| status == Status::Ok) {
                 self.gate.took(rule, latency);
             }
-            slot = entry.slot;
+            pool = entry.pool;
             match (status, body) {
                 (Status::Ok, Some(body)) => self.answer(id, Answer::Served(body), outputs),
                 _ => closed = entry.answered,
@@ -590,7 +597,7 @@
             server,
             load: &load,
         };
-        self.notify_module(now, slot, outcome, outputs);
+        self.notify_module(now, pool, outcome, outputs);
         self.remove_if_finished(id);
     }
 
@@ -603,58 +610,60 @@
 
     fn update_servers(&mut self, now: Time, delivery: &Delivery, outputs: &mut Vec<Output<P, B>>) {
         let kind = delivery.kind;
-        let cleared = self.places.clear_out(now, self.id_retention);
-        outputs.extend(cleared.into_iter().map(|server| Output::Close { server }));
-        let mut numbers = Vec::with_capacity(delivery.entries.len());
+        let released = self.servers.release_removed(now, self.id_retention);
+        outputs.extend(released.into_iter().map(|server| Output::Close { server }));
+        let mut ids = Vec::with_capacity(delivery.entries.len());
         for entry in &delivery.entries {
-            let server = self.places.number(&entry.uid);
-            let Some(place) = self.places.get_mut(server) else { continue };
+            let server = self.servers.id_or_assign(&entry.uid);
+            let Some(record) = self.servers.get_mut(server) else { continue };
             let state = entry.state;
-            place.gone = (state == State::Removed).then(|| place.gone.unwrap_or(now));
-            let at = entry.endpoint.map(|at| (at, entry.boot_ms));
-            match at {
-                at if place.open => outputs.push(Output::Listed { server, at, state }),
-                Some((at, boot_ms)) if state != State::Removed => {
-                    place.open = true;
-                    outputs.push(Output::Open { server, at, boot_ms });
+            record.removed_at = (state == State::Removed).then(|| record.removed_at.unwrap_or(now));
+            let endpoint = entry.endpoint.map(|address| Endpoint { address, boot_ms: entry.boot_ms });
+            match endpoint {
+                endpoint if record.transport_open => {
+                    outputs.push(Output::UpdateServer { server, endpoint, state });
+                }
+                Some(endpoint) if state != State::Removed => {
+                    record.transport_open = true;
+                    outputs.push(Output::Open { server, endpoint });
                     // It may be draining when it is first listed.
-                    outputs.push(Output::Listed { server, at: Some((at, boot_ms)), state });
+                    outputs.push(Output::UpdateServer { server, endpoint: Some(endpoint), state });
                 }
                 Some(_) | None => {}
             }
-            numbers.push(server);
+            ids.push(server);
         }
         if kind == ListKind::Full {
             // Servers that are missing from a whole list are gone, although no entry says so.
-            let listed: FxHashSet<ServerId> = numbers.iter().copied().collect();
-            let missing = self.places.taken().map(|(server, _)| server).filter(|s| !listed.contains(s));
+            let listed: FxHashSet<ServerId> = ids.iter().copied().collect();
+            let missing = self.servers.assigned().map(|(server, _)| server).filter(|s| !listed.contains(s));
             for server in missing.collect::<Vec<_>>() {
-                let Some(place) = self.places.get_mut(server) else { continue };
-                place.gone = place.gone.or(Some(now));
-                if place.open {
-                    outputs.push(Output::Listed { server, at: None, state: State::Removed });
+                let Some(record) = self.servers.get_mut(server) else { continue };
+                record.removed_at = record.removed_at.or(Some(now));
+                if record.transport_open {
+                    outputs.push(Output::UpdateServer { server, endpoint: None, state: State::Removed });
                 }
             }
         }
-        for (slot, members) in self.pools.listed(now, kind, &delivery.entries, &numbers) {
-            self.notify_module(now, slot, Event::Members { kind, entries: &members }, outputs);
+        for (pool, members) in self.pools.update_servers(now, kind, &delivery.entries, &ids) {
+            self.notify_module(now, pool, Event::Members { kind, entries: &members }, outputs);
         }
     }
 
     /// Passes an event to the decision module of a pool and carries out the resulting actions.
-    fn notify_module(&mut self, now: Time, slot: SlotId, event: Event<'_>, outputs: &mut Vec<Output<P, B>>) {
+    fn notify_module(&mut self, now: Time, pool: PoolId, event: Event<'_>, outputs: &mut Vec<Output<P, B>>) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.pools.on_event(now, slot, event, &mut actions);
-        if let Some(watch) = self.shadow.as_mut().filter(|_| slot == SlotId::ALL) {
-            watch.see(now, event, &actions);
+        self.pools.on_event(now, pool, event, &mut actions);
+        if let Some(shadow) = self.shadow.as_mut().filter(|_| pool == PoolId::ALL) {
+            shadow.observe(now, event, &actions);
         }
         for action in actions.drain(..) {
-            self.apply(now, slot, action, outputs);
+            self.apply(now, pool, action, outputs);
         }
         self.actions = actions;
     }
 
-    fn apply(&mut self, now: Time, slot: SlotId, action: Action, outputs: &mut Vec<Output<P, B>>) {
+    fn apply(&mut self, now: Time, pool: PoolId, action: Action, outputs: &mut Vec<Output<P, B>>) {
         match action {
             Action::Send { id, server, until } => self.start_attempt(now, id, server, until, outputs),
             Action::Refuse { id, retry_after } => {
@@ -672,21 +681,21 @@
                 }
             }
             Action::Probe { server } => {
-                if self.places.goes_out(server) {
-                    outputs.push(Output::Probe { server, asked: slot });
+                if self.servers.record_start(server) {
+                    outputs.push(Output::Probe { server, pool });
                 } else {
-                    let ended = Ended::unsent(Status::ConnectFailed);
-                    self.internal_inputs.push_back(Input::Probed { server, asked: slot, ended });
+                    let completion = Completion::without_response(Status::ConnectFailed);
+                    self.internal_inputs.push_back(Input::ProbeEnded { server, pool, completion });
                 }
             }
             Action::Timer { token, delay } => {
-                self.timers.set(now + delay, TimerKind::DecisionModule(slot, token))
+                self.timers.set(now + delay, TimerKind::DecisionModule(pool, token))
             }
             Action::WatchServers => outputs.push(Output::Watch),
             // Messages between instances have no protocol yet, and the settings do not allow the decision module to
             // send any.
             Action::SendToPeers { .. } => {}
-            Action::Log { server, text } => outputs.push(Output::Say { server, text }),
+            Action::Log { server, text } => outputs.push(Output::Log { server, text }),
         }
     }
 
@@ -698,9 +707,9 @@
             return;
         };
         if entry.attempts.len() == 1 && self.gate.repeat(now, rule, &mut entry.route_state, 1) {
-            let slot = entry.slot;
+            let pool = entry.pool;
             self.charged_hedge = Some(id);
-            self.notify_module(now, slot, Event::HedgeDue { id }, outputs);
+            self.notify_module(now, pool, Event::HedgeDue { id }, outputs);
             self.charged_hedge = None;
         }
     }
@@ -721,7 +730,7 @@
         let key_expiry = entry.key_window.zip(ran).map(|(window, first)| first.started + window);
         entry.attempts.push(AttemptRecord { server, started: now, status: None });
         entry.in_flight += 1;
-        self.tally.attempts += 1;
+        self.counters.attempts += 1;
         let mut rejected = entry.answered || attempt.0 >= entry.max_attempts;
         // A hedge that the decision module chose itself is sent only if the rule of its route allows one more attempt.
         if let Some(rule) =
@@ -731,26 +740,31 @@
         }
         // An attempt without its own time limit lasts until the client gives up, which ends it as a client that left.
         let mut until = until.unwrap_or(now + entry.wait);
-        let mut connect = None;
+        let mut connect_timeout = None;
         if let Some(rule) = &entry.rule {
             self.gate.goes_out(rule, &mut entry.route_state);
             until = rule.attempt_timeout.map_or(until, |timeout| until.min(now + timeout));
-            connect = rule.connect_timeout;
+            connect_timeout = rule.connect_timeout;
             if let Some(after) = self.gate.copy_after(rule).filter(|_| attempt.0 == 0) {
                 self.timers.set(now + after, TimerKind::Hedge(id));
             }
         }
         if let Some(key_expiry) = key_expiry {
             let left = key_expiry - now;
-            connect = Some(connect.map_or(left, |connect| connect.min(left)));
+            connect_timeout = Some(connect_timeout.map_or(left, |timeout| timeout.min(left)));
         }
         let payload = entry.payload.clone();
-        let transport_open = self.places.goes_out(server);
+        let transport_open = self.servers.record_start(server);
         if transport_open && !rejected {
-            return outputs.push(Output::Attempt { id, attempt, server, payload, until, connect });
+            return outputs.push(Output::Attempt { id, attempt, server, payload, until, connect_timeout });
         }
         let status = if rejected { Status::NotSent } else { Status::ConnectFailed };
-        self.internal_inputs.push_back(Input::Ended { id, attempt, server, ended: Ended::unsent(status) });
+        self.internal_inputs.push_back(Input::AttemptEnded {
+            id,
+            attempt,
+            server,
+            completion: Completion::without_response(status),
+        });
     }
 
     /// Gives a request its final answer, unless it already has one.
@@ -759,9 +773,9 @@
             return;
         }
         match answer {
-            Answer::Served(_) => self.tally.served += 1,
-            Answer::Refused { .. } => self.tally.refused += 1,
-            Answer::Failed => self.tally.failed += 1,
+            Answer::Served(_) => self.counters.served += 1,
+            Answer::Refused { .. } => self.counters.refused += 1,
+            Answer::Failed => self.counters.failed += 1,
         }
         outputs.push(Output::Answer { id, answer });
         // The response to the losing hedge or first attempt is not needed any more.
@@ -786,12 +800,12 @@
 
     /// Marks a request as answered. Its share of the route's limits is released here and nowhere else. Returns the
     /// pool of the request, or none if it was already answered.
-    fn mark_answered(&mut self, id: RequestId) -> Option<SlotId> {
+    fn mark_answered(&mut self, id: RequestId) -> Option<PoolId> {
         let entry = self.requests.get_mut(&id).filter(|entry| !entry.answered)?;
         entry.answered = true;
         if let Some(rule) = &entry.rule {
             self.gate.over(rule, std::mem::take(&mut entry.route_state));
         }
-        Some(entry.slot)
+        Some(entry.pool)
     }
 }
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -1,7 +1,7 @@
 //! Pools of servers. Each pool has its own decision module, which knows only the servers of its pool. A pool that is
 //! missing from a new limits file is kept for as long as a request may still belong to it.
 
-use crate::places::Places;
+use crate::server_table::ServerTable;
 use dunlincleat::Balancer;
 use dunlincleat::api::{Action, Event, ListKind, Member, ServerId, Settings, Span, State, Time};
 use dunlincleat_directory::Entry;
@@ -15,11 +15,11 @@
 
 /// Identifies a pool, and its decision module, within one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SlotId(u32);
+pub struct PoolId(u32);
 
-impl SlotId {
+impl PoolId {
     /// The pool of all servers.
-    pub const ALL: SlotId = SlotId(0);
+    pub const ALL: PoolId = PoolId(0);
 }
 
 struct Pool {
@@ -43,7 +43,7 @@
     zones: Vec<String>,
     seed: u64,
     longest_deadline: Span,
-    pools: BTreeMap<SlotId, Pool>,
+    pools: BTreeMap<PoolId, Pool>,
     next_id: u32,
     servers: BTreeMap<u32, ListedServer>,
 }
@@ -59,7 +59,7 @@
     pub fn new(site: &Site, seed: u64, longest_deadline: Span) -> Pools {
         let settings = site.settings.clone();
         let balancer = Balancer::new(settings.clone(), seed);
-        let pools = BTreeMap::from([(SlotId::ALL, Pool { rule: None, balancer, dropped_at: None })]);
+        let pools = BTreeMap::from([(PoolId::ALL, Pool { rule: None, balancer, dropped_at: None })]);
         Pools {
             settings,
             zones: site.zones.clone(),
@@ -73,26 +73,26 @@
 
     /// Returns the ids of all pools.
     #[must_use]
-    pub fn slots(&self) -> Vec<SlotId> {
+    pub fn ids(&self) -> Vec<PoolId> {
         self.pools.keys().copied().collect()
     }
 
     /// Returns the number of listed servers that the decision module over all servers currently avoids.
     #[must_use]
     pub fn avoided(&self, now: Time) -> usize {
-        self.pools.get(&SlotId::ALL).map_or(0, |pool| pool.balancer.avoided(now))
+        self.pools.get(&PoolId::ALL).map_or(0, |pool| pool.balancer.avoided(now))
     }
 
     /// Passes an event to the decision module of a pool. Events of a removed pool are dropped.
-    pub fn on_event(&mut self, now: Time, slot: SlotId, event: Event<'_>, actions: &mut Vec<Action>) {
-        if let Some(pool) = self.pools.get_mut(&slot) {
+    pub fn on_event(&mut self, now: Time, pool: PoolId, event: Event<'_>, actions: &mut Vec<Action>) {
+        if let Some(pool) = self.pools.get_mut(&pool) {
             pool.balancer.on_event(now, event, actions);
         }
     }
 
     /// Returns the pool that serves requests under `rule`.
     #[must_use]
-    pub fn of(&self, now: Time, rule: &Rule, places: &Places) -> SlotId {
+    pub fn pool_for(&self, now: Time, rule: &Rule, servers: &ServerTable) -> PoolId {
         let find = |name: &str| {
             let has_name = |pool: &&Pool| pool.rule.as_ref().is_some_and(|rule| rule.name == name);
             // If two pools have the same name, the one with the larger id is from the newer file.
@@ -103,29 +103,29 @@
             let ready = self.servers.values().filter(|known| known.member.state == State::Ready);
             let members = ready.filter(|known| selects(pool.rule.as_ref(), known));
             members.fold((0, 0), |(total, healthy), known| {
-                let is_healthy = places.get(known.member.server).is_some_and(|place| place.healthy(now));
+                let is_healthy = servers.get(known.member.server).is_some_and(|record| record.healthy(now));
                 (total + 1, healthy + usize::from(is_healthy))
             })
         };
-        rule.pool(health).and_then(find).map_or(SlotId::ALL, |(id, _)| *id)
+        rule.pool(health).and_then(find).map_or(PoolId::ALL, |(id, _)| *id)
     }
 
-    /// Applies a list, or changes to it. `numbers` holds the server ids of `entries`. Returns the members to report to
+    /// Applies a list, or changes to it. `ids` holds the server ids of `entries`. Returns the members to report to
     /// the decision module of each pool.
-    pub fn listed(
+    pub fn update_servers(
         &mut self,
         now: Time,
         kind: ListKind,
         entries: &[Entry],
-        numbers: &[ServerId],
-    ) -> Vec<(SlotId, Vec<Member>)> {
+        ids: &[ServerId],
+    ) -> Vec<(PoolId, Vec<Member>)> {
         let retention = Span(self.longest_deadline.0.saturating_add(MAX_SUBMIT_DELAY.0));
         self.pools.retain(|_, pool| pool.dropped_at.is_none_or(|dropped_at| now - dropped_at <= retention));
         let mut updates = Vec::with_capacity(entries.len());
         if kind != ListKind::Changes {
             self.servers.clear();
         }
-        for (entry, server) in entries.iter().zip(numbers) {
+        for (entry, server) in entries.iter().zip(ids) {
             let zone = self.zones.iter().position(|z| *z == entry.zone);
             let member = Member {
                 server: *server,
@@ -158,13 +158,13 @@
     }
 
     /// Applies new settings to pools created later; returns the existing pools, which must be notified.
-    pub fn settle(&mut self, site: &Site, longest_deadline: Span) -> Vec<SlotId> {
+    pub fn set_settings(&mut self, site: &Site, longest_deadline: Span) -> Vec<PoolId> {
         (self.settings, self.longest_deadline) = (site.settings.clone(), longest_deadline);
-        self.slots()
+        self.ids()
     }
 
     /// Applies the pools of a new limits file; returns each new pool with its servers.
-    pub fn adopt(&mut self, now: Time, rules: &RuleSet) -> Vec<(SlotId, Vec<Member>)> {
+    pub fn set_rules(&mut self, now: Time, rules: &RuleSet) -> Vec<(PoolId, Vec<Member>)> {
         for pool in self.pools.values_mut().filter(|pool| pool.rule.is_some()) {
             let kept = rules.pools().iter().any(|rule| pool.rule.as_ref() == Some(rule));
             pool.dropped_at = if kept { None } else { pool.dropped_at.or(Some(now)) };
@@ -174,7 +174,7 @@
             if self.pools.values().any(|pool| pool.rule.as_ref() == Some(rule)) {
                 continue;
             }
-            let id = SlotId(self.next_id);
+            let id = PoolId(self.next_id);
             self.next_id += 1;
             // Each pool draws independently, and identically in each run with the same seed.
             let seed = self.seed ^ u64::from(id.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/shadow.rs
@@ -16,9 +16,9 @@
 
 /// Comparison of the decisions since the counts were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Watched {
+pub struct ShadowCounts {
     /// Attempts sent to the server that the shadow module chose too.
-    pub alike: u64,
+    pub same_server: u64,
     /// Attempts sent to another server of the same zone. Servers are drawn at random, so two modules under the same
     /// settings differ too.
     pub other_server: u64,
@@ -31,7 +31,7 @@
     /// Attempts sent at once while the shadow module still waited for capacity or for probes.
     pub would_wait: u64,
     /// Hedged requests that only the shadow module sent.
-    pub would_copy: u64,
+    pub would_hedge: u64,
     /// Probes that the shadow module wanted to send.
     pub would_probe: u64,
 }
@@ -52,49 +52,49 @@
 }
 
 /// The shadow decision module.
-pub struct Watch {
+pub struct Shadow {
     balancer: Balancer,
     /// Position in a received load report of each field of the shadow settings.
     report_positions: Vec<usize>,
     timers: Timers<Token>,
     requests: FxHashMap<RequestId, ShadowRequest>,
     zones: FxHashMap<ServerId, u32>,
-    counts: Watched,
+    counts: ShadowCounts,
     actions: Vec<Action>,
 }
 
-impl Watch {
+impl Shadow {
     /// Creates a shadow module under `settings`, with its own random draws. Load reports arrive in the order of
     /// `reported`.
     #[must_use]
-    pub fn new(settings: Settings, reported: &[Field], seed: u64) -> Watch {
+    pub fn new(settings: Settings, reported: &[Field], seed: u64) -> Shadow {
         // A load report has the fields of the active settings; they are reordered to those of the shadow settings.
         let position = |field: &Field| reported.iter().position(|f| f == field).unwrap_or(usize::MAX);
-        Watch {
+        Shadow {
             report_positions: settings.fields.iter().map(position).collect(),
             balancer: Balancer::new(settings, seed),
             timers: Timers::default(),
             requests: FxHashMap::default(),
             zones: FxHashMap::default(),
-            counts: Watched::default(),
+            counts: ShadowCounts::default(),
             actions: Vec::new(),
         }
     }
 
     /// Replaces the settings of the shadow module.
-    pub fn adopt(&mut self, now: Time, settings: &Settings) {
+    pub fn set_settings(&mut self, now: Time, settings: &Settings) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.on_event(now, Event::Settings { set: settings }, &mut actions);
         self.actions = actions;
     }
 
     /// Returns the counts since the last call and resets them.
-    pub fn take(&mut self) -> Watched {
+    pub fn take_counts(&mut self) -> ShadowCounts {
         std::mem::take(&mut self.counts)
     }
 
     /// Processes an event and the actions that the active module took for it.
-    pub fn see(&mut self, now: Time, event: Event<'_>, real_actions: &[Action]) {
+    pub fn observe(&mut self, now: Time, event: Event<'_>, real_actions: &[Action]) {
         let mut actions = std::mem::take(&mut self.actions);
         while let Some(token) = self.timers.pop(now) {
             self.balancer.on_event(now, Event::Timer { token }, &mut actions);
@@ -152,7 +152,7 @@
         match event {
             // The shadow module has its own timers and never has a probe in flight.
             Event::Timer { .. } | Event::ProbeFinished { .. } => {}
-            // The shadow module has its own settings, which are set by `adopt`.
+            // The shadow module has its own settings, which are set by `set_settings`.
             Event::Settings { .. } => {}
             Event::AttemptFinished {
                 id,
@@ -233,7 +233,7 @@
         if let Some((attempt, chosen)) = request.unmatched_own.pop_front() {
             request.own_attempts.push(Some(attempt));
             if chosen == server {
-                self.counts.alike += 1;
+                self.counts.same_server += 1;
             } else if zone(chosen) == zone(server) {
                 self.counts.other_server += 1;
             } else {
@@ -241,7 +241,7 @@
             }
             // The balancer follows the last attempt that it made, so hedged requests beside it are undone first.
             while let Some((attempt, server)) = request.unmatched_own.pop_front() {
-                self.counts.would_copy += 1;
+                self.counts.would_hedge += 1;
                 self.balancer.on_event(now, never_sent(id, attempt, server, false), actions);
             }
             return self.balancer.follow(id, server);
@@ -270,7 +270,7 @@
         for (id, request) in self.requests.iter_mut().filter(|(_, request)| !request.own_attempts.is_empty())
         {
             while let Some((attempt, server)) = request.unmatched_own.pop_front() {
-                self.counts.would_copy += 1;
+                self.counts.would_hedge += 1;
                 self.balancer.on_event(now, never_sent(*id, attempt, server, false), actions);
             }
         }
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -2,16 +2,16 @@
 //! reaches transports and discovery through the traits [`Transports`] and [`Directory`].
 
 use crate::clock::Clock;
-use crate::core::{Answer, Ask, Ended, Engine, Input, Output, Tally};
-use crate::pools::SlotId;
-use crate::watch::Watched;
+use crate::core::{Answer, Completion, Counters, Endpoint, Engine, Input, Output, RequestInfo};
+use crate::pools::PoolId;
+use crate::shadow::ShadowCounts;
 use dunlincleat::api::{Attempt, RequestId, ServerId, Settings, State, Status, Time};
 use dunlincleat_directory::{Cause, Delivery, Health};
 use dunlincleat_limits::RuleSet;
 use dunlincleat_settings::Site;
 use dunlincleat_status::Metrics;
 use rustc_hash::FxHashMap;
-use std::net::SocketAddr;
+
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -28,9 +28,9 @@
     /// What a server returns.
     type Body;
     /// Opens a transport.
-    fn open(&mut self, server: ServerId, at: SocketAddr, boot_ms: u64);
+    fn open(&mut self, server: ServerId, endpoint: Endpoint);
     /// Updates the address and state of the server, as listed.
-    fn listed(&mut self, server: ServerId, at: Option<(SocketAddr, u64)>, state: State);
+    fn update(&mut self, server: ServerId, endpoint: Option<Endpoint>, state: State);
     /// Closes a transport, to which nothing is in flight.
     fn close(&mut self, server: ServerId);
     /// Starts an attempt.
@@ -41,16 +41,16 @@
         server: ServerId,
         payload: Self::Payload,
         until: Instant,
-        connect: Option<Duration>,
+        connect_timeout: Option<Duration>,
     );
     /// Cancels an attempt.
     fn cancel(&mut self, id: RequestId, attempt: Attempt, server: ServerId);
     /// Cancels an attempt unless it has been written completely; in that case it continues.
     fn withdraw(&mut self, id: RequestId, attempt: Attempt, server: ServerId);
-    /// Probes a server; `asked` is returned with the result.
-    fn probe(&mut self, server: ServerId, asked: SlotId);
+    /// Probes a server; `pool` is returned with the result.
+    fn probe(&mut self, server: ServerId, pool: PoolId);
     /// Returns the number of connections that may still be opened, for the log.
-    fn room(&self) -> usize;
+    fn free_connections(&self) -> usize;
 }
 
 /// Discovery of servers.
@@ -60,9 +60,15 @@
 }
 
 enum Message<P, B> {
-    Request { id: RequestId, ask: Ask, payload: P, received: Instant, reply: oneshot::Sender<Answer<B>> },
+    Request {
+        id: RequestId,
+        info: RequestInfo,
+        payload: P,
+        received: Instant,
+        reply: oneshot::Sender<Answer<B>>,
+    },
     Input(Input<P, B>),
-    ListState(Health),
+    ListHealth(Health),
 }
 
 type Mail<P, B> = (Instant, Message<P, B>);
@@ -93,57 +99,69 @@
         let _ = self.0.send((Instant::now(), message));
     }
 
-    /// Submits a request that was received at `received`; its answer is sent to `slot`.
+    /// Submits a request that was received at `received`; its answer is sent to `reply`.
     pub fn request(
         &self,
         id: RequestId,
-        ask: Ask,
+        info: RequestInfo,
         payload: P,
         received: Instant,
         reply: oneshot::Sender<Answer<B>>,
     ) {
-        self.send(Message::Request { id, ask, payload, received, reply });
+        self.send(Message::Request { id, info, payload, received, reply });
     }
 
     /// Reports that the client of a request left.
-    pub fn gone(&self, id: RequestId) {
-        self.send(Message::Input(Input::Gone(id)));
+    pub fn client_left(&self, id: RequestId) {
+        self.send(Message::Input(Input::ClientLeft(id)));
     }
 
     /// Reports that an attempt ended.
-    pub fn ended(&self, id: RequestId, attempt: Attempt, server: ServerId, ended: Ended<B>) {
-        self.send(Message::Input(Input::Ended { id, attempt, server, ended }));
+    pub fn attempt_ended(
+        &self,
+        id: RequestId,
+        attempt: Attempt,
+        server: ServerId,
+        completion: Completion<B>,
+    ) {
+        self.send(Message::Input(Input::AttemptEnded { id, attempt, server, completion }));
     }
 
     /// Reports that the response to an attempt has started and is being streamed; the attempt ends later.
-    pub fn began(&self, id: RequestId, attempt: Attempt, server: ServerId, ended: Ended<B>) {
-        self.send(Message::Input(Input::Began { id, attempt, server, ended }));
+    pub fn response_started(
+        &self,
+        id: RequestId,
+        attempt: Attempt,
+        server: ServerId,
+        completion: Completion<B>,
+    ) {
+        self.send(Message::Input(Input::ResponseStarted { id, attempt, server, completion }));
     }
 
     /// Reports that the upload of the body of an attempt is in progress, or has finished. Each start is followed by
     /// one finish, before the end of the attempt.
-    pub fn uploads(&self, id: RequestId, server: ServerId, over: bool) {
-        self.send(Message::Input(Input::Uploads { id, server, over }));
+    pub fn upload(&self, id: RequestId, server: ServerId, finished: bool) {
+        self.send(Message::Input(Input::Upload { id, server, finished }));
     }
 
     /// Reports that a probe ended.
-    pub fn probed(&self, server: ServerId, asked: SlotId, ended: Ended<B>) {
-        self.send(Message::Input(Input::Probed { server, asked, ended }));
+    pub fn probe_ended(&self, server: ServerId, pool: PoolId, completion: Completion<B>) {
+        self.send(Message::Input(Input::ProbeEnded { server, pool, completion }));
     }
 
     /// Delivers a server list, or changes to it.
-    pub fn listed(&self, delivery: Delivery) {
-        self.send(Message::Input(Input::Listed(delivery)));
+    pub fn server_list(&self, delivery: Delivery) {
+        self.send(Message::Input(Input::ServerList(delivery)));
     }
 
     /// Reports that a discovery call failed or the watch ended.
-    pub fn list_failed(&self) {
-        self.send(Message::Input(Input::ListFailed));
+    pub fn discovery_failed(&self) {
+        self.send(Message::Input(Input::DiscoveryFailed));
     }
 
     /// Applies new settings, and those of the shadow module. Must be called before any request under them.
-    pub fn settings(&self, site: Arc<Site>, watched: Option<Settings>) {
-        self.send(Message::Input(Input::Settings { site, watched }));
+    pub fn settings(&self, site: Arc<Site>, shadow: Option<Settings>) {
+        self.send(Message::Input(Input::Settings { site, shadow }));
     }
 
     /// Applies new limits. Must be called before any request under them.
@@ -152,8 +170,8 @@
     }
 
     /// Reports how recent the list is, for the log.
-    pub fn list_state(&self, health: Health) {
-        self.send(Message::ListState(health));
+    pub fn list_health(&self, health: Health) {
+        self.send(Message::ListHealth(health));
     }
 }
 
@@ -162,7 +180,7 @@
     /// The metrics.
     pub metrics: Arc<Metrics>,
     /// Whether the number of avoided servers is sampled periodically, because the metrics can be read.
-    pub avoided: bool,
+    pub sample_avoided: bool,
 }
 
 /// Interval between samples of the number of avoided servers.
@@ -213,7 +231,7 @@
     /// Runs the actor, starting from the cached list `known`, until all handles are dropped.
     pub async fn run(mut self, mut mailbox: Mailbox<T::Payload, T::Body>, known: Delivery) {
         // This makes the decision module open its first watch, so discovery must be reachable by now.
-        self.process(Input::Listed(known));
+        self.process(Input::ServerList(known));
         let mut next_summary = Instant::now() + SUMMARY_INTERVAL;
         let mut next_sample = Instant::now();
         loop {
@@ -231,7 +249,7 @@
                     }
                     None => return,
                 },
-                () = sleep_until(next_sample), if self.gauges.avoided => {
+                () = sleep_until(next_sample), if self.gauges.sample_avoided => {
                     self.gauges.metrics.skipped.set(self.engine.avoided(self.clock.now()));
                     next_sample = Instant::now() + AVOIDED_SAMPLE_INTERVAL;
                 }
@@ -245,35 +263,36 @@
 
     fn handle(&mut self, message: Message<T::Payload, T::Body>) {
         match message {
-            Message::Request { id, ask, payload, received, reply } => {
+            Message::Request { id, info, payload, received, reply } => {
                 self.replies.insert(id, reply);
                 let received = self.clock.time(received);
-                self.process(Input::Request { id, ask, received, payload });
+                self.process(Input::Request { id, info, received, payload });
             }
             Message::Input(input) => {
-                if let Input::Gone(id) = &input {
+                if let Input::ClientLeft(id) = &input {
                     self.replies.remove(id);
                 }
                 self.process(input);
             }
-            Message::ListState(health) => self.health = health,
+            Message::ListHealth(health) => self.health = health,
         }
     }
 
     fn process(&mut self, input: Input<T::Payload, T::Body>) {
         match &input {
-            Input::Began { id, attempt, server, ended } | Input::Ended { id, attempt, server, ended } => {
+            Input::ResponseStarted { id, attempt, server, completion }
+            | Input::AttemptEnded { id, attempt, server, completion } => {
                 tracing::debug!(
                     "attempt {} of request {} at {}: {} after {} us, load {:?}",
                     attempt.0,
                     id.0,
-                    self.engine.places().uid(*server),
-                    status_text(ended.status),
-                    ended.latency.0,
-                    ended.load
+                    self.engine.servers().uid(*server),
+                    status_text(completion.status),
+                    completion.latency.0,
+                    completion.load
                 )
             }
-            Input::Listed(delivery) => {
+            Input::ServerList(delivery) => {
                 let count = |state| delivery.entries.iter().filter(|e| e.state == state).count();
                 tracing::info!(
                     "list {} revision {}: {} up, {} draining, {} removed",
@@ -290,17 +309,17 @@
                 );
             }
             Input::Request { .. }
-            | Input::Gone(_)
-            | Input::Uploads { .. }
-            | Input::Probed { .. }
-            | Input::ListFailed
+            | Input::ClientLeft(_)
+            | Input::Upload { .. }
+            | Input::ProbeEnded { .. }
+            | Input::DiscoveryFailed
             | Input::Settings { .. }
             | Input::Rules(_) => {}
         }
-        let listed = matches!(input, Input::Listed(_));
+        let listed = matches!(input, Input::ServerList(_));
         self.engine.input(self.clock.now(), input, &mut self.outputs);
         if listed {
-            self.gauges.metrics.known.set(self.engine.listed_now());
+            self.gauges.metrics.known.set(self.engine.listed_servers());
         }
         self.carry_out();
     }
@@ -315,22 +334,24 @@
                         let _ = reply.send(answer);
                     }
                 }
-                Output::Attempt { id, attempt, server, payload, until, connect } => {
+                Output::Attempt { id, attempt, server, payload, until, connect_timeout } => {
                     tracing::debug!("attempt {} of request {} goes out", attempt.0, id.0);
-                    let (until, connect) =
-                        (self.clock.instant(until), connect.map(|s| Duration::from_micros(s.0)));
-                    self.transports.attempt(id, attempt, server, payload, until, connect);
+                    let until = self.clock.instant(until);
+                    let connect_timeout = connect_timeout.map(|timeout| Duration::from_micros(timeout.0));
+                    self.transports.attempt(id, attempt, server, payload, until, connect_timeout);
                 }
                 Output::Cancel { id, attempt, server } => self.transports.cancel(id, attempt, server),
                 Output::Withdraw { id, attempt, server } => self.transports.withdraw(id, attempt, server),
-                Output::Probe { server, asked } => self.transports.probe(server, asked),
-                Output::Open { server, at, boot_ms } => self.transports.open(server, at, boot_ms),
-                Output::Listed { server, at, state } => self.transports.listed(server, at, state),
+                Output::Probe { server, pool } => self.transports.probe(server, pool),
+                Output::Open { server, endpoint } => self.transports.open(server, endpoint),
+                Output::UpdateServer { server, endpoint, state } => {
+                    self.transports.update(server, endpoint, state);
+                }
                 Output::Close { server } => self.transports.close(server),
                 Output::Watch => self.directory.watch(),
-                Output::Say { server: None, text } => tracing::info!("{text}"),
-                Output::Say { server: Some(server), text } => {
-                    tracing::info!("server {}: {text}", self.engine.places().uid(server));
+                Output::Log { server: None, text } => tracing::info!("{text}"),
+                Output::Log { server: Some(server), text } => {
+                    tracing::info!("server {}: {text}", self.engine.servers().uid(server));
                 }
             }
         }
@@ -338,15 +359,16 @@
     }
 
     fn log_summary(&mut self) {
-        let Tally { taken, served, refused, limited, failed, gone, attempts } = self.engine.take_tally();
+        let Counters { received, served, refused, limited, failed, client_left, attempts } =
+            self.engine.take_counters();
         let longest_mailbox_wait = std::mem::take(&mut self.longest_mailbox_wait);
-        if taken + attempts > 0 {
+        if received + attempts > 0 {
             tracing::info!(
-                "in {} s: {taken} taken, {served} served, {refused} refused, {failed} failed, {gone} gone; \
+                "in {} s: {received} taken, {served} served, {refused} refused, {failed} failed, {client_left} gone; \
                  {attempts} attempts; {} in hand; {} connections to servers free; mailbox wait at most {} us",
                 SUMMARY_INTERVAL.as_secs(),
-                self.engine.in_hand(),
-                self.transports.room(),
+                self.engine.open_requests(),
+                self.transports.free_connections(),
                 longest_mailbox_wait.as_micros()
             );
         }
@@ -356,18 +378,20 @@
                 SUMMARY_INTERVAL.as_secs()
             );
         }
-        if let Some(counts) = self.engine.take_watched().filter(|counts| *counts != Watched::default()) {
+        if let Some(counts) =
+            self.engine.take_shadow_counts().filter(|counts| *counts != ShadowCounts::default())
+        {
             tracing::info!(
                 "watch: in {} s: {} alike, {} other server, {} other zone, {} would refuse, {} would send, {} would \
                  wait, {} would copy, {} would probe",
                 SUMMARY_INTERVAL.as_secs(),
-                counts.alike,
+                counts.same_server,
                 counts.other_server,
                 counts.other_zone,
                 counts.would_refuse,
                 counts.would_send,
                 counts.would_wait,
-                counts.would_copy,
+                counts.would_hedge,
                 counts.would_probe
             );
         }
--- a/crates/engine/tests/passing.rs
+++ b/crates/engine/tests/passing.rs
@@ -2,7 +2,7 @@
 
 use dunlincleat::api::{Attempt, ListKind, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
-use dunlincleat_engine::{Answer, Ask, Ended, Engine, Input, Output};
+use dunlincleat_engine::{Answer, Completion, Engine, Input, Output, RequestInfo};
 use dunlincleat_settings::Site;
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
             boot_ms: 0,
         });
         let entries = entries.collect();
-        world.input(Input::Listed(Delivery { kind: ListKind::Cached, rev: 1, entries, odd: Vec::new() }));
+        world.input(Input::ServerList(Delivery { kind: ListKind::Cached, rev: 1, entries, odd: Vec::new() }));
         world
     }
 
@@ -59,16 +59,21 @@
     }
 
     fn submit_request(&mut self, id: u64) -> (Attempt, ServerId) {
-        let ask = Ask { wait: Span(740_000), ..Ask::default() };
+        let info = RequestInfo { wait: Span(740_000), ..RequestInfo::default() };
         let received = Time(self.now);
-        self.input(Input::Request { id: RequestId(id), ask, received, payload: id });
+        self.input(Input::Request { id: RequestId(id), info, received, payload: id });
         let (request, attempt, server) = *self.attempts.last().unwrap();
         assert_eq!(request, id);
         (attempt, server)
     }
 
     fn end_attempt(&mut self, id: u64, (attempt, server): (Attempt, ServerId), status: Status) {
-        self.input(Input::Ended { id: RequestId(id), attempt, server, ended: Ended::unsent(status) });
+        self.input(Input::AttemptEnded {
+            id: RequestId(id),
+            attempt,
+            server,
+            completion: Completion::without_response(status),
+        });
     }
 }
 
@@ -80,17 +85,18 @@
         for client_left in [false, true] {
             let mut world = World::new();
             let (attempt, server) = world.submit_request(1);
-            let ended = Ended { status: Status::Ok, latency: Span(900), load: Vec::new(), body: Some(1) };
-            world.input(Input::Began { id: RequestId(1), attempt, server, ended });
+            let completion =
+                Completion { status: Status::Ok, latency: Span(900), load: Vec::new(), body: Some(1) };
+            world.input(Input::ResponseStarted { id: RequestId(1), attempt, server, completion });
             assert_eq!(world.answers, [(1, Answer::Served(1))]);
-            assert_eq!((world.cancels, world.engine.in_hand()), (0, 1), "its transport is not done");
+            assert_eq!((world.cancels, world.engine.open_requests()), (0, 1), "its transport is not done");
             if client_left {
-                world.input(Input::Gone(RequestId(1)));
+                world.input(Input::ClientLeft(RequestId(1)));
             }
             world.end_attempt(1, (attempt, server), end_status);
-            assert_eq!((world.answers.len(), world.attempts.len(), world.engine.in_hand()), (1, 1, 0));
-            let tally = world.engine.take_tally();
-            assert_eq!((tally.served, tally.gone), (1, 0));
+            assert_eq!((world.answers.len(), world.attempts.len(), world.engine.open_requests()), (1, 1, 0));
+            let counters = world.engine.take_counters();
+            assert_eq!((counters.served, counters.client_left), (1, 0));
         }
     }
 }
@@ -100,7 +106,7 @@
 fn open_requests_keep_their_maximum_number_of_attempts() {
     let mut world = World::new();
     let old_attempt = world.submit_request(1);
-    world.input(Input::Settings { site: Arc::new(site(1)), watched: None });
+    world.input(Input::Settings { site: Arc::new(site(1)), shadow: None });
     let new_attempt = world.submit_request(2);
     world.end_attempt(1, old_attempt, Status::Reset);
     world.end_attempt(2, new_attempt, Status::Reset);
@@ -112,7 +118,7 @@
 #[test]
 fn listed_and_avoided_servers_are_counted() {
     let mut world = World::new();
-    assert_eq!((world.engine.listed_now(), world.engine.avoided(Time(world.now))), (4, 0));
+    assert_eq!((world.engine.listed_servers(), world.engine.avoided(Time(world.now))), (4, 0));
     let attempt = world.submit_request(1);
     world.end_attempt(1, attempt, Status::ConnectFailed);
     assert_eq!(world.engine.avoided(Time(world.now)), 1);
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -3,7 +3,7 @@
 
 use dunlincleat::api::{Attempt, Effect, ListKind, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
-use dunlincleat_engine::{Answer, Ask, Ended, Engine, Input, Output, SlotId};
+use dunlincleat_engine::{Answer, Completion, Engine, Input, Output, PoolId, RequestInfo};
 use dunlincleat_limits::{Facts, Rule, RuleSet, check};
 use dunlincleat_settings::{Site, read};
 use rand::rngs::SmallRng;
@@ -68,7 +68,7 @@
     rng: SmallRng,
     rules: Option<Arc<RuleSet>>,
     in_flight: Vec<InFlight>,
-    probes: Vec<(u64, ServerId, SlotId)>,
+    probes: Vec<(u64, ServerId, PoolId)>,
     requests: BTreeMap<u64, RequestRecord>,
     /// State and boot time of each server, by name.
     listed: BTreeMap<String, (State, u64)>,
@@ -147,7 +147,7 @@
         };
         *self.departures.entry(progress).or_default() += 1;
         if !self.hide_departures {
-            self.input(Input::Gone(RequestId(id)));
+            self.input(Input::ClientLeft(RequestId(id)));
         }
         for attempt in in_flight {
             if !self.withdrawn.contains(&(id, attempt)) {
@@ -179,7 +179,7 @@
         for output in outputs {
             match output {
                 Output::Answer { id, answer } => self.check_answer(id.0, &answer),
-                Output::Attempt { id, attempt, server, payload, until, connect } => {
+                Output::Attempt { id, attempt, server, payload, until, connect_timeout } => {
                     assert_eq!(payload, id.0);
                     // A retry with a key must start before the servers forget the key, or not at all.
                     let request = &self.requests[&id.0];
@@ -191,7 +191,7 @@
                         .filter(|_| keyed)
                         .map(|(_, first, _)| *first)
                         .map(|first| Span((first + 600 * MS).saturating_sub(self.now)));
-                    assert_eq!(connect, left);
+                    assert_eq!(connect_timeout, left);
                     self.check_attempt(id.0, attempt, server, until.0);
                 }
                 Output::Cancel { id, attempt, .. } => {
@@ -215,9 +215,9 @@
                     }
                     self.withdrawn.insert((id.0, attempt.0));
                 }
-                Output::Probe { server, asked } => {
+                Output::Probe { server, pool } => {
                     let ends = self.now + self.rng.random_range(1..30) * MS;
-                    self.probes.push((ends, server, asked));
+                    self.probes.push((ends, server, pool));
                 }
                 Output::Open { server, .. } => {
                     if self.open.insert(server, true) == Some(true) {
@@ -225,7 +225,7 @@
                     }
                     self.leaving.remove(&server);
                 }
-                Output::Listed { server, state, .. } => {
+                Output::UpdateServer { server, state, .. } => {
                     if state == State::Ready {
                         self.leaving.remove(&server)
                     } else {
@@ -239,7 +239,7 @@
                         self.report(format!("{server:?} closed in use"));
                     }
                 }
-                Output::Watch | Output::Say { .. } => {}
+                Output::Watch | Output::Log { .. } => {}
             }
         }
     }
@@ -328,7 +328,7 @@
             Entry { uid, endpoint, zone, model, cell: 0, state, weight, boot_ms: boot / MS }
         });
         let delivery = Delivery { kind, rev: 1, entries: entries.collect(), odd: Vec::new() };
-        self.input(Input::Listed(delivery));
+        self.input(Input::ServerList(delivery));
     }
 
     fn submit_request(&mut self) {
@@ -349,8 +349,8 @@
         self.requests.insert(id, request);
         let (class, hint) = (class as u32, None);
         let rule = rule.filter(|_| !self.hide_limits);
-        let ask = Ask { class, tenant: 0, wait, hint, key: None, repeat: false, rule };
-        self.input(Input::Request { id: RequestId(id), ask, received: Time(self.now), payload: id });
+        let info = RequestInfo { class, tenant: 0, wait, hint, key: None, repeat: false, rule };
+        self.input(Input::Request { id: RequestId(id), info, received: Time(self.now), payload: id });
         self.check_caps();
         self.may_leave(Some(id));
     }
@@ -411,14 +411,14 @@
                 request.attempts[attempt.0 as usize].2 = Some(status);
                 let latency = Span(next - request.attempts[attempt.0 as usize].1);
                 let body = (status == Status::Ok).then_some(id);
-                let ended = Ended { status, latency, load: vec![1.0], body };
-                self.input(Input::Ended { id: RequestId(id), attempt, server, ended });
+                let completion = Completion { status, latency, load: vec![1.0], body };
+                self.input(Input::AttemptEnded { id: RequestId(id), attempt, server, completion });
             }
             if let Some(n) = self.probes.iter().position(|p| p.0 <= next) {
-                let (_, server, asked) = self.probes.remove(n);
+                let (_, server, pool) = self.probes.remove(n);
                 let load = vec![f64::from(self.rng.random_range(0..4_u32))];
-                let ended = Ended { status: Status::Ok, latency: Span(MS), load, body: None };
-                self.input(Input::Probed { server, asked, ended });
+                let completion = Completion { status: Status::Ok, latency: Span(MS), load, body: None };
+                self.input(Input::ProbeEnded { server, pool, completion });
             }
         }
     }
@@ -497,8 +497,8 @@
     world.run_to(jump);
     let end = world.now + 3000 * MS;
     world.run_to(end);
-    if world.engine.in_hand() > 0 {
-        let open_requests = world.engine.in_hand();
+    if world.engine.open_requests() > 0 {
+        let open_requests = world.engine.open_requests();
         world.report(format!("{open_requests} entries are never given back"));
     }
     let unanswered = world.requests.values().filter(|request| request.answers == 0 && !request.gone).count();
--- a/crates/engine/tests/watch.rs
+++ b/crates/engine/tests/watch.rs
@@ -2,8 +2,8 @@
 
 use dunlincleat::api::{Attempt, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
-use dunlincleat_engine::watch::Watched;
-use dunlincleat_engine::{Ask, Ended, Engine, Input, Output, Watch};
+use dunlincleat_engine::shadow::ShadowCounts;
+use dunlincleat_engine::{Completion, Engine, Input, Output, RequestInfo, Shadow};
 use dunlincleat_settings::{Site, read};
 
 const MS: u64 = 1_000;
@@ -32,10 +32,10 @@
 }
 
 /// Runs requests under `settings`, with or without a shadow module. Returns all outputs as text, and its counts.
-fn run(shadow: Option<&Site>, settings: &Site) -> (Vec<String>, Watched) {
+fn run(shadow: Option<&Site>, settings: &Site) -> (Vec<String>, ShadowCounts) {
     let mut engine: Engine<u64, u64> = Engine::new(settings, 7, 1_000);
     if let Some(shadow) = shadow {
-        engine.watch(Watch::new(shadow.settings.clone(), &settings.settings.fields, 99));
+        engine.set_shadow(Shadow::new(shadow.settings.clone(), &settings.settings.fields, 99));
     }
     let (mut log, mut outputs, mut in_flight) =
         (Vec::new(), Vec::new(), Vec::<(u64, RequestId, Attempt, ServerId)>::new());
@@ -52,13 +52,13 @@
             let entries = (0..8).map(|n| entry(n, weight(n))).collect();
             engine.input(
                 now,
-                Input::Listed(Delivery { kind, rev: tick, entries, odd: Vec::new() }),
+                Input::ServerList(Delivery { kind, rev: tick, entries, odd: Vec::new() }),
                 &mut outputs,
             );
         }
         engine.wake(now, &mut outputs);
         if tick % 7 == 0 {
-            let ask = Ask {
+            let info = RequestInfo {
                 class: 0,
                 tenant: 0,
                 wait: Span(600 * MS),
@@ -69,7 +69,7 @@
             };
             engine.input(
                 now,
-                Input::Request { id: RequestId(tick), ask, received: now, payload: tick },
+                Input::Request { id: RequestId(tick), info, received: now, payload: tick },
                 &mut outputs,
             );
         }
@@ -78,8 +78,8 @@
         for (_, id, attempt, server) in due {
             let status = if id.0 % 11 == 0 { Status::Error } else { Status::Ok };
             let body = (status == Status::Ok).then_some(id.0);
-            let ended = Ended { status, latency: Span(20 * MS), load: Vec::new(), body };
-            engine.input(now, Input::Ended { id, attempt, server, ended }, &mut outputs);
+            let completion = Completion { status, latency: Span(20 * MS), load: Vec::new(), body };
+            engine.input(now, Input::AttemptEnded { id, attempt, server, completion }, &mut outputs);
         }
         for output in outputs.drain(..) {
             if let Output::Attempt { id, attempt, server, .. } = &output {
@@ -88,7 +88,7 @@
             log.push(format!("{tick} {output:?}"));
         }
     }
-    (log, engine.take_watched().unwrap_or_default())
+    (log, engine.take_shadow_counts().unwrap_or_default())
 }
 
 /// The shadow module shares no random draws and no timers with the active module, so no output may differ.
@@ -102,8 +102,8 @@
         "first at {:?}",
         without_shadow.iter().zip(&with_shadow).find(|(a, b)| a != b)
     );
-    assert_eq!(no_counts, Watched::default());
-    assert!(counts.alike > 0 && counts.other_server + counts.other_zone > 100, "{counts:?}");
+    assert_eq!(no_counts, ShadowCounts::default());
+    assert!(counts.same_server > 0 && counts.other_server + counts.other_zone > 100, "{counts:?}");
 }
 
 /// Each kind of difference has its own count: with the same settings, with expensive cross-zone traffic, and with
@@ -113,7 +113,7 @@
     let plain = site("");
     let counts = |extra: &str| run(Some(&site(extra)), &plain).1;
     let same = counts("");
-    assert_eq!((same.would_refuse, same.would_copy, same.would_probe), (0, 0, 0), "{same:?}");
+    assert_eq!((same.would_refuse, same.would_hedge, same.would_probe), (0, 0, 0), "{same:?}");
     let expensive_crossing = counts(r#""deductions":{"cross_zone":0.5},"#);
     assert!(
         expensive_crossing.other_zone > 2 * same.other_zone / 3 && expensive_crossing.other_zone > 200,
@@ -121,7 +121,7 @@
     );
     let inline_reports = counts(r#""stats":{"how":"inline","fields":["inflight"]},"#);
     assert!(
-        inline_reports.alike + inline_reports.other_server + inline_reports.other_zone > 500,
+        inline_reports.same_server + inline_reports.other_server + inline_reports.other_zone > 500,
         "{inline_reports:?}"
     );
 }
--- a/crates/fleet/src/baseline.rs
+++ b/crates/fleet/src/baseline.rs
@@ -3,7 +3,7 @@
 
 use crate::balancing::{Balancing, In, Out};
 use dunlincleat::api::{Attempt, Effect, ListKind, RequestId, ServerId, State, Status, Time};
-use dunlincleat_engine::{Answer, Input, Output, Places};
+use dunlincleat_engine::{Answer, Endpoint, Input, Output, ServerTable};
 use dunlincleat_settings::Site;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -62,7 +62,7 @@
     effects: Vec<Effect>,
     most: usize,
     rng: SmallRng,
-    places: Places,
+    places: ServerTable,
     servers: BTreeMap<u32, Server>,
     requests: BTreeMap<u64, Entry>,
     turn: usize,
@@ -77,7 +77,7 @@
             effects: site.settings.classes.iter().map(|class| class.effect).collect(),
             most: site.settings.limits.max_attempts as usize,
             rng: SmallRng::seed_from_u64(seed),
-            places: Places::default(),
+            places: ServerTable::default(),
             servers: BTreeMap::new(),
             requests: BTreeMap::new(),
             turn: 0,
@@ -135,21 +135,21 @@
         let attempt = Attempt(entry.attempts.len() as u32);
         entry.attempts.push(server);
         self.servers.entry(server.0).or_default().in_hand += 1;
-        out.push(Output::Attempt { id, attempt, server, payload: id.0, until, connect: None });
+        out.push(Output::Attempt { id, attempt, server, payload: id.0, until, connect_timeout: None });
     }
 }
 
 impl Balancing for Baseline {
     fn input(&mut self, now: Time, input: In, out: &mut Vec<Out>) {
         match input {
-            Input::Request { id, ask, .. } => {
+            Input::Request { id, info: ask, .. } => {
                 let (class, deadline) = (ask.class, now + ask.wait);
                 let (attempts, may_have_run) = (Vec::new(), false);
                 self.requests.insert(id.0, Entry { class, deadline, attempts, may_have_run });
                 self.advance(now, id, out);
             }
-            Input::Gone(id) => drop(self.requests.remove(&id.0)),
-            Input::Ended { id, server, ended, .. } => {
+            Input::ClientLeft(id) => drop(self.requests.remove(&id.0)),
+            Input::AttemptEnded { id, server, completion: ended, .. } => {
                 let known = self.servers.entry(server.0).or_default();
                 known.in_hand = known.in_hand.saturating_sub(1);
                 let took = ended.latency.as_f64();
@@ -167,23 +167,26 @@
                     }
                 }
             }
-            Input::Listed(delivery) => {
+            Input::ServerList(delivery) => {
                 if delivery.kind != ListKind::Changes {
                     self.servers.values_mut().for_each(|server| server.ready = false);
                 }
                 for entry in delivery.entries {
-                    let server = self.places.number(&entry.uid);
+                    let server = self.places.id_or_assign(&entry.uid);
                     self.servers.entry(server.0).or_default().ready = entry.state == State::Ready;
                     if let Some(at) = entry.endpoint {
-                        out.push(Output::Open { server, at, boot_ms: entry.boot_ms });
+                        out.push(Output::Open {
+                            server,
+                            endpoint: Endpoint { address: at, boot_ms: entry.boot_ms },
+                        });
                     }
                 }
             }
             // A day has one set of settings, and its answers come whole.
-            Input::Began { .. }
-            | Input::Uploads { .. }
-            | Input::Probed { .. }
-            | Input::ListFailed
+            Input::ResponseStarted { .. }
+            | Input::Upload { .. }
+            | Input::ProbeEnded { .. }
+            | Input::DiscoveryFailed
             | Input::Settings { .. }
             | Input::Rules(_) => {}
         }
--- a/crates/fleet/src/mutant.rs
+++ b/crates/fleet/src/mutant.rs
@@ -3,7 +3,7 @@
 use crate::balancing::{Balancing, In, Out};
 use crate::cold::Terms;
 use dunlincleat::api::{Attempt, ServerId, Span, State, Time};
-use dunlincleat_engine::{Answer, Input, Output};
+use dunlincleat_engine::{Answer, Endpoint, Input, Output};
 use std::collections::VecDeque;
 
 /// What is wrong with it.
@@ -80,13 +80,21 @@
             match (self.plant, &mut output) {
                 (
                     Plant::FloodsCold,
-                    Output::Listed { server, at: Some((_, boot_ms)), state: State::Ready },
+                    Output::UpdateServer {
+                        server,
+                        endpoint: Some(Endpoint { boot_ms, .. }),
+                        state: State::Ready,
+                    },
                 ) if *boot_ms > 0 => {
                     self.newest = Some(*server);
                 }
                 (
                     Plant::TakesBudget,
-                    Output::Listed { server, at: Some((_, boot_ms)), state: State::Ready },
+                    Output::UpdateServer {
+                        server,
+                        endpoint: Some(Endpoint { boot_ms, .. }),
+                        state: State::Ready,
+                    },
                 ) if Time(*boot_ms * 1000) > self.newest_born => {
                     (self.newest, self.newest_born) = (Some(*server), Time(*boot_ms * 1000));
                     self.own.clear();
@@ -97,12 +105,20 @@
                 (Plant::FloodsCold, Output::Attempt { server, .. }) => {
                     *server = self.newest.unwrap_or(*server);
                 }
-                (Plant::SendsTwice, Output::Attempt { id, attempt, server, payload, until, connect })
-                    if id.0 % 100 == 0 =>
-                {
+                (
+                    Plant::SendsTwice,
+                    Output::Attempt { id, attempt, server, payload, until, connect_timeout: connect },
+                ) if id.0 % 100 == 0 => {
                     let (id, attempt, server) = (*id, Attempt(attempt.0 + 50), *server);
                     let (payload, until, connect) = (*payload, *until, *connect);
-                    spoilt.push(Output::Attempt { id, attempt, server, payload, until, connect });
+                    spoilt.push(Output::Attempt {
+                        id,
+                        attempt,
+                        server,
+                        payload,
+                        until,
+                        connect_timeout: connect,
+                    });
                 }
                 (Plant::AnswersTwice, Output::Answer { id, answer }) if id.0 % 100 == 0 => {
                     spoilt.push(Output::Answer { id: *id, answer: answer.clone() });
@@ -123,11 +139,11 @@
 impl<B: Balancing> Balancing for Mutant<B> {
     fn input(&mut self, now: Time, input: In, out: &mut Vec<Out>) {
         let input = match (self.plant, input) {
-            (Plant::IgnoresDrains, Input::Listed(mut delivery)) => {
+            (Plant::IgnoresDrains, Input::ServerList(mut delivery)) => {
                 for entry in delivery.entries.iter_mut().filter(|e| e.endpoint.is_some()) {
                     entry.state = State::Ready;
                 }
-                Input::Listed(delivery)
+                Input::ServerList(delivery)
             }
             (_, input) => input,
         };
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -19,7 +19,7 @@
 use anyhow::Result;
 use dunlincleat::api::{Attempt, Discovery, Effect, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Cause, Entry, Figures, Follower, Listing, Output as Follow, WatchId};
-use dunlincleat_engine::{Answer, Ask, Ended, Engine, Input, Output, SlotId};
+use dunlincleat_engine::{Answer, Completion, Endpoint, Engine, Input, Output, PoolId, RequestInfo};
 use dunlincleat_settings::Site;
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
@@ -101,7 +101,7 @@
     Probed {
         instance: u32,
         server: ServerId,
-        asked: SlotId,
+        asked: PoolId,
     },
     /// The follower of an instance has something due.
     Follow(u32),
@@ -453,7 +453,7 @@
                     self.tally.failed += 1;
                     self.lose(asked, last.unwrap_or(Loss::Queueing));
                     let instance = self.requests[&id].instance;
-                    self.tell(instance, Input::Gone(RequestId(id)));
+                    self.tell(instance, Input::ClientLeft(RequestId(id)));
                 }
                 self.requests.remove(&id);
             }
@@ -463,7 +463,7 @@
                     self.tally.failed += 1;
                     self.lose(asked, Loss::Wasted);
                     let instance = self.requests[&id].instance;
-                    self.tell(instance, Input::Gone(RequestId(id)));
+                    self.tell(instance, Input::ClientLeft(RequestId(id)));
                 }
             }
             Event::Probed { instance, server, asked } => self.probed(instance, server, asked),
@@ -585,7 +585,7 @@
                 for caller in 0..self.callers.len() as u32 {
                     let Some(instance) = self.callers[caller as usize].instance else { continue };
                     let site = std::sync::Arc::new(self.site(caller)?);
-                    self.tell(instance, Input::Settings { site, watched: None });
+                    self.tell(instance, Input::Settings { site, shadow: None });
                 }
             }
         }
--- a/crates/fleet/src/world/callers.rs
+++ b/crates/fleet/src/world/callers.rs
@@ -70,13 +70,13 @@
         });
         let (number, repeat) = (asked.class as u32, asked.tries > 0);
         let wait = Span(wait);
-        let ask = Ask { class: number, tenant: 0, wait, hint: guess, key: None, repeat, rule: None };
+        let ask = RequestInfo { class: number, tenant: 0, wait, hint: guess, key: None, repeat, rule: None };
         if let Some(of) = self.instances.get_mut(&instance) {
             of.in_hand += 1;
             self.tally.held = self.tally.held.max(of.in_hand);
         }
         let received = Time(self.now);
-        self.tell(instance, Input::Request { id: RequestId(id), ask, received, payload: id });
+        self.tell(instance, Input::Request { id: RequestId(id), info: ask, received, payload: id });
     }
 
     /// A request will not be served: its worth is lost, for this cause.
--- a/crates/fleet/src/world/instances.rs
+++ b/crates/fleet/src/world/instances.rs
@@ -38,7 +38,7 @@
         for (node, start) in self.service.starts() {
             self.auditor.knew(number, node, start);
         }
-        self.tell(number, Input::Listed(delivery));
+        self.tell(number, Input::ServerList(delivery));
         self.follow(number, None);
         Ok(())
     }
@@ -57,7 +57,7 @@
         for output in out.drain(..) {
             match output {
                 Output::Answer { id, answer } => self.answer(id.0, &answer),
-                Output::Attempt { id, attempt, server, until, connect, .. } => {
+                Output::Attempt { id, attempt, server, until, connect_timeout: connect, .. } => {
                     let job = Job { instance, request: id.0, attempt: attempt.0 };
                     self.send(job, server, until.0, connect);
                 }
@@ -65,14 +65,14 @@
                     let job = Job { instance, request: id.0, attempt: attempt.0 };
                     self.at(self.now, Event::Back(job, Status::Cancelled));
                 }
-                Output::Probe { server, asked } => {
+                Output::Probe { server, pool: asked } => {
                     self.tally.probes += 1;
                     let nodes = self.places.len();
                     self.tally.second(self.now, nodes).probes += 1;
                     let back = self.now + 2 * self.scenario.fleet.network.us();
                     self.at(back, Event::Probed { instance, server, asked });
                 }
-                Output::Open { server, at: SocketAddr::V4(at), .. } => {
+                Output::Open { server, endpoint: Endpoint { address: SocketAddr::V4(at), .. } } => {
                     let node = (u32::from(*at.ip()) - 0x7f00_0001) as usize;
                     if let Some(of) = self.instances.get_mut(&instance) {
                         of.servers.insert(server, node);
@@ -86,7 +86,7 @@
                 Output::Watch => watch = true,
                 // Connections come up at once here: what goes out is written.
                 Output::Withdraw { .. } => {}
-                Output::Open { .. } | Output::Listed { .. } | Output::Say { .. } => {}
+                Output::Open { .. } | Output::UpdateServer { .. } | Output::Log { .. } => {}
             }
         }
         self.out = out;
@@ -120,8 +120,8 @@
                     Answered::Nothing => {}
                 },
                 Follow::Close(watch) => self.service.close(instance, watch),
-                Follow::Deliver(delivery) => self.tell(instance, Input::Listed(delivery)),
-                Follow::Failed => self.tell(instance, Input::ListFailed),
+                Follow::Deliver(delivery) => self.tell(instance, Input::ServerList(delivery)),
+                Follow::Failed => self.tell(instance, Input::DiscoveryFailed),
                 Follow::Lost { .. } | Follow::Followed { .. } => {}
             }
         }
--- a/crates/fleet/src/world/nodes.rs
+++ b/crates/fleet/src/world/nodes.rs
@@ -86,9 +86,9 @@
                 Status::Error | Status::Reset | Status::ConnectFailed => Some(Loss::NoSight),
             };
         }
-        let ended = Ended { status, latency: Span(latency), load, body };
+        let ended = Completion { status, latency: Span(latency), load, body };
         let (id, attempt, server) = (RequestId(job.request), Attempt(job.attempt), flight.server);
-        self.tell(job.instance, Input::Ended { id, attempt, server, ended });
+        self.tell(job.instance, Input::AttemptEnded { id, attempt, server, completion: ended });
     }
 
     /// A node is done with a request, and begins the next that waits.
@@ -125,7 +125,7 @@
         self.at(self.now + self.scenario.fleet.network.us(), Event::Back(job, status));
     }
 
-    pub(super) fn probed(&mut self, instance: u32, server: ServerId, asked: SlotId) {
+    pub(super) fn probed(&mut self, instance: u32, server: ServerId, asked: PoolId) {
         let node = self.instances.get(&instance).and_then(|of| of.servers.get(&server).copied());
         let well = node.filter(|n| {
             let mood = self.places[*n].node.mood;
@@ -135,12 +135,12 @@
         let ended = match well.filter(|_| !still) {
             Some(node) => {
                 let latency = Span(2 * self.scenario.fleet.network.us());
-                Ended { status: Status::Ok, latency, load: self.report_of(node), body: None }
+                Completion { status: Status::Ok, latency, load: self.report_of(node), body: None }
             }
-            None if still => Ended::unsent(Status::Timeout),
-            None => Ended::unsent(Status::ConnectFailed),
+            None if still => Completion::without_response(Status::Timeout),
+            None => Completion::without_response(Status::ConnectFailed),
         };
-        self.tell(instance, Input::Probed { server, asked, ended });
+        self.tell(instance, Input::ProbeEnded { server, pool: asked, completion: ended });
     }
 
     pub(super) fn arrive(&mut self, job: Job) {
--- a/crates/hollow/src/sidecar.rs
+++ b/crates/hollow/src/sidecar.rs
@@ -8,9 +8,8 @@
 use dunlincleat::api::{Attempt, RequestId, ServerId, Span, State, Status};
 use dunlincleat_directory::{Figures, Follower, Interest, Listing};
 use dunlincleat_engine::clock::Clock;
-use dunlincleat_engine::pools::SlotId;
 use dunlincleat_engine::shell::{Actor, Gauges, Transports, mailbox};
-use dunlincleat_engine::{Ended, Engine};
+use dunlincleat_engine::{Completion, Endpoint, Engine, PoolId};
 use dunlincleat_http::Handle;
 use dunlincleat_http::list::{self, List};
 use dunlincleat_http::message::{Body, Parts, Request};
@@ -120,9 +119,9 @@
     type Payload = Rc<Request>;
     type Body = Body;
 
-    fn open(&mut self, _: ServerId, _: SocketAddr, _: u64) {}
+    fn open(&mut self, _: ServerId, _: Endpoint) {}
 
-    fn listed(&mut self, _: ServerId, _: Option<(SocketAddr, u64)>, _: State) {}
+    fn update(&mut self, _: ServerId, _: Option<Endpoint>, _: State) {}
 
     fn close(&mut self, _: ServerId) {}
 
@@ -137,8 +136,8 @@
     ) {
         let parts = Parts::Whole(Vec::new().into());
         let body = Some(Body { parts, content_type: None });
-        let ended = Ended { status: Status::Ok, latency: Span(5000), load: vec![1.0, 0.0, 0.5], body };
-        self.engine.ended(id, attempt, server, ended);
+        let ended = Completion { status: Status::Ok, latency: Span(5000), load: vec![1.0, 0.0, 0.5], body };
+        self.engine.attempt_ended(id, attempt, server, ended);
     }
 
     // What was asked has ended already.
@@ -146,13 +145,14 @@
 
     fn withdraw(&mut self, _: RequestId, _: Attempt, _: ServerId) {}
 
-    fn probe(&mut self, server: ServerId, asked: SlotId) {
+    fn probe(&mut self, server: ServerId, asked: PoolId) {
         self.account.probes.set(self.account.probes.get() + 1);
-        let ended = Ended { status: Status::Ok, latency: Span(1000), load: vec![1.0, 0.0, 0.5], body: None };
-        self.engine.probed(server, asked, ended);
+        let ended =
+            Completion { status: Status::Ok, latency: Span(1000), load: vec![1.0, 0.0, 0.5], body: None };
+        self.engine.probe_ended(server, asked, ended);
     }
 
-    fn room(&self) -> usize {
+    fn free_connections(&self) -> usize {
         0
     }
 }
@@ -176,7 +176,7 @@
     let (follower, known) = Follower::of(clock.now(), own.watch, mode, at, seed, known, interest);
     List::start(follower, clock, own.clone(), engine.clone(), calls);
     let decides = Engine::new(site, spec.seed, REQUESTS);
-    let gauges = Gauges { metrics: Arc::new(Metrics::default()), avoided: false };
+    let gauges = Gauges { metrics: Arc::new(Metrics::default()), sample_avoided: false };
     let servers = Servers { engine: engine.clone(), account: account.clone() };
     let actor = Actor::new(decides, clock, servers, caller.clone(), gauges);
     if *rate > 0.0 {
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -500,7 +500,7 @@
     fn drop(&mut self) {
         self.front.ids.borrow_mut().remove(&self.name);
         if !self.answered {
-            self.engine.gone(self.id);
+            self.engine.client_left(self.id);
         }
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -24,4 +24,4 @@
 /// The engine as HTTP uses it.
 pub type Engine = dunlincleat_engine::Engine<Rc<message::Request>, message::Body>;
 type Answer = dunlincleat_engine::Answer<message::Body>;
-type Ended = dunlincleat_engine::Ended<message::Body>;
+type Ended = dunlincleat_engine::Completion<message::Body>;
--- a/crates/http/src/list.rs
+++ b/crates/http/src/list.rs
@@ -106,7 +106,7 @@
         loop {
             self.follower.wake(self.clock.now(), &mut out);
             self.carry_out(&mut out);
-            self.engine.list_state(self.follower.health());
+            self.engine.list_health(self.follower.health());
             let due = self.follower.due().map(|at| self.clock.instant(at));
             let keep = self.unkept.then_some(self.keep_at);
             let input = tokio::select! {
@@ -146,7 +146,7 @@
                 }
                 Output::Close(watch) => drop(self.tasks.remove(&watch)),
                 Output::Deliver(delivery) => self.deliver(delivery),
-                Output::Failed => self.engine.list_failed(),
+                Output::Failed => self.engine.discovery_failed(),
                 // One warning an outage: the next line of its kind says that a watch is followed again.
                 Output::Lost { at, why } => tracing::warn!("no watch of discovery at {at}: {why}"),
                 Output::Followed { at, rev, unheard } => {
@@ -170,7 +170,7 @@
             );
         }
         self.unkept = self.own.list_file.is_some();
-        self.engine.listed(delivery);
+        self.engine.server_list(delivery);
     }
 
     /// Writes the list as held to its file, off this thread.
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use dunlincleat::api::{Effect, Span, Status};
 use dunlincleat_directory::Interest;
-use dunlincleat_engine::Ask;
+use dunlincleat_engine::RequestInfo;
 use dunlincleat_limits::{Facts, RuleSet};
 use dunlincleat_settings::{Site, common_name};
 use futures_util::stream::{LocalBoxStream, once};
@@ -56,7 +56,7 @@
     /// What follows the bytes held, where the body is passed on as it comes.
     rest: Option<Rc<Rest>>,
     /// What the engine is told of it.
-    pub ask: Ask,
+    pub ask: RequestInfo,
     /// What it is sent for, where it is no client's.
     errand: Option<Rc<Errand>>,
 }
@@ -212,7 +212,7 @@
         let hint = text(&head.headers, &COST).and_then(|c| c.parse::<f64>().ok());
         let mut attrs = text(&head.headers, &ATTRS).into_iter().flat_map(|attrs| attrs.split(','));
         let object = attrs.find_map(|attr| attr.trim().strip_prefix("object="));
-        let ask = Ask {
+        let ask = RequestInfo {
             class: class as u32,
             tenant: tenant.unwrap_or(site.tenants.len()) as u32,
             wait,
@@ -227,7 +227,7 @@
             let facts = Facts { path, method: method.as_str(), class, tenant, header: &header };
             rules.find(&facts).clone()
         });
-        let ask = Ask { rule, ..ask };
+        let ask = RequestInfo { rule, ..ask };
         Ok(Request {
             id,
             method,
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -13,8 +13,8 @@
 use awc::error::SendRequestError;
 use bytes::{Bytes, BytesMut};
 use dunlincleat::api::{Attempt, RequestId, ServerId, Span, State, Status};
-use dunlincleat_engine::SlotId;
 use dunlincleat_engine::shell::Transports;
+use dunlincleat_engine::{Endpoint, PoolId};
 use dunlincleat_status::{Metrics, Seldom, seldom};
 use futures_util::StreamExt;
 use futures_util::future::{AbortHandle, Abortable, Aborted, LocalBoxFuture};
@@ -61,7 +61,7 @@
         attempt: Attempt,
     },
     /// Ask the server how it is, for whom.
-    Probe(SlotId),
+    Probe(PoolId),
     /// What the list says of it.
     Listed {
         /// Where it is reached and when it last started; nothing where the list lacks it.
@@ -119,11 +119,12 @@
     type Payload = Rc<Request>;
     type Body = Body;
 
-    fn open(&mut self, server: ServerId, at: SocketAddr, boot_ms: u64) {
-        self.mailboxes.insert(server, start(server, at, boot_ms, self.common.clone()));
+    fn open(&mut self, server: ServerId, endpoint: Endpoint) {
+        self.mailboxes.insert(server, start(server, endpoint.address, endpoint.boot_ms, self.common.clone()));
     }
 
-    fn listed(&mut self, server: ServerId, at: Option<(SocketAddr, u64)>, state: State) {
+    fn update(&mut self, server: ServerId, endpoint: Option<Endpoint>, state: State) {
+        let at = endpoint.map(|endpoint| (endpoint.address, endpoint.boot_ms));
         self.tell(server, Msg::Listed { at, state });
     }
 
@@ -141,7 +142,12 @@
         connect: Option<Duration>,
     ) {
         if !self.tell(server, Msg::Attempt { id, attempt, request, until, connect }) {
-            self.common.engine.ended(id, attempt, server, Ended::unsent(Status::ConnectFailed));
+            self.common.engine.attempt_ended(
+                id,
+                attempt,
+                server,
+                Ended::without_response(Status::ConnectFailed),
+            );
         }
     }
 
@@ -153,13 +159,13 @@
         self.tell(server, Msg::Withdraw { id, attempt });
     }
 
-    fn probe(&mut self, server: ServerId, asked: SlotId) {
+    fn probe(&mut self, server: ServerId, asked: PoolId) {
         if !self.tell(server, Msg::Probe(asked)) {
-            self.common.engine.probed(server, asked, Ended::unsent(Status::ConnectFailed));
+            self.common.engine.probe_ended(server, asked, Ended::without_response(Status::ConnectFailed));
         }
     }
 
-    fn room(&self) -> usize {
+    fn free_connections(&self) -> usize {
         self.common.means.sockets.available_permits()
     }
 }
@@ -200,7 +206,7 @@
 #[derive(Clone, Copy)]
 enum What {
     Attempt(RequestId, Attempt),
-    Probe(SlotId),
+    Probe(PoolId),
 }
 
 struct Peer {
@@ -252,8 +258,10 @@
                     let sending = send(line, endpoint, &request, (until, connect), &common, of);
                     let (mut ended, line) = match Abortable::new(sending, registration).await {
                         Ok(end) => end,
-                        Err(Aborted) if wire.withdrawn() => (Ended::unsent(Status::NotSent), None),
-                        Err(Aborted) => (Ended::unsent(wire.unless_written(Status::Cancelled)), None),
+                        Err(Aborted) if wire.withdrawn() => (Ended::without_response(Status::NotSent), None),
+                        Err(Aborted) => {
+                            (Ended::without_response(wire.unless_written(Status::Cancelled)), None)
+                        }
                     };
                     if ended.latency == Span(0) {
                         ended.latency = Span(started.elapsed().as_micros() as u64);
@@ -333,9 +341,9 @@
         match done.what {
             What::Attempt(id, attempt) => {
                 self.aborts.remove(&(id, attempt));
-                self.common.engine.ended(id, attempt, self.server, done.ended);
+                self.common.engine.attempt_ended(id, attempt, self.server, done.ended);
             }
-            What::Probe(asked) => self.common.engine.probed(self.server, asked, done.ended),
+            What::Probe(asked) => self.common.engine.probe_ended(self.server, asked, done.ended),
         }
     }
 
@@ -362,14 +370,14 @@
 
 impl Uploads {
     fn new(of: Of, common: &Common) -> Uploads {
-        common.engine.uploads(of.id, of.server, false);
+        common.engine.upload(of.id, of.server, false);
         Uploads { of, engine: common.engine.clone() }
     }
 }
 
 impl Drop for Uploads {
     fn drop(&mut self) {
-        self.engine.uploads(self.of.id, self.of.server, true);
+        self.engine.upload(self.of.id, self.of.server, true);
     }
 }
 
@@ -424,11 +432,11 @@
     let rest = request.rest();
     // Guards against a part of a body sent for the whole: what an attempt has read of it is not there for another.
     if rest.as_ref().is_some_and(|rest| rest.read()) {
-        return (Ended::unsent(Status::NotSent), Some(line));
+        return (Ended::without_response(Status::NotSent), Some(line));
     }
     // Its permission is asked here, where the effect begins, and not where it was given.
     if request.errand().is_some_and(|errand| !errand.may()) {
-        return (Ended::unsent(Status::NotSent), Some(line));
+        return (Ended::without_response(Status::NotSent), Some(line));
     }
     let length = match &rest {
         Some(rest) => rest.length,
@@ -494,16 +502,21 @@
             let (sender, receiver) = mpsc::channel(PARTS);
             let body = Some(Body { parts: Parts::Passing { first, rest: receiver, length }, content_type });
             line.wire.pass_on();
-            common.engine.began(of.id, of.attempt, of.server, Ended { status, latency, load, body });
+            common.engine.response_started(
+                of.id,
+                of.attempt,
+                of.server,
+                Ended { status, latency, load, body },
+            );
             let status = pass_on(&mut response, &sender, &line.wire).await;
-            (Ended::unsent(status), (status == Status::Ok).then_some(line))
+            (Ended::without_response(status), (status == Status::Ok).then_some(line))
         }
         // One that broke off in the middle of its body never ran.
         Some(Err(Status::Reset)) if line.wire.spoilt().is_none() => {
-            (Ended::unsent(line.wire.unless_written(Status::Reset)), None)
+            (Ended::without_response(line.wire.unless_written(Status::Reset)), None)
         }
-        Some(Err(status)) => (Ended::unsent(judged(status, endpoint, &line.wire, common)), None),
-        None => (Ended::unsent(line.wire.unless_written(Status::Timeout)), None),
+        Some(Err(status)) => (Ended::without_response(judged(status, endpoint, &line.wire, common)), None),
+        None => (Ended::without_response(line.wire.unless_written(Status::Timeout)), None),
     }
 }
 
@@ -576,8 +589,8 @@
             let Reply { status, load, .. } = reply;
             (Ended { status, latency: Span(0), load, body: None }, Some(line))
         }
-        Ok(Err(status)) => (Ended::unsent(judged(status, endpoint, &line.wire, common)), None),
-        Err(_) => (Ended::unsent(Status::Timeout), None),
+        Ok(Err(status)) => (Ended::without_response(judged(status, endpoint, &line.wire, common)), None),
+        Err(_) => (Ended::without_response(Status::Timeout), None),
     }
 }
 
--- a/crates/lab/src/slopes/control.rs
+++ b/crates/lab/src/slopes/control.rs
@@ -9,7 +9,7 @@
 use dunlincleat_directory::{
     Ask as Call, Cause, Figures, Follower, Input as Word, Lines, Listing, Output as Wants, WatchId,
 };
-use dunlincleat_engine::{Ask, Ended, Engine, Input, Output};
+use dunlincleat_engine::{Completion, Engine, Input, Output, RequestInfo};
 use dunlincleat_limits::{Rule, check};
 use dunlincleat_settings::{Site, Succession, read};
 use std::hint::black_box;
@@ -56,7 +56,7 @@
         let rules_of = (services > 0).then(|| rules(services, site)).transpose()?;
         let mut sidecar =
             Sidecar { follower, engine, now, watch, lines, wants, out, rules: Vec::new(), id: 0, load };
-        sidecar.tell(Input::Listed(known));
+        sidecar.tell(Input::ServerList(known));
         if let Some(rules) = rules_of {
             sidecar.rules =
                 rules.rules().filter(|rule| rule.name != rules.default_rule().name).cloned().collect();
@@ -89,9 +89,9 @@
                     calls.push((watch, ask));
                 }
                 Wants::Deliver(delivery) => {
-                    self.tell(Input::Listed(delivery));
+                    self.tell(Input::ServerList(delivery));
                     // The shell counts them for its figures after each list.
-                    black_box(self.engine.listed_now());
+                    black_box(self.engine.listed_servers());
                 }
                 Wants::Close(_) | Wants::Failed | Wants::Lost { .. } | Wants::Followed { .. } => {}
             }
@@ -128,12 +128,12 @@
             0 => None,
             n => Some(self.rules[(self.id % n) as usize].clone()),
         };
-        let ask = Ask { wait: Span(740_000), rule, ..Ask::default() };
+        let ask = RequestInfo { wait: Span(740_000), rule, ..RequestInfo::default() };
         let mut out = std::mem::take(&mut self.out);
         out.clear();
         self.engine.input(
             self.now,
-            Input::Request { id, ask, received: self.now, payload: self.id },
+            Input::Request { id, info: ask, received: self.now, payload: self.id },
             &mut out,
         );
         let mut probes = 0;
@@ -141,16 +141,22 @@
         while done < out.len() {
             let load = |server: u32| vec![(self.load)(server), 0.0, 0.4];
             let input = match &out[done] {
-                Output::Probe { server, asked } => {
+                Output::Probe { server, pool: asked } => {
                     probes += 1;
                     let load = load(server.0);
-                    let ended = Ended { status: Status::Ok, latency: Span(500), load, body: None };
-                    Some(Input::Probed { server: *server, asked: *asked, ended })
+                    let ended = Completion { status: Status::Ok, latency: Span(500), load, body: None };
+                    Some(Input::ProbeEnded { server: *server, pool: *asked, completion: ended })
                 }
                 Output::Attempt { id, attempt, server, .. } => {
                     let load = load(server.0);
-                    let ended = Ended { status: Status::Ok, latency: Span(5000), load, body: Some(self.id) };
-                    Some(Input::Ended { id: *id, attempt: *attempt, server: *server, ended })
+                    let ended =
+                        Completion { status: Status::Ok, latency: Span(5000), load, body: Some(self.id) };
+                    Some(Input::AttemptEnded {
+                        id: *id,
+                        attempt: *attempt,
+                        server: *server,
+                        completion: ended,
+                    })
                 }
                 _ => None,
             };
@@ -414,7 +420,7 @@
         let (site, _) = succession.follow(sidecar.now, &held, read(&settings)?);
         held = Arc::new(site);
         let rules = check(&file, &held).1;
-        sidecar.tell(Input::Settings { site: held.clone(), watched: None });
+        sidecar.tell(Input::Settings { site: held.clone(), shadow: None });
         if let Some(rules) = rules.filter(|_| services > 0) {
             sidecar.tell(Input::Rules(Arc::new(rules)));
         }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -12,7 +12,7 @@
 use dunlincleat::api::{Reports, Settings, Time};
 use dunlincleat_directory::{Follower, Listing, Snapshot};
 use dunlincleat_dutyshell::Shell;
-use dunlincleat_engine::Watch;
+use dunlincleat_engine::Shadow;
 use dunlincleat_engine::clock::Clock;
 use dunlincleat_engine::shell::{Actor, Gauges, mailbox};
 use dunlincleat_http::Engine;
@@ -101,9 +101,9 @@
     if let Some(settings) = config.watch.take() {
         tracing::info!("watch: other settings are counted against those in force, and decide nothing");
         // Another seed than any pool's: it shares no draws.
-        decides.watch(Watch::new(settings, &site.settings.fields, !config.seed));
+        decides.set_shadow(Shadow::new(settings, &site.settings.fields, !config.seed));
     }
-    let gauges = Gauges { metrics: metrics.clone(), avoided: config.console.is_some() };
+    let gauges = Gauges { metrics: metrics.clone(), sample_avoided: config.console.is_some() };
     let actor = Actor::new(decides, clock, peers, caller.clone(), gauges);
     let mut module = actix_rt::spawn(actor.run(mail, known));
     let named = limits.map(Path::to_path_buf);
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -11,7 +11,7 @@
 use dunlincleat::api::{
     Action, Attempt, Event, ListKind, Member, RequestId, ServerId, Span, State, Time, Token,
 };
-use dunlincleat_engine::Places;
+use dunlincleat_engine::ServerTable;
 use rustc_hash::FxHashMap;
 use std::io::{BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -29,13 +29,13 @@
 /// One instance: its decisions and its own numbering of endpoints, which the wire may name for ever.
 struct Instance {
     balancer: Balancer,
-    places: Places,
+    places: ServerTable,
     classes: u32,
 }
 
 impl Instance {
     fn known(&self, endpoint: &str) -> Result<ServerId> {
-        let id = self.places.known(endpoint);
+        let id = self.places.id_of(endpoint);
         id.with_context(|| format!("endpoint '{}' is on no list of this instance", shortened(endpoint)))
     }
 }
@@ -125,7 +125,7 @@
                 let settings = dunlincleat_settings::read(parts.remainder("env")?)?.settings;
                 let classes = settings.classes.len() as u32;
                 let balancer = Balancer::new(settings, seed);
-                let instance = Instance { balancer, places: Places::default(), classes };
+                let instance = Instance { balancer, places: ServerTable::default(), classes };
                 self.instances.insert(i, instance);
             }
             "SHUTDOWN" => {
@@ -169,7 +169,7 @@
                 if kind != ListKind::Failed {
                     let entries = list.and_then(|l| self.lists.get(l)).context("no such list")?;
                     for entry in entries {
-                        let server = instance.places.number(&entry.endpoint);
+                        let server = instance.places.id_or_assign(&entry.endpoint);
                         self.members.push(Member { server, ..entry.member });
                     }
                 }
