--- a/crates/engine/src/core.rs
+++ b/crates/engine/src/core.rs
@@ -1,14 +1,14 @@
-//! Stage: between the fronts and the transports. Owns the table of requests, the module's timers and clock, and the
-//! one final answer of each request: an entry is answered once, by [`Engine::settle`], and given back by
-//! [`Engine::forget`] when no attempt of it is out.
+//! State machine between the fronts and the transports. It owns the table of requests, the timers of the decision
+//! modules and the final answer of each request: a request is answered once, by [`Engine::answer`], and removed from
+//! the table by [`Engine::remove_if_finished`] when no attempt of it is in flight.
 //!
-//! It decides nothing: which server, whether again and what is turned away is the decision module's word, within what the
-//! operator's limits allow. Each pool of servers has a decision module of its own; without a file there is one.
+//! It makes no decisions of its own: the decision module chooses servers, retries and refusals, within what the
+//! operator's limits allow. Each pool of servers has its own decision module; without a limits file there is one pool.
 
-use crate::places::Places;
-use crate::pools::{Pools, SlotId};
+use crate::pools::{PoolId, Pools};
+use crate::server_table::ServerTable;
+use crate::shadow::{Shadow, ShadowCounts};
 use crate::timers::Timers;
-use crate::watch::{Watch, Watched};
 use dunlincleat::api::{
     Action, Attempt, Effect, Event, ListKind, RequestId, ServerId, Settings, Span, State, Status, Time, Token,
 };
@@ -20,278 +20,286 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a front knows of a request beside its payload.
+/// What a front knows of a request besides its payload.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
-    /// The number of its class.
+pub struct RequestInfo {
+    /// Index of its class.
     pub class: u32,
-    /// The number of its tenant; that after the last where none was named that is known.
+    /// Index of its tenant; one past the last if the request names no known tenant.
     pub tenant: u32,
-    /// How long the client waits, from when it sent it.
+    /// How long the client waits for the answer, from when it sent the request.
     pub wait: Span,
-    /// A guess at the work.
+    /// Estimated work, if known.
     pub hint: Option<Span>,
-    /// What it is about, where that is told.
+    /// Key of the data that it is about, if given.
     pub key: Option<u64>,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry.
     pub repeat: bool,
-    /// The rule that it is taken under, to its end; none where no file was read.
+    /// Rule that the request is admitted under and keeps to its end; none without a limits file.
     pub rule: Option<Arc<Rule>>,
 }
 
-/// How an attempt or a probe ended.
+/// Result of an attempt or a probe.
 #[derive(Clone, Debug)]
-pub struct Ended<B> {
-    /// How.
+pub struct Completion<B> {
+    /// How it ended.
     pub status: Status,
-    /// Time since it was taken up.
+    /// Time since it was started.
     pub latency: Span,
-    /// The load report, in the order of the settings' fields; empty where none came.
+    /// Load report, in the order of the settings' fields; empty if none was received.
     pub load: Vec<f64>,
-    /// The answer, where it was served.
+    /// Response body, if it was served.
     pub body: Option<B>,
 }
 
-impl<B> Ended<B> {
-    /// One that brought no answer.
+impl<B> Completion<B> {
+    /// A result without a response.
     #[must_use]
-    pub fn unsent(status: Status) -> Ended<B> {
-        Ended { status, latency: Span(0), load: Vec::new(), body: None }
+    pub fn without_response(status: Status) -> Completion<B> {
+        Completion { status, latency: Span(0), load: Vec::new(), body: None }
     }
 }
 
-/// The final answer to a request.
+/// Final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer<B> {
-    /// A server's answer.
+    /// The response of a server.
     Served(B),
-    /// Trying again does no harm.
+    /// Refused; a retry does no harm.
     Refused {
-        /// How long to stay away.
+        /// How long the client should wait before it retries.
         retry_after: Option<Span>,
     },
-    /// Nothing promised.
+    /// Failed; the request may or may not have run.
     Failed,
 }
 
-/// What the engine is told.
+/// Where a server is reached, and since when.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Endpoint {
+    /// Address of the server.
+    pub address: SocketAddr,
+    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    pub boot_ms: u64,
+}
+
+/// Inputs of the engine.
 #[derive(Clone, Debug)]
 pub enum Input<P, B> {
-    /// A request came; it is owed one answer. Its id is new.
+    /// A new request, under a new id. It must be answered once.
     Request {
-        /// Which.
+        /// Id of the request.
         id: RequestId,
-        /// What is known of it.
-        ask: Ask,
-        /// When its last byte came.
+        /// What the front knows of it.
+        info: RequestInfo,
+        /// When its last byte was received.
         received: Time,
         /// What the transport sends.
         payload: P,
     },
-    /// Its client left: nothing is owed any more.
-    Gone(RequestId),
-    /// An attempt ended; each that was put out ends once.
-    Ended {
-        /// Of which request.
+    /// The client of a request left; no answer is needed any more.
+    ClientLeft(RequestId),
+    /// An attempt ended. Each attempt that was started ends exactly once.
+    AttemptEnded {
+        /// Request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// Where.
+        /// Server that it was sent to.
         server: ServerId,
-        /// How.
-        ended: Ended<B>,
+        /// Its result.
+        completion: Completion<B>,
     },
-    /// An attempt's answer began and is passed on as it comes: it is the final one. The attempt ends later, once.
-    Began {
-        /// Of which request.
+    /// The response to an attempt has started and is streamed to the client as it arrives, so it is the final answer.
+    /// The attempt itself ends later, once.
+    ResponseStarted {
+        /// Request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// Where.
+        /// Server that it was sent to.
         server: ServerId,
-        /// What is known of it, with the answer.
-        ended: Ended<B>,
+        /// The result so far, with the response.
+        completion: Completion<B>,
     },
-    /// The body of an attempt still comes, or comes no more.
-    Uploads {
-        /// Of which request.
+    /// The upload of a request body to an attempt is still in progress, or has finished.
+    Upload {
+        /// Request of the attempt.
         id: RequestId,
-        /// Where.
+        /// Server that it was sent to.
         server: ServerId,
-        /// It comes no more.
-        over: bool,
+        /// Whether the upload has finished.
+        finished: bool,
     },
-    /// A probe ended; each that was put out ends once.
-    Probed {
-        /// Of which server.
+    /// A probe ended. Each probe that was started ends exactly once.
+    ProbeEnded {
+        /// Server that was probed.
         server: ServerId,
-        /// Who asked, as the probe said.
-        asked: SlotId,
-        /// How.
-        ended: Ended<B>,
+        /// Pool that the probe was sent for, as in [`Output::Probe`].
+        pool: PoolId,
+        /// Its result.
+        completion: Completion<B>,
     },
     /// The list of servers, or changes to it.
-    Listed(Delivery),
-    /// A call of discovery failed, or the watch ended, where lists come on request.
-    ListFailed,
-    /// Other settings; requests in hand keep their class and number of attempts.
+    ServerList(Delivery),
+    /// A discovery call failed or the watch ended, where lists are delivered on request.
+    DiscoveryFailed,
+    /// New settings. Open requests keep their class and number of attempts.
     Settings {
-        /// Those to decide by.
-        site: Arc<InstanceSettings>,
-        /// Those of the module that only watches, where there is one.
-        watched: Option<Settings>,
+        /// Settings of the decision modules.
+        site: Arc<Site>,
+        /// Settings of the shadow module, if there is one.
+        shadow: Option<Settings>,
     },
-    /// New limits; requests in hand keep those that they were taken under.
+    /// New limits. Open requests keep the rule that they were admitted under.
     Rules(Arc<RuleSet>),
 }
 
-/// What the engine wants done, in order.
+/// Outputs of the engine, to be carried out in order.
 #[derive(Clone, Debug)]
 pub enum Output<P, B> {
-    /// The final answer of a request.
+    /// Deliver the final answer of a request.
     Answer {
-        /// Which.
+        /// Id of the request.
         id: RequestId,
         /// The answer.
         answer: Answer<B>,
     },
     /// Start an attempt.
     Attempt {
-        /// Of which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// Where to.
+        /// Server to send it to.
         server: ServerId,
         /// What to send.
         payload: P,
-        /// When to stop waiting.
+        /// When to stop waiting for a response.
         until: Time,
-        /// How long a connection for it may take, where that is narrowed.
-        connect: Option<Span>,
+        /// Limit on the time to connect, if it is tighter than that of the settings.
+        connect_timeout: Option<Span>,
     },
-    /// Stop waiting for an attempt; it ends all the same.
+    /// Cancel an attempt. Its end must still be reported.
     Cancel {
-        /// Of which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// Where it is.
+        /// Server that it was sent to.
         server: ServerId,
     },
-    /// Nobody waits for an attempt any more: what is not written whole of it is taken back, the rest goes on. It ends
-    /// all the same.
+    /// Nothing waits for an attempt any more: cancel it unless it has been written completely, in which case it
+    /// continues. Its end must still be reported.
     Withdraw {
-        /// Of which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// Where it is.
+        /// Server that it was sent to.
         server: ServerId,
     },
-    /// Ask a server how it is.
+    /// Send a probe to a server.
     Probe {
-        /// Which.
+        /// Server to probe.
         server: ServerId,
-        /// Who asks; handed back with its end.
-        asked: SlotId,
+        /// Pool that the probe is sent for; returned with the result.
+        pool: PoolId,
     },
     /// Open a transport to a server.
     Open {
-        /// Its number.
+        /// Id of the server.
         server: ServerId,
         /// Where it is reached.
-        at: SocketAddr,
-        /// When it last started, in milliseconds of Unix time; 0 for long ago.
-        boot_ms: u64,
+        endpoint: Endpoint,
     },
-    /// The list told of a server whose transport is open.
-    Listed {
-        /// Its number.
+    /// Update a server whose transport is open, as listed.
+    UpdateServer {
+        /// Id of the server.
         server: ServerId,
-        /// Where it is reached; nothing where the list lacks it.
-        at: Option<(SocketAddr, u64)>,
+        /// Where it is reached; none if the list has no address.
+        endpoint: Option<Endpoint>,
         /// Whether it takes new work.
         state: State,
     },
-    /// Close a transport: nothing is out there, and its number may be another server's from here on.
+    /// Close a transport. Nothing is in flight to the server, and its id may be assigned to another server afterwards.
     Close {
-        /// Its number.
+        /// Id of the server.
         server: ServerId,
     },
-    /// Open a watch of the list, where lists come on request.
+    /// Open a watch of the server list, where lists are delivered on request.
     Watch,
-    /// A line for the people on call.
-    Say {
-        /// The server that it is about.
+    /// Write a log line for operators.
+    Log {
+        /// Server that the line is about, if any.
         server: Option<ServerId>,
         /// The line.
         text: String,
     },
 }
 
-/// What happened since it was last asked for.
+/// Event counts since they were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Requests taken.
-    pub taken: u64,
-    /// Answered by a server.
+pub struct Counters {
+    /// Requests received.
+    pub received: u64,
+    /// Requests answered by a server.
     pub served: u64,
-    /// Refused.
+    /// Requests refused.
     pub refused: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Of the refused, those that a limit of their route turned away.
+    /// Refused requests that exceeded a limit of their route.
     pub limited: u64,
-    /// Whose client left first.
-    pub gone: u64,
-    /// Attempts put out.
+    /// Requests whose client left before the answer.
+    pub client_left: u64,
+    /// Attempts started.
     pub attempts: u64,
 }
 
-/// A request that is owed an answer, or whose attempts are not all over.
+/// A request that has not been answered yet or has attempts in flight.
 #[derive(Clone, Debug)]
-struct Entry<P> {
+struct OpenRequest<P> {
     payload: P,
     wait: Span,
-    slot: SlotId,
+    pool: PoolId,
     rule: Option<Arc<Rule>>,
-    /// Attempts that it may have.
-    most: u32,
-    /// Where it stands with its route, until it is answered.
-    stand: Admission,
+    /// Maximum number of attempts.
+    max_attempts: u32,
+    /// What it occupies of its route's limits, until it is answered.
+    route_state: Stand,
     answered: bool,
-    /// Its attempts, in order, and how many of them are out.
-    attempts: Vec<Tried>,
-    out: usize,
-    /// The attempt whose answer is being passed on.
-    passing: Option<Attempt>,
-    /// For how long its key is remembered, where it has one.
-    window: Option<Span>,
+    /// Its attempts, in order, and how many of them are in flight.
+    attempts: Vec<AttemptRecord>,
+    in_flight: usize,
+    /// The attempt whose response is being streamed to the client.
+    streaming: Option<Attempt>,
+    /// How long servers remember its key, if its class has keys.
+    key_window: Option<Span>,
 }
 
-/// An attempt, which the engine put out.
+/// An attempt that the engine started.
 #[derive(Clone, Copy, Debug)]
-struct Tried {
+struct AttemptRecord {
     server: ServerId,
-    at: Time,
-    ended: Option<Status>,
+    started: Time,
+    status: Option<Status>,
 }
 
-/// What a timer was set for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug)]
-enum Due {
-    Module(SlotId, Token),
-    /// A second copy of a request.
-    Copy(RequestId),
+enum TimerKind {
+    DecisionModule(PoolId, Token),
+    /// The hedged request of an open request is due.
+    Hedge(RequestId),
 }
 
-/// The longest that a request may be open.
-fn longest(site: &InstanceSettings) -> Span {
+/// Returns the longest time for which a request may be open.
+fn longest_deadline(site: &Site) -> Span {
     site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
 }
 
-fn windows(site: &InstanceSettings) -> Vec<Option<Span>> {
+fn key_windows(site: &Site) -> Vec<Option<Span>> {
     let window = |effect| match effect {
         Effect::Keyed { window, .. } => Some(window),
         Effect::Safe | Effect::Unsafe => None,
@@ -299,256 +307,284 @@
     site.settings.classes.iter().map(|class| window(class.effect)).collect()
 }
 
-/// The engine.
+/// The state machine; see the module documentation.
 pub struct Engine<P, B> {
     pools: Pools,
     gate: Gate,
     max_attempts: u32,
-    /// Attempts may be called off.
-    cancel: bool,
-    /// For how long a key of each class is remembered, where it has one.
-    windows: Vec<Option<Span>>,
-    timers: Timers<Due>,
-    requests: FxHashMap<RequestId, Entry<P>>,
-    places: Places,
-    /// How long a place stays a gone server's: as long as a request may remember it.
-    remembered: Span,
-    /// What it told itself while it acted.
-    own: VecDeque<Input<P, B>>,
+    /// Attempts may be cancelled.
+    cancel_allowed: bool,
+    /// How long servers remember the keys of each class, if it has keys.
+    key_windows: Vec<Option<Span>>,
+    timers: Timers<TimerKind>,
+    requests: FxHashMap<RequestId, OpenRequest<P>>,
+    servers: ServerTable,
+    /// How long the id of a removed server stays reserved: as long as an open request may refer to it.
+    id_retention: Span,
+    /// Inputs that the engine produced itself while it carried out actions.
+    internal_inputs: VecDeque<Input<P, B>>,
     actions: Vec<Action>,
-    tally: Tally,
-    /// The request whose second copy its rule has paid for just now.
-    paid: Option<RequestId>,
-    /// Decides beside the deciding module by other settings, and never acts.
-    watch: Option<Box<Watch>>,
+    counters: Counters,
+    /// The request whose hedge was charged to the retry budget of its rule just now.
+    charged_hedge: Option<RequestId>,
+    /// Decision module under other settings that is only compared with the active one.
+    shadow: Option<Box<Shadow>>,
 }
 
 impl<P: Clone, B> Engine<P, B> {
-    /// An engine by these settings that may hold `most` requests; `seed` is for the draws.
+    /// Creates an engine that may have `most` requests open; `seed` initialises the random draws.
     #[must_use]
-    pub fn new(site: &InstanceSettings, seed: u64, most: u32) -> Engine<P, B> {
-        let longest = longest(site);
+    pub fn new(site: &Site, seed: u64, max_requests: u32) -> Engine<P, B> {
+        let longest_deadline = longest_deadline(site);
         Engine {
             max_attempts: site.settings.limits.max_attempts,
-            cancel: site.settings.limits.cancellation,
-            windows: windows(site),
-            remembered: longest,
-            pools: Pools::new(site, seed, longest),
-            gate: Gate::new(most),
+            cancel_allowed: site.settings.limits.cancellation,
+            key_windows: key_windows(site),
+            id_retention: longest_deadline,
+            pools: Pools::new(site, seed, longest_deadline),
+            gate: Gate::new(max_requests),
             timers: Timers::default(),
             requests: FxHashMap::default(),
-            places: Places::default(),
-            own: VecDeque::new(),
+            servers: ServerTable::default(),
+            internal_inputs: VecDeque::new(),
             actions: Vec::new(),
-            tally: Tally::default(),
-            paid: None,
-            watch: None,
+            counters: Counters::default(),
+            charged_hedge: None,
+            shadow: None,
         }
     }
 
-    /// When [`Engine::wake`] is due, if ever.
+    /// Returns when [`Engine::wake`] must be called next, if any timer is set.
     #[must_use]
     pub fn due(&self) -> Option<Time> {
         self.timers.due()
     }
 
-    /// Requests in hand.
+    /// Returns the number of open requests.
     #[must_use]
-    pub fn in_hand(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// The servers' places.
+    /// Returns the table of servers.
     #[must_use]
-    pub fn places(&self) -> &Places {
-        &self.places
+    pub fn servers(&self) -> &ServerTable {
+        &self.servers
     }
 
-    /// The servers in the list.
+    /// Returns the number of listed servers.
     #[must_use]
-    pub fn listed_now(&self) -> usize {
-        self.places.taken().filter(|(_, place)| place.gone.is_none()).count()
+    pub fn listed_servers(&self) -> usize {
+        self.servers.assigned().filter(|(_, record)| record.removed_at.is_none()).count()
     }
 
-    /// Listed servers that get nothing new now, by the module over all servers.
+    /// Returns the number of listed servers that the decision module over all servers currently avoids.
     #[must_use]
     pub fn avoided(&self, now: Time) -> usize {
         self.pools.avoided(now)
     }
 
-    /// What happened since this was last called.
-    pub fn take_tally(&mut self) -> Tally {
-        std::mem::take(&mut self.tally)
+    /// Returns the event counts since the last call and resets them.
+    pub fn take_counters(&mut self) -> Counters {
+        std::mem::take(&mut self.counters)
     }
 
-    /// Has the decisions over all servers watched from here on; requests of a pool are not.
-    pub fn watch(&mut self, watch: Watch) {
-        self.watch = Some(Box::new(watch));
+    /// Sets the shadow module. It is compared with the decision module over all servers only, not with those of other
+    /// pools.
+    pub fn set_shadow(&mut self, shadow: Shadow) {
+        self.shadow = Some(Box::new(shadow));
     }
 
-    /// What the watching module counted since this was last called; nothing where there is none.
-    pub fn take_watched(&mut self) -> Option<Watched> {
-        self.watch.as_mut().map(|watch| watch.take())
+    /// Returns the counts of the shadow module since the last call and resets them; none without a shadow module.
+    pub fn take_shadow_counts(&mut self) -> Option<ShadowCounts> {
+        self.shadow.as_mut().map(|shadow| shadow.take_counts())
     }
 
-    /// Does what is due.
-    pub fn wake(&mut self, now: Time, out: &mut Vec<Output<P, B>>) {
+    /// Processes all timers that have expired.
+    pub fn wake(&mut self, now: Time, outputs: &mut Vec<Output<P, B>>) {
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::Module(slot, token) => self.event(now, slot, Event::Timer { token }, out),
-                Due::Copy(id) => self.copy(now, id, out),
+                TimerKind::DecisionModule(pool, token) => {
+                    self.notify_module(now, pool, Event::Timer { token }, outputs)
+                }
+                TimerKind::Hedge(id) => self.hedge(now, id, outputs),
             }
         }
-        self.own_inputs(now, out);
+        self.process_internal_inputs(now, outputs);
     }
 
-    /// Takes what happened.
-    pub fn input(&mut self, now: Time, input: Input<P, B>, out: &mut Vec<Output<P, B>>) {
-        self.take(now, input, out);
-        self.own_inputs(now, out);
+    /// Processes one input.
+    pub fn input(&mut self, now: Time, input: Input<P, B>, outputs: &mut Vec<Output<P, B>>) {
+        self.process(now, input, outputs);
+        self.process_internal_inputs(now, outputs);
     }
 
-    fn own_inputs(&mut self, now: Time, out: &mut Vec<Output<P, B>>) {
-        while let Some(input) = self.own.pop_front() {
-            self.take(now, input, out);
+    fn process_internal_inputs(&mut self, now: Time, outputs: &mut Vec<Output<P, B>>) {
+        while let Some(input) = self.internal_inputs.pop_front() {
+            self.process(now, input, outputs);
         }
     }
 
-    fn take(&mut self, now: Time, input: Input<P, B>, out: &mut Vec<Output<P, B>>) {
+    fn process(&mut self, now: Time, input: Input<P, B>, outputs: &mut Vec<Output<P, B>>) {
         match input {
-            Input::Request { id, ask, received, payload } => {
-                self.tally.taken += 1;
-                let Ask { class, tenant, wait, hint, key, repeat, rule } = ask;
-                let mut stand = Admission::default();
-                let mut slot = SlotId::ALL;
+            Input::Request { id, info, received, payload } => {
+                self.counters.received += 1;
+                let RequestInfo { class, tenant, wait, hint, key, repeat, rule } = info;
+                let mut route_state = Stand::default();
+                let mut pool = PoolId::ALL;
                 let mut wait = wait;
                 if let Some(rule) = &rule {
                     match self.gate.admit(now, rule) {
-                        Ok(admitted) => stand = admitted,
+                        Ok(admitted) => route_state = admitted,
                         Err(_) => {
-                            // Nothing of it has run; the module never hears of it.
-                            (self.tally.refused, self.tally.limited) =
-                                (self.tally.refused + 1, self.tally.limited + 1);
+                            // Nothing of it has run, and the decision module is never notified of it.
+                            (self.counters.refused, self.counters.limited) =
+                                (self.counters.refused + 1, self.counters.limited + 1);
                             let answer = Answer::Refused { retry_after: None };
-                            return out.push(Output::Answer { id, answer });
+                            return outputs.push(Output::Answer { id, answer });
                         }
                     }
-                    slot = self.pools.of(now, rule, &self.places);
+                    pool = self.pools.pool_for(now, rule, &self.servers);
                     wait = rule.timeout.map_or(wait, |timeout| wait.min(timeout));
                 }
                 let left = Span(wait.0.saturating_sub((now - received).0));
                 let (answered, attempts) = (false, Vec::new());
-                let most = self.max_attempts;
-                let entry = Entry {
+                let max_attempts = self.max_attempts;
+                let entry = OpenRequest {
                     payload,
                     wait,
-                    slot,
+                    pool,
                     rule,
-                    most,
-                    stand,
+                    max_attempts,
+                    route_state,
                     answered,
                     attempts,
-                    out: 0,
-                    passing: None,
-                    window: self.windows.get(class as usize).copied().flatten(),
+                    in_flight: 0,
+                    streaming: None,
+                    key_window: self.key_windows.get(class as usize).copied().flatten(),
                 };
                 self.requests.insert(id, entry);
-                self.event(now, slot, Event::Request { id, left, class, tenant, hint, key, repeat }, out);
+                self.notify_module(
+                    now,
+                    pool,
+                    Event::Request { id, left, class, tenant, hint, key, repeat },
+                    outputs,
+                );
             }
-            Input::Gone(id) => {
-                if let Some(slot) = self.close(id) {
-                    self.tally.gone += 1;
-                    // An attempt that still waited for its connection was sent on long after its client had left.
-                    self.out_of(id, out, |id, attempt, server| Output::Withdraw { id, attempt, server });
-                    self.event(now, slot, Event::ClientLeft { id }, out);
+            Input::ClientLeft(id) => {
+                if let Some(pool) = self.mark_answered(id) {
+                    self.counters.client_left += 1;
+                    // Without this, an attempt that waited for a connection was sent long after its client had left.
+                    self.push_for_unfinished(id, outputs, |id, attempt, server| Output::Withdraw {
+                        id,
+                        attempt,
+                        server,
+                    });
+                    self.notify_module(now, pool, Event::ClientLeft { id }, outputs);
                 }
-                self.forget(id);
+                self.remove_if_finished(id);
             }
-            Input::Began { id, attempt, server, ended } => {
+            Input::ResponseStarted { id, attempt, server, completion } => {
                 let Some(entry) = self.requests.get_mut(&id) else { return };
-                // For the module the attempt is over with the first bytes: what follows says nothing of the server's
-                // turn. Here it stays out until its transport is done, and is not called off by its own answer.
-                entry.passing = Some(attempt);
-                entry.out += 1;
-                self.ended(now, id, attempt, server, ended, out);
+                // For the decision module the attempt ends with the first bytes, because the rest of the stream says
+                // nothing about the service time of the server. In this table it stays in flight until its transport
+                // has finished, and its own answer does not cancel it.
+                entry.streaming = Some(attempt);
+                entry.in_flight += 1;
+                self.attempt_ended(now, id, attempt, server, completion, outputs);
             }
-            Input::Uploads { id, server, over } => {
-                if let Some(slot) = self.requests.get(&id).map(|entry| entry.slot) {
-                    self.event(now, slot, Event::Upload { id, server, finished: over }, out);
+            Input::Upload { id, server, finished } => {
+                if let Some(pool) = self.requests.get(&id).map(|entry| entry.pool) {
+                    self.notify_module(now, pool, Event::Upload { id, server, finished }, outputs);
                 }
             }
-            Input::Ended { id, attempt, server, ended } => {
-                self.places.returned(now, server, ended.status);
-                if let Some(entry) = self.requests.get_mut(&id).filter(|e| e.passing == Some(attempt)) {
-                    entry.out = entry.out.saturating_sub(1);
-                    return self.forget(id);
+            Input::AttemptEnded { id, attempt, server, completion } => {
+                self.servers.record_end(now, server, completion.status);
+                if let Some(entry) = self.requests.get_mut(&id).filter(|e| e.streaming == Some(attempt)) {
+                    entry.in_flight = entry.in_flight.saturating_sub(1);
+                    return self.remove_if_finished(id);
                 }
-                self.ended(now, id, attempt, server, ended, out);
+                self.attempt_ended(now, id, attempt, server, completion, outputs);
             }
-            Input::Probed { server, asked, ended } => {
-                self.places.returned(now, server, ended.status);
-                let Ended { status, latency, load, .. } = ended;
-                self.event(now, asked, Event::ProbeFinished { server, status, latency, load: &load }, out);
+            Input::ProbeEnded { server, pool, completion } => {
+                self.servers.record_end(now, server, completion.status);
+                let Completion { status, latency, load, .. } = completion;
+                self.notify_module(
+                    now,
+                    pool,
+                    Event::ProbeFinished { server, status, latency, load: &load },
+                    outputs,
+                );
             }
-            Input::Listed(delivery) => self.listed(now, &delivery, out),
-            Input::ListFailed => {
-                for slot in self.pools.slots() {
-                    self.event(now, slot, Event::Members { kind: ListKind::Failed, entries: &[] }, out);
+            Input::ServerList(delivery) => self.update_servers(now, &delivery, outputs),
+            Input::DiscoveryFailed => {
+                for pool in self.pools.ids() {
+                    self.notify_module(
+                        now,
+                        pool,
+                        Event::Members { kind: ListKind::Failed, entries: &[] },
+                        outputs,
+                    );
                 }
             }
-            Input::Settings { site, watched } => {
+            Input::Settings { site, shadow } => {
                 self.max_attempts = site.settings.limits.max_attempts;
-                self.cancel = site.settings.limits.cancellation;
-                self.windows = windows(&site);
-                // A request may have been taken under the longer deadline.
-                self.remembered = self.remembered.max(longest(&site));
-                for slot in self.pools.settle(&site, self.remembered) {
-                    self.event(now, slot, Event::Settings { set: &site.settings }, out);
+                self.cancel_allowed = site.settings.limits.cancellation;
+                self.key_windows = key_windows(&site);
+                // An open request may still have the longer deadline of earlier settings.
+                self.id_retention = self.id_retention.max(longest_deadline(&site));
+                for pool in self.pools.set_settings(&site, self.id_retention) {
+                    self.notify_module(now, pool, Event::Settings { set: &site.settings }, outputs);
                 }
-                if let (Some(watch), Some(settings)) = (&mut self.watch, &watched) {
-                    watch.adopt(now, settings);
+                if let (Some(shadow), Some(settings)) = (&mut self.shadow, &shadow) {
+                    shadow.set_settings(now, settings);
                 }
             }
             Input::Rules(rules) => {
-                self.gate.retain_routes(rules.rules().map(|rule| rule.name.as_str()));
-                for (slot, members) in self.pools.adopt(now, &rules) {
+                self.gate.keep(rules.rules().map(|rule| rule.name.as_str()));
+                for (pool, members) in self.pools.set_rules(now, &rules) {
                     let entries = &members;
-                    self.event(now, slot, Event::Members { kind: ListKind::Cached, entries }, out);
+                    self.notify_module(
+                        now,
+                        pool,
+                        Event::Members { kind: ListKind::Cached, entries },
+                        outputs,
+                    );
                 }
             }
         }
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         now: Time,
         id: RequestId,
         attempt: Attempt,
         server: ServerId,
-        ended: Ended<B>,
-        out: &mut Vec<Output<P, B>>,
+        completion: Completion<B>,
+        outputs: &mut Vec<Output<P, B>>,
     ) {
-        let Ended { status, latency, load, body } = ended;
-        let (mut closed, mut again, mut slot) = (true, true, SlotId::ALL);
+        let Completion { status, latency, load, body } = completion;
+        let (mut closed, mut again, mut pool) = (true, true, PoolId::ALL);
         if let Some(entry) = self.requests.get_mut(&id) {
-            entry.out = entry.out.saturating_sub(1);
-            if let Some(tried) = entry.attempts.get_mut(attempt.0 as usize) {
-                tried.ended = Some(status);
+            entry.in_flight = entry.in_flight.saturating_sub(1);
+            if let Some(record) = entry.attempts.get_mut(attempt.0 as usize) {
+                record.status = Some(status);
             }
             if let Some(rule) = entry.rule.as_ref().filter(|_| status == Status::Ok) {
                 self.gate.record_latency(rule, latency);
             }
-            slot = entry.slot;
+            pool = entry.pool;
             match (status, body) {
-                (Status::Ok, Some(body)) => self.settle(id, Answer::Served(body), out),
+                (Status::Ok, Some(body)) => self.answer(id, Answer::Served(body), outputs),
                 _ => closed = entry.answered,
             }
         }
-        if let Some(entry) = self.requests.get_mut(&id).filter(|e| !e.answered && e.out == 0)
+        if let Some(entry) = self.requests.get_mut(&id).filter(|e| !e.answered && e.in_flight == 0)
             && let Some(rule) = &entry.rule
         {
-            self.gate.mark_waiting(rule, &mut entry.stand);
-            again = self.gate.allow_retry(now, rule, &mut entry.stand, entry.attempts.len() as u32);
+            self.gate.waits_again(rule, &mut entry.route_state);
+            again = self.gate.repeat(now, rule, &mut entry.route_state, entry.attempts.len() as u32);
         }
         let outcome = Event::AttemptFinished {
             id,
@@ -560,200 +596,215 @@
             server,
             load: &load,
         };
-        self.event(now, slot, outcome, out);
-        self.forget(id);
+        self.notify_module(now, pool, outcome, outputs);
+        self.remove_if_finished(id);
     }
 
-    /// Drops a request from the table when its answer is given and no attempt is out.
-    fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|entry| entry.answered && entry.out == 0) {
+    /// Removes a request from the table if it has been answered and no attempt is in flight.
+    fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|entry| entry.answered && entry.in_flight == 0) {
             self.requests.remove(&id);
         }
     }
 
-    fn listed(&mut self, now: Time, listing: &Delivery, out: &mut Vec<Output<P, B>>) {
-        let kind = listing.kind;
-        let cleared = self.places.clear_out(now, self.remembered);
-        out.extend(cleared.into_iter().map(|server| Output::Close { server }));
-        let mut numbers = Vec::with_capacity(listing.entries.len());
-        for entry in &listing.entries {
-            let server = self.places.number(&entry.uid);
-            let Some(place) = self.places.get_mut(server) else { continue };
+    fn update_servers(&mut self, now: Time, delivery: &Delivery, outputs: &mut Vec<Output<P, B>>) {
+        let kind = delivery.kind;
+        let released = self.servers.release_removed(now, self.id_retention);
+        outputs.extend(released.into_iter().map(|server| Output::Close { server }));
+        let mut ids = Vec::with_capacity(delivery.entries.len());
+        for entry in &delivery.entries {
+            let server = self.servers.id_or_assign(&entry.uid);
+            let Some(record) = self.servers.get_mut(server) else { continue };
             let state = entry.state;
-            place.gone = (state == State::Removed).then(|| place.gone.unwrap_or(now));
-            let at = entry.endpoint.map(|at| (at, entry.boot_ms));
-            match at {
-                at if place.open => out.push(Output::Listed { server, at, state }),
-                Some((at, boot_ms)) if state != State::Removed => {
-                    place.open = true;
-                    out.push(Output::Open { server, at, boot_ms });
-                    // It may be listed as one that leaves from the start.
-                    out.push(Output::Listed { server, at: Some((at, boot_ms)), state });
+            record.removed_at = (state == State::Removed).then(|| record.removed_at.unwrap_or(now));
+            let endpoint = entry.endpoint.map(|address| Endpoint { address, boot_ms: entry.boot_ms });
+            match endpoint {
+                endpoint if record.transport_open => {
+                    outputs.push(Output::UpdateServer { server, endpoint, state });
+                }
+                Some(endpoint) if state != State::Removed => {
+                    record.transport_open = true;
+                    outputs.push(Output::Open { server, endpoint });
+                    // It may be draining when it is first listed.
+                    outputs.push(Output::UpdateServer { server, endpoint: Some(endpoint), state });
                 }
                 Some(_) | None => {}
             }
-            numbers.push(server);
+            ids.push(server);
         }
         if kind == ListKind::Full {
-            // What the whole list lacks is gone, though no entry says so.
-            let listed: FxHashSet<ServerId> = numbers.iter().copied().collect();
-            let lacking = self.places.taken().map(|(server, _)| server).filter(|s| !listed.contains(s));
-            for server in lacking.collect::<Vec<_>>() {
-                let Some(place) = self.places.get_mut(server) else { continue };
-                place.gone = place.gone.or(Some(now));
-                if place.open {
-                    out.push(Output::Listed { server, at: None, state: State::Removed });
+            // Servers that are missing from a whole list are gone, although no entry says so.
+            let listed: FxHashSet<ServerId> = ids.iter().copied().collect();
+            let missing = self.servers.assigned().map(|(server, _)| server).filter(|s| !listed.contains(s));
+            for server in missing.collect::<Vec<_>>() {
+                let Some(record) = self.servers.get_mut(server) else { continue };
+                record.removed_at = record.removed_at.or(Some(now));
+                if record.transport_open {
+                    outputs.push(Output::UpdateServer { server, endpoint: None, state: State::Removed });
                 }
             }
         }
-        for (slot, members) in self.pools.listed(now, kind, &listing.entries, &numbers) {
-            self.event(now, slot, Event::Members { kind, entries: &members }, out);
+        for (pool, members) in self.pools.update_servers(now, kind, &delivery.entries, &ids) {
+            self.notify_module(now, pool, Event::Members { kind, entries: &members }, outputs);
         }
     }
 
-    /// Hands one event to the decision module and carries out what it wants done.
-    fn event(&mut self, now: Time, slot: SlotId, event: Event<'_>, out: &mut Vec<Output<P, B>>) {
+    /// Passes an event to the decision module of a pool and carries out the resulting actions.
+    fn notify_module(&mut self, now: Time, pool: PoolId, event: Event<'_>, outputs: &mut Vec<Output<P, B>>) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.pools.on_event(now, slot, event, &mut actions);
-        if let Some(watch) = self.watch.as_mut().filter(|_| slot == SlotId::ALL) {
-            watch.see(now, event, &actions);
+        self.pools.on_event(now, pool, event, &mut actions);
+        if let Some(shadow) = self.shadow.as_mut().filter(|_| pool == PoolId::ALL) {
+            shadow.observe(now, event, &actions);
         }
         for action in actions.drain(..) {
-            self.act(now, slot, action, out);
+            self.apply(now, pool, action, outputs);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, now: Time, slot: SlotId, action: Action, out: &mut Vec<Output<P, B>>) {
+    fn apply(&mut self, now: Time, pool: PoolId, action: Action, outputs: &mut Vec<Output<P, B>>) {
         match action {
-            Action::Send { id, server, until } => self.send(now, id, server, until, out),
+            Action::Send { id, server, until } => self.start_attempt(now, id, server, until, outputs),
             Action::Refuse { id, retry_after } => {
-                self.settle(id, Answer::Refused { retry_after }, out);
-                self.forget(id);
+                self.answer(id, Answer::Refused { retry_after }, outputs);
+                self.remove_if_finished(id);
             }
             Action::Fail { id } => {
-                self.settle(id, Answer::Failed, out);
-                self.forget(id);
+                self.answer(id, Answer::Failed, outputs);
+                self.remove_if_finished(id);
             }
             Action::Cancel { id, attempt } => {
                 let entry = self.requests.get(&id);
-                if let Some(tried) = entry.and_then(|e| e.attempts.get(attempt.0 as usize)) {
-                    out.push(Output::Cancel { id, attempt, server: tried.server });
+                if let Some(record) = entry.and_then(|e| e.attempts.get(attempt.0 as usize)) {
+                    outputs.push(Output::Cancel { id, attempt, server: record.server });
                 }
             }
             Action::Probe { server } => {
-                if self.places.goes_out(server) {
-                    out.push(Output::Probe { server, asked: slot });
+                if self.servers.record_start(server) {
+                    outputs.push(Output::Probe { server, pool });
                 } else {
-                    let ended = Ended::unsent(Status::ConnectFailed);
-                    self.own.push_back(Input::Probed { server, asked: slot, ended });
+                    let completion = Completion::without_response(Status::ConnectFailed);
+                    self.internal_inputs.push_back(Input::ProbeEnded { server, pool, completion });
                 }
             }
-            Action::Timer { token, delay } => self.timers.set(now + delay, Due::Module(slot, token)),
-            Action::WatchServers => out.push(Output::Watch),
-            // Messages between instances have no protocol yet; the settings keep the module from any.
+            Action::Timer { token, delay } => {
+                self.timers.set(now + delay, TimerKind::DecisionModule(pool, token))
+            }
+            Action::WatchServers => outputs.push(Output::Watch),
+            // Messages between instances have no protocol yet, and the settings do not allow the decision module to
+            // send any.
             Action::SendToPeers { .. } => {}
-            Action::Log { server, text } => out.push(Output::Say { server, text }),
+            Action::Log { server, text } => outputs.push(Output::Log { server, text }),
         }
     }
 
-    /// A second copy is due: where the first attempt is still out alone and the rule pays for it, the module says
-    /// whether and where it goes.
-    fn copy(&mut self, now: Time, id: RequestId, out: &mut Vec<Output<P, B>>) {
+    /// Handles a due hedge. If the first attempt is still the only one, is in flight, and the retry budget of the rule
+    /// allows one more, the decision module chooses whether and where to send the hedged request.
+    fn hedge(&mut self, now: Time, id: RequestId, outputs: &mut Vec<Output<P, B>>) {
         let Some(entry) = self.requests.get_mut(&id) else { return };
-        let Some(rule) = entry.rule.as_ref().filter(|_| !entry.answered && entry.out == 1) else { return };
-        if entry.attempts.len() == 1 && self.gate.allow_retry(now, rule, &mut entry.stand, 1) {
-            let slot = entry.slot;
-            self.paid = Some(id);
-            self.event(now, slot, Event::HedgeDue { id }, out);
-            self.paid = None;
+        let Some(rule) = entry.rule.as_ref().filter(|_| !entry.answered && entry.in_flight == 1) else {
+            return;
+        };
+        if entry.attempts.len() == 1 && self.gate.repeat(now, rule, &mut entry.route_state, 1) {
+            let pool = entry.pool;
+            self.charged_hedge = Some(id);
+            self.notify_module(now, pool, Event::HedgeDue { id }, outputs);
+            self.charged_hedge = None;
         }
     }
 
-    fn send(
+    fn start_attempt(
         &mut self,
         now: Time,
         id: RequestId,
         server: ServerId,
         until: Option<Time>,
-        out: &mut Vec<Output<P, B>>,
+        outputs: &mut Vec<Output<P, B>>,
     ) {
         let Some(entry) = self.requests.get_mut(&id) else { return };
         let attempt = Attempt(entry.attempts.len() as u32);
-        // A repeat that waited for its connection began after its key was forgotten.
-        let ran = entry.attempts.iter().find(|tried| !tried.ended.is_some_and(Status::never_ran));
-        let forgotten = entry.window.zip(ran).map(|(window, first)| first.at + window);
-        entry.attempts.push(Tried { server, at: now, ended: None });
-        entry.out += 1;
-        self.tally.attempts += 1;
-        let mut over = entry.answered || attempt.0 >= entry.most;
-        // A second copy of the module's own goes out only where the rule of its route pays for one more attempt.
-        if let Some(rule) = entry.rule.as_ref().filter(|_| entry.out > 1 && self.paid != Some(id)) {
-            over |= !self.gate.allow_retry(now, rule, &mut entry.stand, attempt.0);
+        // A repeat must start before the servers forget the key of the first attempt that may have run. Without this,
+        // a repeat that waited for a connection started after that.
+        let ran = entry.attempts.iter().find(|record| !record.status.is_some_and(Status::never_ran));
+        let key_expiry = entry.key_window.zip(ran).map(|(window, first)| first.started + window);
+        entry.attempts.push(AttemptRecord { server, started: now, status: None });
+        entry.in_flight += 1;
+        self.counters.attempts += 1;
+        let mut rejected = entry.answered || attempt.0 >= entry.max_attempts;
+        // A hedge that the decision module chose itself is sent only if the rule of its route allows one more attempt.
+        if let Some(rule) =
+            entry.rule.as_ref().filter(|_| entry.in_flight > 1 && self.charged_hedge != Some(id))
+        {
+            rejected |= !self.gate.repeat(now, rule, &mut entry.route_state, attempt.0);
         }
-        // Without a time of its own an attempt ends with the client's patience, which ends it as gone.
+        // An attempt without its own time limit lasts until the client gives up, which ends it as a client that left.
         let mut until = until.unwrap_or(now + entry.wait);
-        let mut connect = None;
+        let mut connect_timeout = None;
         if let Some(rule) = &entry.rule {
-            self.gate.mark_sent(rule, &mut entry.stand);
+            self.gate.goes_out(rule, &mut entry.route_state);
             until = rule.attempt_timeout.map_or(until, |timeout| until.min(now + timeout));
-            connect = rule.connect_timeout;
-            if let Some(after) = self.gate.hedge_delay(rule).filter(|_| attempt.0 == 0) {
-                self.timers.set(now + after, Due::Copy(id));
+            connect_timeout = rule.connect_timeout;
+            if let Some(after) = self.gate.copy_after(rule).filter(|_| attempt.0 == 0) {
+                self.timers.set(now + after, TimerKind::Hedge(id));
             }
         }
-        if let Some(forgotten) = forgotten {
-            let left = forgotten - now;
-            connect = Some(connect.map_or(left, |connect| connect.min(left)));
+        if let Some(key_expiry) = key_expiry {
+            let left = key_expiry - now;
+            connect_timeout = Some(connect_timeout.map_or(left, |timeout| timeout.min(left)));
         }
         let payload = entry.payload.clone();
-        let there = self.places.goes_out(server);
-        if there && !over {
-            return out.push(Output::Attempt { id, attempt, server, payload, until, connect });
+        let transport_open = self.servers.record_start(server);
+        if transport_open && !rejected {
+            return outputs.push(Output::Attempt { id, attempt, server, payload, until, connect_timeout });
         }
-        let status = if over { Status::NotSent } else { Status::ConnectFailed };
-        self.own.push_back(Input::Ended { id, attempt, server, ended: Ended::unsent(status) });
+        let status = if rejected { Status::NotSent } else { Status::ConnectFailed };
+        self.internal_inputs.push_back(Input::AttemptEnded {
+            id,
+            attempt,
+            server,
+            completion: Completion::without_response(status),
+        });
     }
 
-    /// Gives a request its final answer, once.
-    fn settle(&mut self, id: RequestId, answer: Answer<B>, out: &mut Vec<Output<P, B>>) {
-        if self.close(id).is_none() {
+    /// Gives a request its final answer, unless it already has one.
+    fn answer(&mut self, id: RequestId, answer: Answer<B>, outputs: &mut Vec<Output<P, B>>) {
+        if self.mark_answered(id).is_none() {
             return;
         }
         match answer {
-            Answer::Served(_) => self.tally.served += 1,
-            Answer::Refused { .. } => self.tally.refused += 1,
-            Answer::Failed => self.tally.failed += 1,
+            Answer::Served(_) => self.counters.served += 1,
+            Answer::Refused { .. } => self.counters.refused += 1,
+            Answer::Failed => self.counters.failed += 1,
         }
-        out.push(Output::Answer { id, answer });
-        // The copy that lost has nobody to answer to.
-        let cancel = self.cancel;
-        self.out_of(id, out, |id, attempt, server| match cancel {
+        outputs.push(Output::Answer { id, answer });
+        // The response to the losing hedge or first attempt is not needed any more.
+        let cancel = self.cancel_allowed;
+        self.push_for_unfinished(id, outputs, |id, attempt, server| match cancel {
             true => Output::Cancel { id, attempt, server },
             false => Output::Withdraw { id, attempt, server },
         });
     }
 
-    /// Says this of each attempt of a request that has not ended.
-    fn out_of(
+    /// Emits an output for each attempt of a request that has not ended.
+    fn push_for_unfinished(
         &self,
         id: RequestId,
-        out: &mut Vec<Output<P, B>>,
-        say: impl Fn(RequestId, Attempt, ServerId) -> Output<P, B>,
+        outputs: &mut Vec<Output<P, B>>,
+        output: impl Fn(RequestId, Attempt, ServerId) -> Output<P, B>,
     ) {
         let Some(entry) = self.requests.get(&id) else { return };
-        let still = entry.attempts.iter().enumerate().filter(|(_, tried)| tried.ended.is_none());
-        out.extend(still.map(|(n, tried)| say(id, Attempt(n as u32), tried.server)));
+        let unfinished = entry.attempts.iter().enumerate().filter(|(_, record)| record.status.is_none());
+        outputs.extend(unfinished.map(|(n, record)| output(id, Attempt(n as u32), record.server)));
     }
 
-    /// Nothing is owed to a request any more: its place with its route is given back here and nowhere else. Gives
-    /// whose it was, nothing where it was closed before.
-    fn close(&mut self, id: RequestId) -> Option<SlotId> {
+    /// Marks a request as answered. Its share of the route's limits is released here and nowhere else. Returns the
+    /// pool of the request, or none if it was already answered.
+    fn mark_answered(&mut self, id: RequestId) -> Option<PoolId> {
         let entry = self.requests.get_mut(&id).filter(|entry| !entry.answered)?;
         entry.answered = true;
         if let Some(rule) = &entry.rule {
-            self.gate.release(rule, std::mem::take(&mut entry.stand));
+            self.gate.over(rule, std::mem::take(&mut entry.route_state));
         }
-        Some(entry.slot)
+        Some(entry.pool)
     }
 }
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -1,7 +1,7 @@
-//! Pools of servers: one decision module each, which knows its pool's servers alone. Owns the modules and the list as
-//! last told; a pool that a new file lacks is kept for as long as a request may still be under it.
+//! Pools of servers. Each pool has its own decision module, which knows only the servers of its pool. A pool that is
+//! missing from a new limits file is kept for as long as a request may still belong to it.
 
-use crate::places::Places;
+use crate::server_table::ServerTable;
 use dunlincleat::Balancer;
 use dunlincleat::api::{Action, Event, ListKind, Member, ServerId, Settings, Span, State, Time};
 use dunlincleat_directory::Entry;
@@ -9,114 +9,122 @@
 use dunlincleat_settings::{InstanceSettings, global_id};
 use std::collections::BTreeMap;
 
-/// How long a front may take from finding a request's rule to handing it in.
-const HANDED_IN: Span = Span(10_000_000);
+/// How long a front may take from looking up the rule of a request to passing the request to the engine.
+const MAX_SUBMIT_DELAY: Span = Span(10_000_000);
 
-/// A decision module among those of one engine.
+/// Identifies a pool, and its decision module, within one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SlotId(u32);
+pub struct PoolId(u32);
 
-impl SlotId {
-    /// That of all servers.
-    pub const ALL: SlotId = SlotId(0);
+impl PoolId {
+    /// The pool of all servers.
+    pub const ALL: PoolId = PoolId(0);
 }
 
-struct Slot {
-    /// What it selects; all servers where there is none.
+struct Pool {
+    /// Rule that selects the servers of the pool; none for the pool of all servers.
     rule: Option<PoolRule>,
     balancer: Balancer,
-    /// Since when no file names it.
-    gone: Option<Time>,
+    /// When a new limits file dropped the pool.
+    dropped_at: Option<Time>,
 }
 
-/// A server as it was last told.
-struct Known {
+/// A server as last listed.
+struct ListedServer {
     member: Member,
     zone: String,
     model: String,
 }
 
-/// The pools of one engine.
+/// All pools of one engine.
 pub struct Pools {
     settings: Settings,
     zones: Vec<String>,
     seed: u64,
-    longest: Span,
-    slots: BTreeMap<SlotId, Slot>,
-    next: u32,
-    listed: BTreeMap<u32, Known>,
+    longest_deadline: Span,
+    pools: BTreeMap<PoolId, Pool>,
+    next_id: u32,
+    servers: BTreeMap<u32, ListedServer>,
 }
 
-fn selects(rule: Option<&PoolRule>, known: &Known) -> bool {
+fn selects(rule: Option<&PoolRule>, known: &ListedServer) -> bool {
     let Member { cell, weight, .. } = known.member;
     rule.is_none_or(|rule| rule.selects(&known.zone, &known.model, cell, weight))
 }
 
 impl Pools {
-    /// The pool of all servers.
+    /// Creates the pool of all servers.
     #[must_use]
-    pub fn new(site: &InstanceSettings, seed: u64, longest: Span) -> Pools {
+    pub fn new(site: &Site, seed: u64, longest_deadline: Span) -> Pools {
         let settings = site.settings.clone();
         let balancer = Balancer::new(settings.clone(), seed);
-        let slots = BTreeMap::from([(SlotId::ALL, Slot { rule: None, balancer, gone: None })]);
-        Pools { settings, zones: site.zones.clone(), seed, longest, slots, next: 1, listed: BTreeMap::new() }
+        let pools = BTreeMap::from([(PoolId::ALL, Pool { rule: None, balancer, dropped_at: None })]);
+        Pools {
+            settings,
+            zones: site.zones.clone(),
+            seed,
+            longest_deadline,
+            pools,
+            next_id: 1,
+            servers: BTreeMap::new(),
+        }
     }
 
-    /// All pools.
+    /// Returns the ids of all pools.
     #[must_use]
-    pub fn slots(&self) -> Vec<SlotId> {
-        self.slots.keys().copied().collect()
+    pub fn ids(&self) -> Vec<PoolId> {
+        self.pools.keys().copied().collect()
     }
 
-    /// Listed servers that the module over all servers sends nothing to now.
+    /// Returns the number of listed servers that the decision module over all servers currently avoids.
     #[must_use]
     pub fn avoided(&self, now: Time) -> usize {
-        self.slots.get(&SlotId::ALL).map_or(0, |slot| slot.balancer.avoided(now))
+        self.pools.get(&PoolId::ALL).map_or(0, |pool| pool.balancer.avoided(now))
     }
 
-    /// Hands an event to a pool's decision module. One of a pool that is no more has nobody to hear it.
-    pub fn on_event(&mut self, now: Time, slot: SlotId, event: Event<'_>, actions: &mut Vec<Action>) {
-        if let Some(slot) = self.slots.get_mut(&slot) {
-            slot.balancer.on_event(now, event, actions);
+    /// Passes an event to the decision module of a pool. Events of a removed pool are dropped.
+    pub fn on_event(&mut self, now: Time, pool: PoolId, event: Event<'_>, actions: &mut Vec<Action>) {
+        if let Some(pool) = self.pools.get_mut(&pool) {
+            pool.balancer.on_event(now, event, actions);
         }
     }
 
-    /// The pool that a request is decided in.
+    /// Returns the pool that serves requests under `rule`.
     #[must_use]
-    pub fn of(&self, now: Time, rule: &Rule, places: &Places) -> SlotId {
-        let named = |name: &str| {
-            let named = |slot: &&Slot| slot.rule.as_ref().is_some_and(|rule| rule.name == name);
-            // Of two with one name the later is the newer file's.
-            self.slots.iter().rev().find(|(_, slot)| named(slot))
+    pub fn pool_for(&self, now: Time, rule: &Rule, servers: &ServerTable) -> PoolId {
+        let find = |name: &str| {
+            let has_name = |pool: &&Pool| pool.rule.as_ref().is_some_and(|rule| rule.name == name);
+            // If two pools have the same name, the one with the larger id is from the newer file.
+            self.pools.iter().rev().find(|(_, pool)| has_name(pool))
         };
         let health = |name: &str| {
-            let Some((_, slot)) = named(name) else { return PoolHealth::default() };
-            let ready = self.listed.values().filter(|known| known.member.state == State::Ready);
-            let mine = ready.filter(|known| selects(slot.rule.as_ref(), known));
-            mine.fold(PoolHealth::default(), |health, known| {
-                let healthy = places.get(known.member.server).is_some_and(|place| place.healthy(now));
-                PoolHealth { servers: health.servers + 1, healthy: health.healthy + usize::from(healthy) }
+            let Some((_, pool)) = find(name) else { return (0, 0) };
+            let ready = self.servers.values().filter(|known| known.member.state == State::Ready);
+            let members = ready.filter(|known| selects(pool.rule.as_ref(), known));
+            members.fold((0, 0), |(total, healthy), known| {
+                let is_healthy = servers.get(known.member.server).is_some_and(|record| record.healthy(now));
+                (total + 1, healthy + usize::from(is_healthy))
             })
         };
-        rule.choose_pool(health).and_then(named).map_or(SlotId::ALL, |(id, _)| *id)
+        rule.pool(health).and_then(find).map_or(PoolId::ALL, |(id, _)| *id)
     }
 
-    /// Takes in a list or changes, whose servers have these numbers; gives what each pool is to be told.
-    pub fn listed(
+    /// Applies a list, or changes to it. `ids` holds the server ids of `entries`. Returns the members to report to
+    /// the decision module of each pool.
+    pub fn update_servers(
         &mut self,
         now: Time,
         kind: ListKind,
         entries: &[Entry],
-        numbers: &[ServerId],
-    ) -> Vec<(SlotId, Vec<Member>)> {
-        let over = Span(self.longest.0.saturating_add(HANDED_IN.0));
-        self.slots.retain(|_, slot| slot.gone.is_none_or(|gone| now - gone <= over));
-        let whole = kind != ListKind::Changes;
-        let mut told = Vec::with_capacity(entries.len());
-        if whole {
-            self.listed.clear();
+        ids: &[ServerId],
+    ) -> Vec<(PoolId, Vec<Member>)> {
+        let retention = Span(self.longest_deadline.0.saturating_add(MAX_SUBMIT_DELAY.0));
+        self.pools.retain(|_, pool| pool.dropped_at.is_none_or(|dropped_at| now - dropped_at <= retention));
+        let mut updates = Vec::with_capacity(entries.len());
+        if kind != ListKind::Changes {
+            self.servers.clear();
         }
-        for (entry, server) in entries.iter().zip(numbers) {
+        for (entry, server) in entries.iter().zip(ids) {
             let zone = self.zones.iter().position(|z| *z == entry.zone);
             let member = Member {
                 server: *server,
@@ -127,50 +135,52 @@
                 state: entry.state,
                 global_id: global_id(&entry.uid),
             };
-            let known = Known { member, zone: entry.zone.clone(), model: entry.model.clone() };
-            told.push((member, self.listed.insert(server.0, known)));
+            let known = ListedServer { member, zone: entry.zone.clone(), model: entry.model.clone() };
+            updates.push((member, self.servers.insert(server.0, known)));
         }
-        let of = |rule: Option<&PoolRule>| -> Vec<Member> {
-            let mine = told.iter().filter_map(|(member, before)| {
-                let now = self.listed.get(&member.server.0).is_some_and(|known| selects(rule, known));
-                let was = before.as_ref().is_some_and(|known| selects(rule, known));
-                // One that the pool no longer selects is gone from it; a leaving one may be told without its place.
-                let state = if now { member.state } else { State::Removed };
-                (now || was || member.state != State::Ready && rule.is_none())
+        let members_of = |rule: Option<&PoolRule>| -> Vec<Member> {
+            let members = updates.iter().filter_map(|(member, before)| {
+                let selected = self.servers.get(&member.server.0).is_some_and(|known| selects(rule, known));
+                let was_selected = before.as_ref().is_some_and(|known| selects(rule, known));
+                // A server that the pool no longer selects is removed from the pool. An entry of a server that is
+                // draining or gone may lack its zone and cell, so it goes to the pool of all servers in any case.
+                let state = if selected { member.state } else { State::Removed };
+                (selected || was_selected || member.state != State::Ready && rule.is_none())
                     .then_some(Member { state, ..*member })
             });
-            mine.collect()
+            members.collect()
         };
-        let each = self.slots.iter().map(|(id, slot)| (*id, of(slot.rule.as_ref()))).collect();
-        self.listed.retain(|_, known| known.member.state != State::Removed);
-        each
+        let members_by_pool =
+            self.pools.iter().map(|(id, pool)| (*id, members_of(pool.rule.as_ref()))).collect();
+        self.servers.retain(|_, known| known.member.state != State::Removed);
+        members_by_pool
     }
 
-    /// Takes up other settings for pools to come; gives those that are to be told.
-    pub fn settle(&mut self, site: &InstanceSettings, longest: Span) -> Vec<SlotId> {
-        (self.settings, self.longest) = (site.settings.clone(), longest);
-        self.slots()
+    /// Applies new settings to pools created later; returns the existing pools, which must be notified.
+    pub fn set_settings(&mut self, site: &Site, longest_deadline: Span) -> Vec<PoolId> {
+        (self.settings, self.longest_deadline) = (site.settings.clone(), longest_deadline);
+        self.ids()
     }
 
-    /// Takes up the pools of a new file; gives the servers of each that is new.
-    pub fn adopt(&mut self, now: Time, rules: &RuleSet) -> Vec<(SlotId, Vec<Member>)> {
-        for slot in self.slots.values_mut().filter(|slot| slot.rule.is_some()) {
-            let stays = rules.pools().iter().any(|pool| slot.rule.as_ref() == Some(pool));
-            slot.gone = if stays { None } else { slot.gone.or(Some(now)) };
+    /// Applies the pools of a new limits file; returns each new pool with its servers.
+    pub fn set_rules(&mut self, now: Time, rules: &RuleSet) -> Vec<(PoolId, Vec<Member>)> {
+        for pool in self.pools.values_mut().filter(|pool| pool.rule.is_some()) {
+            let kept = rules.pools().iter().any(|rule| pool.rule.as_ref() == Some(rule));
+            pool.dropped_at = if kept { None } else { pool.dropped_at.or(Some(now)) };
         }
         let mut new = Vec::new();
-        for pool in rules.pools() {
-            if self.slots.values().any(|slot| slot.rule.as_ref() == Some(pool)) {
+        for rule in rules.pools() {
+            if self.pools.values().any(|pool| pool.rule.as_ref() == Some(rule)) {
                 continue;
             }
-            let id = SlotId(self.next);
-            self.next += 1;
-            // Draws of its own, and the same on each play of the same seed.
+            let id = PoolId(self.next_id);
+            self.next_id += 1;
+            // Each pool draws independently, and identically in each run with the same seed.
             let seed = self.seed ^ u64::from(id.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let balancer = Balancer::new(self.settings.clone(), seed);
-            self.slots.insert(id, Slot { rule: Some(pool.clone()), balancer, gone: None });
-            let mine = self.listed.values().filter(|known| selects(Some(pool), known));
-            new.push((id, mine.map(|known| known.member).collect()));
+            self.pools.insert(id, Pool { rule: Some(rule.clone()), balancer, dropped_at: None });
+            let members = self.servers.values().filter(|known| selects(Some(rule), known));
+            new.push((id, members.map(|known| known.member).collect()));
         }
         new
     }
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -1,37 +1,37 @@
-//! The thin actor around the core: a mailbox, the reply slots, a real clock. Owns the slots, each used once; the
-//! transports and the directory stand behind ports.
+//! The actor around the core: a mailbox, the reply channels of open requests, each used once, and the real clock. It
+//! reaches transports and discovery through the traits [`Transports`] and [`Directory`].
 
 use crate::clock::Clock;
-use crate::core::{Answer, Ask, Ended, Engine, Input, Output, Tally};
-use crate::pools::SlotId;
-use crate::watch::Watched;
-use dunlincleat::api::{Attempt, RequestId, ServerId, Settings, State, Time};
+use crate::core::{Answer, Completion, Counters, Endpoint, Engine, Input, Output, RequestInfo};
+use crate::pools::PoolId;
+use crate::shadow::ShadowCounts;
+use dunlincleat::api::{Attempt, RequestId, ServerId, Settings, State, Status, Time};
 use dunlincleat_directory::{Cause, Delivery, Health};
 use dunlincleat_limits::RuleSet;
 use dunlincleat_settings::InstanceSettings;
 use dunlincleat_status::Metrics;
 use rustc_hash::FxHashMap;
-use std::net::SocketAddr;
+
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// How often the log sums up.
-const SUM_UP: Duration = Duration::from_secs(10);
+/// Interval between summaries in the log.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The servers' side: one transport a server. Each attempt and each probe ends once, by the [`Handle`] that the
-/// transports were given, whatever happens.
+/// Transports to the servers, one per server. The end of each attempt and each probe must be reported exactly once
+/// through a [`Handle`], whatever happens.
 pub trait Transports {
-    /// What is sent.
+    /// What is sent to a server.
     type Payload: Clone;
-    /// What comes back.
+    /// What a server returns.
     type Body;
     /// Opens a transport.
-    fn open(&mut self, server: ServerId, at: SocketAddr, boot_ms: u64);
-    /// The list told of its server.
-    fn listed(&mut self, server: ServerId, at: Option<(SocketAddr, u64)>, state: State);
-    /// Closes it: nothing is out there.
+    fn open(&mut self, server: ServerId, endpoint: Endpoint);
+    /// Updates the address and state of the server, as listed.
+    fn update(&mut self, server: ServerId, endpoint: Option<Endpoint>, state: State);
+    /// Closes a transport, to which nothing is in flight.
     fn close(&mut self, server: ServerId);
     /// Starts an attempt.
     fn attempt(
@@ -41,34 +41,40 @@
         server: ServerId,
         payload: Self::Payload,
         until: Instant,
-        connect: Option<Duration>,
+        connect_timeout: Option<Duration>,
     );
-    /// Stops waiting for an attempt.
+    /// Cancels an attempt.
     fn cancel(&mut self, id: RequestId, attempt: Attempt, server: ServerId);
-    /// Takes an attempt back as far as it is not written whole; one that is goes on.
+    /// Cancels an attempt unless it has been written completely; in that case it continues.
     fn withdraw(&mut self, id: RequestId, attempt: Attempt, server: ServerId);
-    /// Asks a server how it is; `asked` is handed back with the end.
-    fn probe(&mut self, server: ServerId, asked: SlotId);
-    /// Connections that may still be opened, for the log.
-    fn room(&self) -> usize;
+    /// Probes a server; `pool` is returned with the result.
+    fn probe(&mut self, server: ServerId, pool: PoolId);
+    /// Returns the number of connections that may still be opened, for the log.
+    fn free_connections(&self) -> usize;
 }
 
-/// The list's side.
+/// Discovery of servers.
 pub trait Directory {
-    /// Opens a watch, where lists come on request.
+    /// Opens a watch, where lists are delivered on request.
     fn watch(&mut self);
 }
 
-enum Msg<P, B> {
-    Request { id: RequestId, ask: Ask, payload: P, received: Instant, slot: oneshot::Sender<Answer<B>> },
+enum Message<P, B> {
+    Request {
+        id: RequestId,
+        info: RequestInfo,
+        payload: P,
+        received: Instant,
+        reply: oneshot::Sender<Answer<B>>,
+    },
     Input(Input<P, B>),
-    ListState(Health),
+    ListHealth(Health),
 }
 
-type Mail<P, B> = (Instant, Msg<P, B>);
+type Mail<P, B> = (Instant, Message<P, B>);
 
-/// The actor's mailbox. It holds no more than the requests in hand bring: the fronts bound those, each has at most a
-/// few attempts, and each server one probe.
+/// Sender of the actor's mailbox. The mailbox needs no bound of its own: the fronts bound the number of open requests,
+/// each of which has at most a few attempts, and each server has at most one probe in flight.
 pub struct Handle<P, B>(mpsc::UnboundedSender<Mail<P, B>>);
 
 impl<P, B> Clone for Handle<P, B> {
@@ -77,10 +83,10 @@
     }
 }
 
-/// The other end of the mailbox.
+/// Receiver of the actor's mailbox.
 pub struct Mailbox<P, B>(mpsc::UnboundedReceiver<Mail<P, B>>);
 
-/// A mailbox.
+/// Creates a mailbox.
 #[must_use]
 pub fn mailbox<P, B>() -> (Handle<P, B>, Mailbox<P, B>) {
     let (handle, mailbox) = mpsc::unbounded_channel();
@@ -88,103 +94,116 @@
 }
 
 impl<P, B> Handle<P, B> {
-    fn tell(&self, msg: Msg<P, B>) {
+    fn send(&self, message: Message<P, B>) {
         // The actor lives as long as the process.
-        let _ = self.0.send((Instant::now(), msg));
+        let _ = self.0.send((Instant::now(), message));
     }
 
-    /// A request that came at `received`; its answer goes into the slot.
+    /// Submits a request that was received at `received`; its answer is sent to `reply`.
     pub fn request(
         &self,
         id: RequestId,
-        ask: Ask,
+        info: RequestInfo,
         payload: P,
         received: Instant,
-        slot: oneshot::Sender<Answer<B>>,
+        reply: oneshot::Sender<Answer<B>>,
     ) {
-        self.tell(Msg::Request { id, ask, payload, received, slot });
+        self.send(Message::Request { id, info, payload, received, reply });
     }
 
-    /// The client of a request left.
-    pub fn gone(&self, id: RequestId) {
-        self.tell(Msg::Input(Input::Gone(id)));
+    /// Reports that the client of a request left.
+    pub fn client_left(&self, id: RequestId) {
+        self.send(Message::Input(Input::ClientLeft(id)));
     }
 
-    /// An attempt ended.
-    pub fn ended(&self, id: RequestId, attempt: Attempt, server: ServerId, ended: Ended<B>) {
-        self.tell(Msg::Input(Input::Ended { id, attempt, server, ended }));
+    /// Reports that an attempt ended.
+    pub fn attempt_ended(
+        &self,
+        id: RequestId,
+        attempt: Attempt,
+        server: ServerId,
+        completion: Completion<B>,
+    ) {
+        self.send(Message::Input(Input::AttemptEnded { id, attempt, server, completion }));
     }
 
-    /// An attempt's answer began and is passed on; the attempt ends later.
-    pub fn began(&self, id: RequestId, attempt: Attempt, server: ServerId, ended: Ended<B>) {
-        self.tell(Msg::Input(Input::Began { id, attempt, server, ended }));
+    /// Reports that the response to an attempt has started and is being streamed; the attempt ends later.
+    pub fn response_started(
+        &self,
+        id: RequestId,
+        attempt: Attempt,
+        server: ServerId,
+        completion: Completion<B>,
+    ) {
+        self.send(Message::Input(Input::ResponseStarted { id, attempt, server, completion }));
     }
 
-    /// The body of an attempt still comes, or comes no more: each beginning is followed by one end, before the attempt's.
-    pub fn uploads(&self, id: RequestId, server: ServerId, over: bool) {
-        self.tell(Msg::Input(Input::Uploads { id, server, over }));
+    /// Reports that the upload of the body of an attempt is in progress, or has finished. Each start is followed by
+    /// one finish, before the end of the attempt.
+    pub fn upload(&self, id: RequestId, server: ServerId, finished: bool) {
+        self.send(Message::Input(Input::Upload { id, server, finished }));
     }
 
-    /// A probe ended.
-    pub fn probed(&self, server: ServerId, asked: SlotId, ended: Ended<B>) {
-        self.tell(Msg::Input(Input::Probed { server, asked, ended }));
+    /// Reports that a probe ended.
+    pub fn probe_ended(&self, server: ServerId, pool: PoolId, completion: Completion<B>) {
+        self.send(Message::Input(Input::ProbeEnded { server, pool, completion }));
     }
 
-    /// The list changed or was told again.
-    pub fn listed(&self, delivery: Delivery) {
-        self.tell(Msg::Input(Input::Listed(delivery)));
+    /// Delivers a server list, or changes to it.
+    pub fn server_list(&self, delivery: Delivery) {
+        self.send(Message::Input(Input::ServerList(delivery)));
     }
 
-    /// A call of discovery failed, or the watch ended.
-    pub fn list_failed(&self) {
-        self.tell(Msg::Input(Input::ListFailed));
+    /// Reports that a discovery call failed or the watch ended.
+    pub fn discovery_failed(&self) {
+        self.send(Message::Input(Input::DiscoveryFailed));
     }
 
-    /// Other settings, and those that are only watched, before any request under them.
-    pub fn settings(&self, site: Arc<InstanceSettings>, watched: Option<Settings>) {
-        self.tell(Msg::Input(Input::Settings { site, watched }));
+    /// Applies new settings, and those of the shadow module. Must be called before any request under them.
+    pub fn settings(&self, site: Arc<Site>, shadow: Option<Settings>) {
+        self.send(Message::Input(Input::Settings { site, shadow }));
     }
 
-    /// New limits. Those under whom requests come next are to be told first.
+    /// Applies new limits. Must be called before any request under them.
     pub fn rules(&self, rules: Arc<RuleSet>) {
-        self.tell(Msg::Input(Input::Rules(rules)));
+        self.send(Message::Input(Input::Rules(rules)));
     }
 
-    /// How fresh the list is, for the log.
-    pub fn list_state(&self, health: Health) {
-        self.tell(Msg::ListState(health));
+    /// Reports how recent the list is, for the log.
+    pub fn list_health(&self, health: Health) {
+        self.send(Message::ListHealth(health));
     }
 }
 
-/// Where the actor shows its figures.
+/// Metrics that the actor updates.
 pub struct Gauges {
-    /// The figures.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
-    /// Somebody may ask whom the module avoids: it is looked at now and then.
-    pub avoided: bool,
+    /// Whether the number of avoided servers is sampled periodically, because the metrics can be read.
+    pub sample_avoided: bool,
 }
 
-/// How often it is looked at whom the module avoids.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between samples of the number of avoided servers.
+const AVOIDED_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The actor.
+/// The actor, which drives an engine.
 pub struct Actor<T: Transports, D> {
     engine: Engine<T::Payload, T::Body>,
     clock: Clock,
     transports: T,
     directory: D,
-    slots: FxHashMap<RequestId, oneshot::Sender<Answer<T::Body>>>,
-    out: Vec<Output<T::Payload, T::Body>>,
-    /// The longest wait in the mailbox since the log last summed up.
-    waited: Duration,
-    /// The list's state, and as it was when the log last summed up.
+    replies: FxHashMap<RequestId, oneshot::Sender<Answer<T::Body>>>,
+    outputs: Vec<Output<T::Payload, T::Body>>,
+    /// The longest wait in the mailbox since the last summary.
+    longest_mailbox_wait: Duration,
+    /// The state of the list, now and at the last summary.
     health: Health,
-    summed: Health,
+    health_at_summary: Health,
     gauges: Gauges,
 }
 
 impl<T: Transports, D: Directory> Actor<T, D> {
-    /// The actor around an engine.
+    /// Creates an actor around an engine.
     pub fn new(
         engine: Engine<T::Payload, T::Body>,
         clock: Clock,
@@ -192,75 +211,88 @@
         directory: D,
         gauges: Gauges,
     ) -> Self {
-        let (slots, out) = (FxHashMap::default(), Vec::new());
-        let (waited, health, summed) = (Duration::ZERO, Health::default(), Health::default());
-        Actor { engine, clock, transports, directory, slots, out, waited, health, summed, gauges }
+        let (replies, outputs) = (FxHashMap::default(), Vec::new());
+        let (longest_mailbox_wait, health, health_at_summary) =
+            (Duration::ZERO, Health::default(), Health::default());
+        Actor {
+            engine,
+            clock,
+            transports,
+            directory,
+            replies,
+            outputs,
+            longest_mailbox_wait,
+            health,
+            health_at_summary,
+            gauges,
+        }
     }
 
-    /// Runs the actor from the list as last held, until all handles are gone.
+    /// Runs the actor, starting from the cached list `known`, until all handles are dropped.
     pub async fn run(mut self, mut mailbox: Mailbox<T::Payload, T::Body>, known: Delivery) {
-        // With this the module makes its first call of discovery, so the way there must stand.
-        self.input(Input::Listed(known));
-        let mut sum_up = Instant::now() + SUM_UP;
-        let mut look = Instant::now();
+        // This makes the decision module open its first watch, so discovery must be reachable by now.
+        self.process(Input::ServerList(known));
+        let mut next_summary = Instant::now() + SUMMARY_INTERVAL;
+        let mut next_sample = Instant::now();
         loop {
             let due = self.engine.due().map(|at| self.clock.instant(at));
             tokio::select! {
                 biased;
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                    self.engine.wake(self.clock.now(), &mut self.out);
+                    self.engine.wake(self.clock.now(), &mut self.outputs);
                     self.carry_out();
                 }
                 mail = mailbox.0.recv() => match mail {
-                    Some((told, msg)) => {
-                        self.waited = self.waited.max(told.elapsed());
-                        self.take(msg);
+                    Some((sent_at, message)) => {
+                        self.longest_mailbox_wait = self.longest_mailbox_wait.max(sent_at.elapsed());
+                        self.handle(message);
                     }
                     None => return,
                 },
-                () = sleep_until(look), if self.gauges.avoided => {
+                () = sleep_until(next_sample), if self.gauges.sample_avoided => {
                     self.gauges.metrics.skipped.set(self.engine.avoided(self.clock.now()));
-                    look = Instant::now() + LOOK;
+                    next_sample = Instant::now() + AVOIDED_SAMPLE_INTERVAL;
                 }
-                () = sleep_until(sum_up) => {
-                    self.sum_up();
-                    sum_up = Instant::now() + SUM_UP;
+                () = sleep_until(next_summary) => {
+                    self.log_summary();
+                    next_summary = Instant::now() + SUMMARY_INTERVAL;
                 }
             }
         }
     }
 
-    fn take(&mut self, msg: Msg<T::Payload, T::Body>) {
-        match msg {
-            Msg::Request { id, ask, payload, received, slot } => {
-                self.slots.insert(id, slot);
+    fn handle(&mut self, message: Message<T::Payload, T::Body>) {
+        match message {
+            Message::Request { id, info, payload, received, reply } => {
+                self.replies.insert(id, reply);
                 let received = self.clock.time(received);
-                self.input(Input::Request { id, ask, received, payload });
+                self.process(Input::Request { id, info, received, payload });
             }
-            Msg::Input(input) => {
-                if let Input::Gone(id) = &input {
-                    self.slots.remove(id);
+            Message::Input(input) => {
+                if let Input::ClientLeft(id) = &input {
+                    self.replies.remove(id);
                 }
-                self.input(input);
+                self.process(input);
             }
-            Msg::ListState(health) => self.health = health,
+            Message::ListHealth(health) => self.health = health,
         }
     }
 
-    fn input(&mut self, input: Input<T::Payload, T::Body>) {
+    fn process(&mut self, input: Input<T::Payload, T::Body>) {
         match &input {
-            Input::Began { id, attempt, server, ended } | Input::Ended { id, attempt, server, ended } => {
+            Input::ResponseStarted { id, attempt, server, completion }
+            | Input::AttemptEnded { id, attempt, server, completion } => {
                 tracing::debug!(
-                    "attempt {} of request {} at {}: {:?} after {} us, load {:?}",
+                    "attempt {} of request {} at {}: {} after {} us, load {:?}",
                     attempt.0,
                     id.0,
-                    self.engine.places().uid(*server),
-                    ended.status,
-                    ended.latency.0,
-                    ended.load
+                    self.engine.servers().uid(*server),
+                    status_text(completion.status),
+                    completion.latency.0,
+                    completion.load
                 )
             }
-            Input::Listed(delivery) => {
+            Input::ServerList(delivery) => {
                 let count = |state| delivery.entries.iter().filter(|e| e.state == state).count();
                 tracing::info!(
                     "list {} revision {}: {} up, {} draining, {} removed",
@@ -277,86 +309,94 @@
                 );
             }
             Input::Request { .. }
-            | Input::Gone(_)
-            | Input::Uploads { .. }
-            | Input::Probed { .. }
-            | Input::ListFailed
+            | Input::ClientLeft(_)
+            | Input::Upload { .. }
+            | Input::ProbeEnded { .. }
+            | Input::DiscoveryFailed
             | Input::Settings { .. }
             | Input::Rules(_) => {}
         }
-        let listed = matches!(input, Input::Listed(_));
-        self.engine.input(self.clock.now(), input, &mut self.out);
+        let listed = matches!(input, Input::ServerList(_));
+        self.engine.input(self.clock.now(), input, &mut self.outputs);
         if listed {
-            self.gauges.metrics.known.set(self.engine.listed_now());
+            self.gauges.metrics.known.set(self.engine.listed_servers());
         }
         self.carry_out();
     }
 
     fn carry_out(&mut self) {
-        let mut out = std::mem::take(&mut self.out);
-        for output in out.drain(..) {
+        let mut outputs = std::mem::take(&mut self.outputs);
+        for output in outputs.drain(..) {
             match output {
                 Output::Answer { id, answer } => {
-                    // Where the client has just gone, its word of that finds the request ended.
-                    if let Some(slot) = self.slots.remove(&id) {
-                        let _ = slot.send(answer);
+                    // If the client has just left, its report finds the request already answered.
+                    if let Some(reply) = self.replies.remove(&id) {
+                        let _ = reply.send(answer);
                     }
                 }
-                Output::Attempt { id, attempt, server, payload, until, connect } => {
+                Output::Attempt { id, attempt, server, payload, until, connect_timeout } => {
                     tracing::debug!("attempt {} of request {} goes out", attempt.0, id.0);
-                    let (until, connect) =
-                        (self.clock.instant(until), connect.map(|s| Duration::from_micros(s.0)));
-                    self.transports.attempt(id, attempt, server, payload, until, connect);
+                    let until = self.clock.instant(until);
+                    let connect_timeout = connect_timeout.map(|timeout| Duration::from_micros(timeout.0));
+                    self.transports.attempt(id, attempt, server, payload, until, connect_timeout);
                 }
                 Output::Cancel { id, attempt, server } => self.transports.cancel(id, attempt, server),
                 Output::Withdraw { id, attempt, server } => self.transports.withdraw(id, attempt, server),
-                Output::Probe { server, asked } => self.transports.probe(server, asked),
-                Output::Open { server, at, boot_ms } => self.transports.open(server, at, boot_ms),
-                Output::Listed { server, at, state } => self.transports.listed(server, at, state),
+                Output::Probe { server, pool } => self.transports.probe(server, pool),
+                Output::Open { server, endpoint } => self.transports.open(server, endpoint),
+                Output::UpdateServer { server, endpoint, state } => {
+                    self.transports.update(server, endpoint, state);
+                }
                 Output::Close { server } => self.transports.close(server),
                 Output::Watch => self.directory.watch(),
-                Output::Say { server: None, text } => tracing::info!("{text}"),
-                Output::Say { server: Some(server), text } => {
-                    tracing::info!("server {}: {text}", self.engine.places().uid(server));
+                Output::Log { server: None, text } => tracing::info!("{text}"),
+                Output::Log { server: Some(server), text } => {
+                    tracing::info!("server {}: {text}", self.engine.servers().uid(server));
                 }
             }
         }
-        self.out = out;
+        self.outputs = outputs;
     }
 
-    fn sum_up(&mut self) {
-        let Tally { taken, served, refused, limited, failed, gone, attempts } = self.engine.take_tally();
-        let waited = std::mem::take(&mut self.waited);
-        if taken + attempts > 0 {
+    fn log_summary(&mut self) {
+        let Counters { received, served, refused, limited, failed, client_left, attempts } =
+            self.engine.take_counters();
+        let longest_mailbox_wait = std::mem::take(&mut self.longest_mailbox_wait);
+        if received + attempts > 0 {
             tracing::info!(
-                "in {} s: {taken} taken, {served} served, {refused} refused, {failed} failed, {gone} gone; \
+                "in {} s: {received} taken, {served} served, {refused} refused, {failed} failed, {client_left} gone; \
                  {attempts} attempts; {} in hand; {} connections to servers free; mailbox wait at most {} us",
-                SUM_UP.as_secs(),
-                self.engine.in_hand(),
-                self.transports.room(),
-                waited.as_micros()
+                SUMMARY_INTERVAL.as_secs(),
+                self.engine.open_requests(),
+                self.transports.free_connections(),
+                longest_mailbox_wait.as_micros()
             );
         }
         if limited > 0 {
-            tracing::info!("in {} s: {limited} of the refused by limits of their routes", SUM_UP.as_secs());
+            tracing::info!(
+                "in {} s: {limited} of the refused by limits of their routes",
+                SUMMARY_INTERVAL.as_secs()
+            );
         }
-        if let Some(w) = self.engine.take_watched().filter(|w| *w != Watched::default()) {
+        if let Some(counts) =
+            self.engine.take_shadow_counts().filter(|counts| *counts != ShadowCounts::default())
+        {
             tracing::info!(
                 "watch: in {} s: {} alike, {} other server, {} other zone, {} would refuse, {} would send, {} would \
                  wait, {} would copy, {} would probe",
-                SUM_UP.as_secs(),
-                w.alike,
-                w.other_server,
-                w.other_zone,
-                w.would_refuse,
-                w.would_send,
-                w.would_wait,
-                w.would_copy,
-                w.would_probe
+                SUMMARY_INTERVAL.as_secs(),
+                counts.same_server,
+                counts.other_server,
+                counts.other_zone,
+                counts.would_refuse,
+                counts.would_send,
+                counts.would_wait,
+                counts.would_hedge,
+                counts.would_probe
             );
         }
-        let (health, before) = (self.health, std::mem::replace(&mut self.summed, self.health));
-        // While discovery speaks the last sign of life is at most a heartbeat old.
+        let (health, before) = (self.health, std::mem::replace(&mut self.health_at_summary, self.health));
+        // While discovery responds, its last message is at most one heartbeat interval old.
         let age = (self.clock.now() - health.fresh_at).0 / 1000;
         let ended = Cause::NAMES.iter().zip(health.ended.iter().zip(before.ended));
         let ended: String = ended
@@ -377,3 +417,17 @@
         );
     }
 }
+
+/// Text of a status in log lines. Two statuses keep their earlier names there.
+fn status_text(status: Status) -> &'static str {
+    match status {
+        Status::Ok => "Ok",
+        Status::Error => "Error",
+        Status::Rejected => "Full",
+        Status::Timeout => "Timeout",
+        Status::ConnectFailed => "ConnectFailed",
+        Status::Reset => "Reset",
+        Status::Cancelled => "Cancelled",
+        Status::NotSent => "Moot",
+    }
+}
