--- a/crates/engine/benches/path.rs
+++ b/crates/engine/benches/path.rs
@@ -39,8 +39,8 @@
 
 impl RequestPath {
     fn new(servers: u16, limits: bool) -> RequestPath {
-        let site: Site = read(SETTINGS).expect("the settings are right");
-        let rules = check(LIMITS_FILE, &site).1.expect("the file is right");
+        let site: InstanceSettings = read(SETTINGS).expect("the settings are right");
+        let rules = check(LIMITS_FILE, &site).rules.expect("the file is right");
         let mut engine = Engine::new(&site, 7, 10_000);
         let entry = |n: u16| Entry {
             uid: format!("s{n}"),
@@ -55,7 +55,7 @@
         let entries = (0..servers).map(entry).collect();
         let now = 1_800_000_000_000_000;
         let mut outputs = Vec::new();
-        let known = Delivery { kind: ListKind::Cached, rev: 1, entries, odd: Vec::new() };
+        let known = Delivery { kind: ListKind::Cached, rev: 1, entries, anomalies: Vec::new() };
         engine.input(Time(now), Input::ServerList(known), &mut outputs);
         let rule = limits.then(|| rules.default_rule().clone());
         RequestPath { engine, rule, now, id: 0, outputs }
--- a/crates/engine/src/core.rs
+++ b/crates/engine/src/core.rs
@@ -147,7 +147,7 @@
     /// New settings. Open requests keep their class and number of attempts.
     Settings {
         /// Settings of the decision modules.
-        site: Arc<Site>,
+        site: Arc<InstanceSettings>,
         /// Settings of the shadow module, if there is one.
         shadow: Option<Settings>,
     },
@@ -267,7 +267,7 @@
     /// Maximum number of attempts.
     max_attempts: u32,
     /// What it occupies of its route's limits, until it is answered.
-    route_state: Stand,
+    route_state: Admission,
     answered: bool,
     /// Its attempts, in order, and how many of them are in flight.
     attempts: Vec<AttemptRecord>,
@@ -295,11 +295,11 @@
 }
 
 /// Returns the longest time for which a request may be open.
-fn longest_deadline(site: &Site) -> Span {
+fn longest_deadline(site: &InstanceSettings) -> Span {
     site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
 }
 
-fn key_windows(site: &Site) -> Vec<Option<Span>> {
+fn key_windows(site: &InstanceSettings) -> Vec<Option<Span>> {
     let window = |effect| match effect {
         Effect::Keyed { window, .. } => Some(window),
         Effect::Safe | Effect::Unsafe => None,
@@ -334,7 +334,7 @@
 impl<P: Clone, B> Engine<P, B> {
     /// Creates an engine that may have `most` requests open; `seed` initialises the random draws.
     #[must_use]
-    pub fn new(site: &Site, seed: u64, max_requests: u32) -> Engine<P, B> {
+    pub fn new(site: &InstanceSettings, seed: u64, max_requests: u32) -> Engine<P, B> {
         let longest_deadline = longest_deadline(site);
         Engine {
             max_attempts: site.settings.limits.max_attempts,
@@ -430,7 +430,7 @@
             Input::Request { id, info, received, payload } => {
                 self.counters.received += 1;
                 let RequestInfo { class, tenant, wait, hint, key, repeat, rule } = info;
-                let mut route_state = Stand::default();
+                let mut route_state = Admission::default();
                 let mut pool = PoolId::ALL;
                 let mut wait = wait;
                 if let Some(rule) = &rule {
@@ -541,7 +541,7 @@
                 }
             }
             Input::Rules(rules) => {
-                self.gate.keep(rules.rules().map(|rule| rule.name.as_str()));
+                self.gate.retain_routes(rules.rules().map(|rule| rule.name.as_str()));
                 for (pool, members) in self.pools.set_rules(now, &rules) {
                     let entries = &members;
                     self.notify_module(
@@ -583,8 +583,8 @@
         if let Some(entry) = self.requests.get_mut(&id).filter(|e| !e.answered && e.in_flight == 0)
             && let Some(rule) = &entry.rule
         {
-            self.gate.waits_again(rule, &mut entry.route_state);
-            again = self.gate.repeat(now, rule, &mut entry.route_state, entry.attempts.len() as u32);
+            self.gate.mark_waiting(rule, &mut entry.route_state);
+            again = self.gate.allow_retry(now, rule, &mut entry.route_state, entry.attempts.len() as u32);
         }
         let outcome = Event::AttemptFinished {
             id,
@@ -705,7 +705,7 @@
         let Some(rule) = entry.rule.as_ref().filter(|_| !entry.answered && entry.in_flight == 1) else {
             return;
         };
-        if entry.attempts.len() == 1 && self.gate.repeat(now, rule, &mut entry.route_state, 1) {
+        if entry.attempts.len() == 1 && self.gate.allow_retry(now, rule, &mut entry.route_state, 1) {
             let pool = entry.pool;
             self.charged_hedge = Some(id);
             self.notify_module(now, pool, Event::HedgeDue { id }, outputs);
@@ -735,16 +735,16 @@
         if let Some(rule) =
             entry.rule.as_ref().filter(|_| entry.in_flight > 1 && self.charged_hedge != Some(id))
         {
-            rejected |= !self.gate.repeat(now, rule, &mut entry.route_state, attempt.0);
+            rejected |= !self.gate.allow_retry(now, rule, &mut entry.route_state, attempt.0);
         }
         // An attempt without its own time limit lasts until the client gives up, which ends it as a client that left.
         let mut until = until.unwrap_or(now + entry.wait);
         let mut connect_timeout = None;
         if let Some(rule) = &entry.rule {
-            self.gate.goes_out(rule, &mut entry.route_state);
+            self.gate.mark_sent(rule, &mut entry.route_state);
             until = rule.attempt_timeout.map_or(until, |timeout| until.min(now + timeout));
             connect_timeout = rule.connect_timeout;
-            if let Some(after) = self.gate.copy_after(rule).filter(|_| attempt.0 == 0) {
+            if let Some(after) = self.gate.hedge_delay(rule).filter(|_| attempt.0 == 0) {
                 self.timers.set(now + after, TimerKind::Hedge(id));
             }
         }
@@ -803,7 +803,7 @@
         let entry = self.requests.get_mut(&id).filter(|entry| !entry.answered)?;
         entry.answered = true;
         if let Some(rule) = &entry.rule {
-            self.gate.over(rule, std::mem::take(&mut entry.route_state));
+            self.gate.release(rule, std::mem::take(&mut entry.route_state));
         }
         Some(entry.pool)
     }
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -55,7 +55,7 @@
 impl Pools {
     /// Creates the pool of all servers.
     #[must_use]
-    pub fn new(site: &Site, seed: u64, longest_deadline: Span) -> Pools {
+    pub fn new(site: &InstanceSettings, seed: u64, longest_deadline: Span) -> Pools {
         let settings = site.settings.clone();
         let balancer = Balancer::new(settings.clone(), seed);
         let pools = BTreeMap::from([(PoolId::ALL, Pool { rule: None, balancer, dropped_at: None })]);
@@ -98,15 +98,15 @@
             self.pools.iter().rev().find(|(_, pool)| has_name(pool))
         };
         let health = |name: &str| {
-            let Some((_, pool)) = find(name) else { return (0, 0) };
+            let Some((_, pool)) = find(name) else { return PoolHealth::default() };
             let ready = self.servers.values().filter(|known| known.member.state == State::Ready);
             let members = ready.filter(|known| selects(pool.rule.as_ref(), known));
-            members.fold((0, 0), |(total, healthy), known| {
+            members.fold(PoolHealth::default(), |health, known| {
                 let is_healthy = servers.get(known.member.server).is_some_and(|record| record.healthy(now));
-                (total + 1, healthy + usize::from(is_healthy))
+                PoolHealth { servers: health.servers + 1, healthy: health.healthy + usize::from(is_healthy) }
             })
         };
-        rule.pool(health).and_then(find).map_or(PoolId::ALL, |(id, _)| *id)
+        rule.choose_pool(health).and_then(find).map_or(PoolId::ALL, |(id, _)| *id)
     }
 
     /// Applies a list, or changes to it. `ids` holds the server ids of `entries`. Returns the members to report to
@@ -157,7 +157,7 @@
     }
 
     /// Applies new settings to pools created later; returns the existing pools, which must be notified.
-    pub fn set_settings(&mut self, site: &Site, longest_deadline: Span) -> Vec<PoolId> {
+    pub fn set_settings(&mut self, site: &InstanceSettings, longest_deadline: Span) -> Vec<PoolId> {
         (self.settings, self.longest_deadline) = (site.settings.clone(), longest_deadline);
         self.ids()
     }
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -160,7 +160,7 @@
     }
 
     /// Applies new settings, and those of the shadow module. Must be called before any request under them.
-    pub fn settings(&self, site: Arc<Site>, shadow: Option<Settings>) {
+    pub fn settings(&self, site: Arc<InstanceSettings>, shadow: Option<Settings>) {
         self.send(Message::Input(Input::Settings { site, shadow }));
     }
 
--- a/crates/engine/tests/passing.rs
+++ b/crates/engine/tests/passing.rs
@@ -3,12 +3,12 @@
 use dunlincleat::api::{Attempt, ListKind, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
 use dunlincleat_engine::{Answer, Completion, Engine, Input, Output, RequestInfo};
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use std::sync::Arc;
 
 const START: u64 = 5_000_000_000;
 
-fn site(max_attempts: u32) -> Site {
+fn site(max_attempts: u32) -> InstanceSettings {
     let text = format!(
         r#"{{"classes":[{{"name":"a","aim":300000,"deadline":740000,"semantics":"retryable"}}],
             "limits":{{"try_limit":{max_attempts},"cancel":true}},"safety":{{}}}}"#
@@ -40,7 +40,12 @@
             boot_ms: 0,
         });
         let entries = entries.collect();
-        world.input(Input::ServerList(Delivery { kind: ListKind::Cached, rev: 1, entries, odd: Vec::new() }));
+        world.input(Input::ServerList(Delivery {
+            kind: ListKind::Cached,
+            rev: 1,
+            entries,
+            anomalies: Vec::new(),
+        }));
         world
     }
 
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -4,8 +4,8 @@
 use dunlincleat::api::{Attempt, Effect, ListKind, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
 use dunlincleat_engine::{Answer, Completion, Engine, Input, Output, PoolId, RequestInfo};
-use dunlincleat_limits::{Facts, Rule, RuleSet, check};
-use dunlincleat_settings::{Site, read};
+use dunlincleat_limits::{RequestAttributes, Rule, RuleSet, check};
+use dunlincleat_settings::{InstanceSettings, read};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -327,7 +327,7 @@
             let (uid, weight) = (uid.clone(), 1.0);
             Entry { uid, endpoint, zone, model, cell: 0, state, weight, boot_ms: boot / MS }
         });
-        let delivery = Delivery { kind, rev: 1, entries: entries.collect(), odd: Vec::new() };
+        let delivery = Delivery { kind, rev: 1, entries: entries.collect(), anomalies: Vec::new() };
         self.input(Input::ServerList(delivery));
     }
 
--- a/crates/engine/tests/watch.rs
+++ b/crates/engine/tests/watch.rs
@@ -4,11 +4,11 @@
 use dunlincleat_directory::{Delivery, Entry};
 use dunlincleat_engine::shadow::ShadowCounts;
 use dunlincleat_engine::{Completion, Engine, Input, Output, RequestInfo, Shadow};
-use dunlincleat_settings::{Site, read};
+use dunlincleat_settings::{InstanceSettings, read};
 
 const MS: u64 = 1_000;
 
-fn site(extra: &str) -> Site {
+fn site(extra: &str) -> InstanceSettings {
     let text = format!(
         r#"{{"balancers":2,"zones":["a","b"],"safety":{{}},"limits":{{"try_limit":3,"cancel":true}},{extra}
         "classes":[{{"name":"read","aim":200000,"deadline":600000,"gain":1,"semantics":"retryable"}}]}}"#
@@ -32,7 +32,7 @@
 }
 
 /// Runs requests under `settings`, with or without a shadow module. Returns all outputs as text, and its counts.
-fn run(shadow: Option<&Site>, settings: &Site) -> (Vec<String>, ShadowCounts) {
+fn run(shadow: Option<&InstanceSettings>, settings: &InstanceSettings) -> (Vec<String>, ShadowCounts) {
     let mut engine: Engine<u64, u64> = Engine::new(settings, 7, 1_000);
     if let Some(shadow) = shadow {
         engine.set_shadow(Shadow::new(shadow.settings.clone(), &settings.settings.fields, 99));
@@ -52,7 +52,7 @@
             let entries = (0..8).map(|n| entry(n, weight(n))).collect();
             engine.input(
                 now,
-                Input::ServerList(Delivery { kind, rev: tick, entries, odd: Vec::new() }),
+                Input::ServerList(Delivery { kind, rev: tick, entries, anomalies: Vec::new() }),
                 &mut outputs,
             );
         }
--- a/crates/fleet/src/baseline.rs
+++ b/crates/fleet/src/baseline.rs
@@ -4,7 +4,7 @@
 use crate::balancing::{Balancing, In, Out};
 use dunlincleat::api::{Attempt, Effect, ListKind, RequestId, ServerId, State, Status, Time};
 use dunlincleat_engine::{Answer, Endpoint, Input, Output, ServerTable};
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/lab/src/slopes/control.rs
+++ b/crates/lab/src/slopes/control.rs
@@ -417,9 +417,8 @@
         sidecar.now = sidecar.now + Span(1_000_000);
         // Another figure each time: nothing may be spared for being alike.
         let settings = settings.replace("\"cold\":1000000", &format!("\"cold\":{}", 1_000_000 + n));
-        let (site, _) = succession.follow(sidecar.now, &held, read(&settings)?);
-        held = Arc::new(site);
-        let rules = check(&file, &held).1;
+        held = Arc::new(succession.apply(sidecar.now, &held, read(&settings)?).instance);
+        let rules = check(&file, &held).rules;
         sidecar.tell(Input::Settings { site: held.clone(), shadow: None });
         if let Some(rules) = rules.filter(|_| services > 0) {
             sidecar.tell(Input::Rules(Arc::new(rules)));
