--- a/crates/duties/src/plant.rs
+++ b/crates/duties/src/fault.rs
@@ -2,7 +2,7 @@
 
 /// Faults that the tests must find.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Plant {
+pub enum Fault {
     /// None.
     #[default]
     None,
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -19,11 +19,11 @@
 
 #![forbid(unsafe_code)]
 
-pub mod machine;
 #[cfg(feature = "plant")]
-pub mod plant;
+pub mod fault;
+pub mod member;
+pub mod protocol;
 pub mod voter;
-pub mod words;
 
-pub use machine::{Effect, Ended, Input, Member, Notice, Output, To};
-pub use words::{Datagram, Fence, Mark, Message, Moment, Terms};
+pub use member::{Destination, EffectOutcome, Input, Member, Notice, Output, Schedule};
+pub use protocol::{Datagram, Fence, LeaseConfig, Message, Moment, Progress};
--- a/crates/duties/src/machine.rs
+++ b/crates/duties/src/member.rs
@@ -1,10 +1,10 @@
 //! A member: its part in each duty, as candidate and as holder, and its voter where it is one. It owns all of it; a shell
-//! carries messages, wakes it, and carries out effects under the [`Held`](crate::Output::Run) value that it is given.
+//! carries messages, wakes it, and carries out effects under the [`EffectPermit`](crate::Output::RunEffect) value that it is given.
 
 #[cfg(feature = "plant")]
-use crate::plant::Plant;
-use crate::voter::{Asker, Told, Voter};
-use crate::words::{Fence, Mark, Message, Moment, Terms};
+use crate::fault::Fault;
+use crate::protocol::{Fence, LeaseConfig, Message, Moment, Progress};
+use crate::voter::{MemberId, Told, Voter};
 use rustc_hash::FxHasher;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -16,7 +16,7 @@
 
 /// An effect on a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Effect {
+pub struct Schedule {
     /// How often, in microseconds.
     pub period: u64,
     /// A missed period is run late; else it is told and left out.
@@ -25,7 +25,7 @@
 
 /// Permission to carry out one effect: a value with a deadline, asked at the effect itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct EffectPermit {
     /// The duty.
     pub duty: String,
     /// The fence that goes with the effect.
@@ -35,29 +35,29 @@
     until: Moment,
 }
 
-impl Held {
+impl EffectPermit {
     /// Whether the effect may begin at this moment.
     #[must_use]
-    pub fn may(&self, now: Moment) -> bool {
+    pub fn is_valid_at(&self, now: Moment) -> bool {
         now < self.until
     }
 
     /// Until when it may.
     #[must_use]
-    pub fn until(&self) -> Moment {
+    pub fn valid_until(&self) -> Moment {
         self.until
     }
 }
 
 /// How an effect ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ended {
+pub enum EffectOutcome {
     /// It is done.
     Done,
     /// It may have been done, or may yet be.
-    Perhaps,
+    Unknown,
     /// It never began: it may be tried again.
-    Never,
+    NotStarted,
     /// Its receiver has seen this higher fence, and a period where it tells one.
     Fenced(Fence, u64),
 }
@@ -68,7 +68,7 @@
     /// Time has passed.
     Tick,
     /// Another member said something.
-    Heard {
+    Received {
         /// Its name.
         from: String,
         /// Its life.
@@ -79,7 +79,7 @@
         message: Message,
     },
     /// An effect ended.
-    Ran {
+    EffectFinished {
         /// The duty.
         duty: String,
         /// The fence that it was begun under.
@@ -87,26 +87,26 @@
         /// The period's number.
         period: u64,
         /// How.
-        ended: Ended,
+        ended: EffectOutcome,
     },
     /// It is to let a duty go, to another where one is named, and not to ask for it for a while.
-    Hand {
+    HandOver {
         /// The duty.
         duty: String,
         /// The next holder.
         to: Option<String>,
     },
     /// It ends: all is let go.
-    End,
+    Shutdown,
 }
 
 /// Where a message goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum To {
+pub enum Destination {
     /// To a voter, by its place in the list.
     Voter(usize),
     /// To where the message came from that is answered.
-    Back,
+    Sender,
 }
 
 /// What a member wants done.
@@ -115,29 +115,29 @@
     /// Send this; `answers` is the life that it answers, or 0.
     Send {
         /// To whom.
-        to: To,
+        to: Destination,
         /// The life that it answers.
         answers: u64,
         /// What.
         message: Message,
     },
     /// Carry out an effect, if the value says so when it begins, and tell how it ended.
-    Run(Held),
+    RunEffect(EffectPermit),
     /// For the log and the view.
-    Told(Notice),
+    Notify(Notice),
 }
 
 /// What happened to a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Notice {
     /// This member holds it now, under this fence; too many voters may have lost their memory for the fence to be proved.
-    Holds(String, Fence, bool),
+    Acquired(String, Fence, bool),
     /// It holds it no more, and why.
-    LetGo(String, Fence, &'static str),
+    Released(String, Fence, &'static str),
     /// The holder before began this period, and whether it was done is not known: it is not run again.
-    PerhapsDone(String, u64),
+    OutcomeUnknown(String, u64),
     /// So many periods passed without a holder, and are left out.
-    Missed(String, u64),
+    PeriodsSkipped(String, u64),
 }
 
 /// One round of asking every voter.
@@ -146,7 +146,7 @@
     number: u64,
     fence: Fence,
     since: Moment,
-    mark: Mark,
+    mark: Progress,
     yes: BTreeSet<usize>,
     no: BTreeSet<usize>,
 }
@@ -164,11 +164,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Duty {
     stage: Stage,
-    effect: Option<Effect>,
+    effect: Option<Schedule>,
     /// The highest fence heard of.
     seen: Fence,
     /// How far the periods are known to be, and since when at the latest.
-    mark: Mark,
+    mark: Progress,
     marked: Moment,
     /// The effect that is out: its fence and period.
     out: Option<(Fence, u64)>,
@@ -191,7 +191,7 @@
 pub struct Member {
     me: String,
     life: u64,
-    terms: Terms,
+    terms: LeaseConfig,
     voter: Option<Voter>,
     duties: BTreeMap<String, Duty>,
     /// Voters that answered the last round of any duty, to know whom a duty can be handed to.
@@ -200,12 +200,12 @@
     due: Moment,
     ends: bool,
     #[cfg(feature = "plant")]
-    plant: Plant,
+    plant: Fault,
 }
 
 /// What operators see of a duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct View<'a> {
+pub struct DutyStatus<'a> {
     /// The duty.
     pub duty: &'a str,
     /// Who holds it, as far as this member knows.
@@ -219,7 +219,7 @@
     /// Why it changed hands last here.
     pub why: &'a str,
     /// How far the periods are.
-    pub mark: Mark,
+    pub mark: Progress,
     /// Whether the fence is proved.
     pub unproven: bool,
 }
@@ -231,8 +231,8 @@
     pub fn new(
         me: &str,
         life: u64,
-        terms: Terms,
-        duties: &[(String, Option<Effect>)],
+        terms: LeaseConfig,
+        duties: &[(String, Option<Schedule>)],
         now: Moment,
         first: bool,
     ) -> Member {
@@ -249,7 +249,7 @@
             due: now,
             ends: false,
             #[cfg(feature = "plant")]
-            plant: Plant::None,
+            plant: Fault::None,
         };
         for (name, effect) in duties {
             let asks = now.after(member.drawn(name, 0, member.terms.lease / 4));
@@ -257,7 +257,7 @@
                 stage: Stage::Idle { asks },
                 effect: *effect,
                 seen: Fence(0),
-                mark: Mark::default(),
+                mark: Progress::default(),
                 marked: now,
                 out: None,
                 rounds: 0,
@@ -278,29 +278,29 @@
     /// Plants a fault.
     #[cfg(feature = "plant")]
     #[must_use]
-    pub fn planted(mut self, plant: Plant) -> Member {
-        self.plant = plant;
+    pub fn with_fault(mut self, fault: Fault) -> Member {
+        self.plant = fault;
         if let Some(voter) = &mut self.voter {
-            voter.plant(plant);
+            voter.plant(fault);
         }
         self
     }
 
     /// Its life.
     #[must_use]
-    pub fn life(&self) -> u64 {
+    pub fn incarnation(&self) -> u64 {
         self.life
     }
 
     /// When it is to be woken at the latest.
     #[must_use]
-    pub fn due(&self) -> Moment {
+    pub fn wake_at(&self) -> Moment {
         self.due
     }
 
     /// Whether it holds a duty at this moment, and under which fence.
     #[must_use]
-    pub fn holds(&self, duty: &str, now: Moment) -> Option<Fence> {
+    pub fn held_fence(&self, duty: &str, now: Moment) -> Option<Fence> {
         match self.duties.get(duty)?.stage {
             Stage::Holding { fence, until, .. } if now < until => Some(fence),
             _ => None,
@@ -308,7 +308,7 @@
     }
 
     /// What is known of each duty.
-    pub fn view(&self, now: Moment) -> impl Iterator<Item = View<'_>> {
+    pub fn duty_statuses(&self, now: Moment) -> impl Iterator<Item = DutyStatus<'_>> {
         self.duties.iter().map(move |(name, duty)| {
             let (holder, left) = match (&duty.stage, &duty.holder) {
                 (Stage::Holding { until, .. }, _) if now < *until => {
@@ -318,13 +318,13 @@
                 _ => (None, 0),
             };
             let (fence, mark, why, unproven) = (duty.seen, duty.mark, duty.why, duty.unproven);
-            View { duty: name, holder, fence, left, since: now.since(duty.since), why, mark, unproven }
+            DutyStatus { duty: name, holder, fence, left, since: now.since(duty.since), why, mark, unproven }
         })
     }
 
     /// Whether it is a voter, and one that speaks.
     #[must_use]
-    pub fn votes(&self) -> Option<bool> {
+    pub fn voter_active(&self) -> Option<bool> {
         self.voter.as_ref().map(Voter::speaks)
     }
 
@@ -347,12 +347,12 @@
             let mut n = first;
             while n < out.len() {
                 match &out[n] {
-                    Output::Send { to: To::Voter(voter), .. } if Some(*voter) == own => {
+                    Output::Send { to: Destination::Voter(voter), .. } if Some(*voter) == own => {
                         let Output::Send { message, .. } = out.remove(n) else { continue };
                         let by = (self.me.clone(), self.life);
                         if let Some(message) = self.vote(now, &by, message) {
                             let (from, life, to) = (self.me.clone(), self.life, self.life);
-                            inputs.push_back(Input::Heard { from, life, to, message });
+                            inputs.push_back(Input::Received { from, life, to, message });
                         }
                     }
                     _ => n += 1,
@@ -365,18 +365,22 @@
     fn take(&mut self, now: Moment, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => self.tick(now, out),
-            Input::Heard { from, life, to, message } => {
-                let answer =
-                    matches!(message, Message::Yes { .. } | Message::No { .. } | Message::Known { .. });
+            Input::Received { from, life, to, message } => {
+                let answer = matches!(
+                    message,
+                    Message::Grant { .. } | Message::Refusal { .. } | Message::SyncReply { .. }
+                );
                 // What answers an earlier life of this member is none of this one's.
                 if answer && to != self.life {
                     return;
                 }
                 self.heard(now, from, life, message, out);
             }
-            Input::Ran { duty, fence, period, ended } => self.ran(now, &duty, (fence, period), ended, out),
-            Input::Hand { duty, to } => self.hand(now, &duty, to.as_deref(), "handed on", out),
-            Input::End => {
+            Input::EffectFinished { duty, fence, period, ended } => {
+                self.ran(now, &duty, (fence, period), ended, out)
+            }
+            Input::HandOver { duty, to } => self.hand(now, &duty, to.as_deref(), "handed on", out),
+            Input::Shutdown => {
                 self.ends = true;
                 let names: Vec<String> = self.duties.keys().cloned().collect();
                 for name in names {
@@ -399,16 +403,18 @@
         names.max_by_key(weight).cloned()
     }
 
-    fn vote(&mut self, now: Moment, by: &Asker, message: Message) -> Option<Message> {
+    fn vote(&mut self, now: Moment, by: &MemberId, message: Message) -> Option<Message> {
         let voter = self.voter.as_mut()?;
         match message {
-            Message::Ask { duty, fence, round, mark } => voter.ask(now, by, &duty, fence, round, mark),
+            Message::LeaseRequest { duty, fence, round, mark } => {
+                voter.ask(now, by, &duty, fence, round, mark)
+            }
             Message::Release { duty, fence, mark } => {
                 voter.release(now, by, &duty, fence, mark);
                 None
             }
-            Message::Learn { after } => Some(voter.teach(&after)),
-            Message::Known { after, duties, more, whole } => {
+            Message::SyncRequest { after } => Some(voter.teach(&after)),
+            Message::SyncReply { after, duties, more, whole } => {
                 let end = match (more, whole) {
                     (true, _) => Told::More,
                     (false, true) => Told::AllOfIt,
@@ -417,32 +423,35 @@
                 voter.learn(now, &by.0, &after, &duties, end);
                 None
             }
-            Message::Yes { .. } | Message::No { .. } | Message::Take { .. } => None,
+            Message::Grant { .. } | Message::Refusal { .. } | Message::HandOver { .. } => None,
         }
     }
 
     fn heard(&mut self, now: Moment, from: String, life: u64, message: Message, out: &mut Vec<Output>) {
         match message {
-            Message::Ask { .. } | Message::Release { .. } | Message::Learn { .. } | Message::Known { .. } => {
-                let known = matches!(message, Message::Known { .. });
+            Message::LeaseRequest { .. }
+            | Message::Release { .. }
+            | Message::SyncRequest { .. }
+            | Message::SyncReply { .. } => {
+                let known = matches!(message, Message::SyncReply { .. });
                 if let Some(message) = self.vote(now, &(from, life), message) {
-                    out.push(Output::Send { to: To::Back, answers: life, message });
+                    out.push(Output::Send { to: Destination::Sender, answers: life, message });
                 }
                 if known {
                     self.learn(now, out);
                 }
             }
-            Message::Yes { duty, fence, round, mark, age, unproven } => {
+            Message::Grant { duty, fence, round, mark, age, unproven } => {
                 let Some(voter) = self.terms.voters.iter().position(|name| *name == from) else { return };
                 self.answered.insert(voter);
                 self.yes(now, voter, &duty, (fence, round), (mark, age, unproven), out);
             }
-            Message::No { duty, round, highest, holder, spread } => {
+            Message::Refusal { duty, round, highest, holder, spread } => {
                 let Some(voter) = self.terms.voters.iter().position(|name| *name == from) else { return };
                 self.answered.insert(voter);
                 self.no(now, voter, &duty, (round, spread), highest, holder, out);
             }
-            Message::Take { duty, fence } => {
+            Message::HandOver { duty, fence } => {
                 if let Some(duty) = self.duties.get_mut(&duty).filter(|_| !self.ends) {
                     duty.seen = duty.seen.max(fence);
                     if let Stage::Idle { asks } = &mut duty.stage {
@@ -460,7 +469,7 @@
         voter: usize,
         name: &str,
         (fence, number): (Fence, u64),
-        (mark, age, unproven): (Mark, u64, bool),
+        (mark, age, unproven): (Progress, u64, bool),
         out: &mut Vec<Output>,
     ) {
         let Some(duty) = self.duties.get_mut(name) else { return };
@@ -484,14 +493,14 @@
         duty.mark = duty.mark.max(mark);
         let enough = round.yes.len() >= self.terms.majority();
         #[cfg(feature = "plant")]
-        let enough = enough || self.plant == Plant::MajorityOfTheLiving && round.yes.len() > round.no.len();
+        let enough = enough || self.plant == Fault::MajorityOfTheLiving && round.yes.len() > round.no.len();
         let (since, asked) = (round.since, round.mark);
         duty.unproven |= unproven;
         if !enough {
             return;
         }
         #[cfg(feature = "plant")]
-        let since = if self.plant == Plant::LeaseFromAnswer { now } else { since };
+        let since = if self.plant == Fault::LeaseFromAnswer { now } else { since };
         let until = since.after(self.terms.held());
         if now >= until {
             // Proved too late to be worth anything: it is over before it began.
@@ -503,11 +512,11 @@
         if asking {
             (duty.out, duty.handed) = (None, 0);
             (duty.holder, duty.since, duty.why) = (None, now, "asked and won");
-            out.push(Output::Told(Notice::Holds(name.to_owned(), fence, duty.unproven)));
+            out.push(Output::Notify(Notice::Acquired(name.to_owned(), fence, duty.unproven)));
             if duty.mark.period > 0 && !duty.mark.done {
-                out.push(Output::Told(Notice::PerhapsDone(name.to_owned(), duty.mark.period)));
+                out.push(Output::Notify(Notice::OutcomeUnknown(name.to_owned(), duty.mark.period)));
                 #[cfg(feature = "plant")]
-                if self.plant == Plant::PeriodAgain {
+                if self.plant == Fault::PeriodAgain {
                     duty.mark.period -= 1;
                 }
                 // Its fate is settled: nobody runs it again.
@@ -521,8 +530,8 @@
         {
             // A majority has the period's number, under a lease that this same round proved: now, and only now, it may run.
             duty.out = Some((fence, asked.period));
-            let held = Held { duty: name.to_owned(), fence, period: asked.period, until };
-            out.push(Output::Run(held));
+            let held = EffectPermit { duty: name.to_owned(), fence, period: asked.period, until };
+            out.push(Output::RunEffect(held));
         }
     }
 
@@ -592,7 +601,7 @@
         let voters = self.terms.voters.len();
         for voter in (0..voters).filter(|voter| !refused.contains(voter)) {
             let message = Message::Release { duty: name.to_owned(), fence, mark };
-            out.push(Output::Send { to: To::Voter(voter), answers: 0, message });
+            out.push(Output::Send { to: Destination::Voter(voter), answers: 0, message });
         }
     }
 
@@ -611,10 +620,10 @@
         if let Some(duty) = self.duties.get_mut(name) {
             duty.stage = Stage::Idle { asks };
         }
-        out.push(Output::Told(Notice::LetGo(name.to_owned(), fence, why)));
+        out.push(Output::Notify(Notice::Released(name.to_owned(), fence, why)));
         for voter in 0..self.terms.voters.len() {
             let message = Message::Release { duty: name.to_owned(), fence: last, mark };
-            out.push(Output::Send { to: To::Voter(voter), answers: 0, message });
+            out.push(Output::Send { to: Destination::Voter(voter), answers: 0, message });
         }
     }
 
@@ -627,7 +636,7 @@
             Stage::Idle { .. } => return,
         };
         #[cfg(feature = "plant")]
-        if self.plant == Plant::ReleaseWithoutStopping {
+        if self.plant == Fault::ReleaseWithoutStopping {
             let stays = duty.clone();
             self.let_go(now, name, why, out);
             self.duties.insert(name.to_owned(), stays);
@@ -636,8 +645,8 @@
         self.let_go(now, name, why, out);
         let next = to.and_then(|to| self.terms.voters.iter().position(|voter| voter == to));
         if let Some(voter) = next.filter(|voter| self.terms.voters[*voter] != self.me) {
-            let message = Message::Take { duty: name.to_owned(), fence };
-            out.push(Output::Send { to: To::Voter(voter), answers: 0, message });
+            let message = Message::HandOver { duty: name.to_owned(), fence };
+            out.push(Output::Send { to: Destination::Voter(voter), answers: 0, message });
         }
     }
 
@@ -646,7 +655,7 @@
         now: Moment,
         name: &str,
         (fence, of): (Fence, u64),
-        ended: Ended,
+        ended: EffectOutcome,
         out: &mut Vec<Output>,
     ) {
         // What was begun under an earlier grant was settled when that ended.
@@ -656,8 +665,8 @@
         duty.out = None;
         match ended {
             // Not known to be done is settled too: it is never run again.
-            Ended::Done | Ended::Perhaps => duty.mark.done = true,
-            Ended::Never => {
+            EffectOutcome::Done | EffectOutcome::Unknown => duty.mark.done = true,
+            EffectOutcome::NotStarted => {
                 // The number is not used up, as nothing began under it; but only this grant knows that.
                 if let Stage::Holding { renews, .. } = &mut duty.stage {
                     *renews = now.after(self.terms.lease / 8);
@@ -665,10 +674,10 @@
                     duty.mark.done = true;
                 }
             }
-            Ended::Fenced(seen, period) => {
+            EffectOutcome::Fenced(seen, period) => {
                 duty.seen = duty.seen.max(seen);
                 if period > duty.mark.period {
-                    (duty.mark, duty.marked) = (Mark { period, done: true }, now);
+                    (duty.mark, duty.marked) = (Progress { period, done: true }, now);
                 }
                 duty.mark.done = true;
                 if matches!(duty.stage, Stage::Holding { fence: held, .. } if held == fence && held <= seen) {
@@ -709,7 +718,7 @@
         let wants = voter.tick(now, &self.me);
         if now >= self.learns {
             self.learns = now.after((self.terms.lease / 4).max(1));
-            let send = |(to, message)| Output::Send { to: To::Voter(to), answers: 0, message };
+            let send = |(to, message)| Output::Send { to: Destination::Voter(to), answers: 0, message };
             out.extend(wants.into_iter().map(send));
         }
     }
@@ -720,18 +729,18 @@
         duty.rounds += 1;
         let fence = Fence(duty.seen.0 + 1);
         #[cfg(feature = "plant")]
-        let fence = if self.plant == Plant::FenceAnew { Fence(1 + duty.failed) } else { fence };
+        let fence = if self.plant == Fault::FenceAnew { Fence(1 + duty.failed) } else { fence };
         (duty.seen, duty.unproven) = (fence, false);
-        let round = Round::new(duty.rounds, fence, now, Mark::default());
+        let round = Round::new(duty.rounds, fence, now, Progress::default());
         let number = round.number;
         duty.stage = Stage::Asking { fence, round };
-        self.send(name, fence, number, Mark::default(), out);
+        self.send(name, fence, number, Progress::default(), out);
     }
 
-    fn send(&self, name: &str, fence: Fence, round: u64, mark: Mark, out: &mut Vec<Output>) {
+    fn send(&self, name: &str, fence: Fence, round: u64, mark: Progress, out: &mut Vec<Output>) {
         for voter in 0..self.terms.voters.len() {
-            let message = Message::Ask { duty: name.to_owned(), fence, round, mark };
-            out.push(Output::Send { to: To::Voter(voter), answers: 0, message });
+            let message = Message::LeaseRequest { duty: name.to_owned(), fence, round, mark };
+            out.push(Output::Send { to: Destination::Voter(voter), answers: 0, message });
         }
     }
 
@@ -757,12 +766,12 @@
             // Caught up with one by one, but for what lies too far back.
             let missed = if effect.catch_up { passed.saturating_sub(CAUGHT_UP) } else { passed - 1 };
             if missed > 0 {
-                out.push(Output::Told(Notice::Missed(name.to_owned(), missed)));
+                out.push(Output::Notify(Notice::PeriodsSkipped(name.to_owned(), missed)));
             }
             // Kept to its own beat, so that what is late once is not late for ever.
             let first = duty.mark.period == 0;
             duty.marked = if first { now } else { duty.marked.after(effect.period * (missed + 1)) };
-            duty.mark = Mark { period: duty.mark.period + missed + 1, done: false };
+            duty.mark = Progress { period: duty.mark.period + missed + 1, done: false };
         }
         duty.rounds += 1;
         // A voter may have promised a higher one to a candidate that came to nothing: only a higher one is renewed there.
@@ -813,7 +822,7 @@
 }
 
 impl Round {
-    fn new(number: u64, fence: Fence, since: Moment, mark: Mark) -> Round {
+    fn new(number: u64, fence: Fence, since: Moment, mark: Progress) -> Round {
         Round { number, fence, since, mark, yes: BTreeSet::new(), no: BTreeSet::new() }
     }
 }
--- a/crates/duties/src/words.rs
+++ b/crates/duties/src/protocol.rs
@@ -29,7 +29,7 @@
 
 /// How far a duty's periods have come: the last that was begun, and whether it is known to be done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Progress {
     /// The number of the last period that was begun; 0 for none.
     pub period: u64,
     /// It is known to be done; else it is perhaps done, and never run again.
@@ -38,7 +38,7 @@
 
 /// What all members are told alike.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// How long a lease is, in microseconds.
     pub lease: u64,
     /// By how many millionths a clock may run off.
@@ -47,7 +47,7 @@
     pub voters: Vec<String>,
 }
 
-impl Terms {
+impl LeaseConfig {
     /// How many voters are a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
@@ -76,7 +76,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// A candidate or the holder asks a voter for a lease under this fence, and has it keep the mark.
-    Ask {
+    #[serde(rename = "Ask")]
+    LeaseRequest {
         /// The duty.
         duty: String,
         /// The fence.
@@ -84,10 +85,11 @@
         /// The asker's count of its rounds, so that an answer is of this one.
         round: u64,
         /// How far the periods are to be noted.
-        mark: Mark,
+        mark: Progress,
     },
     /// The voter grants it.
-    Yes {
+    #[serde(rename = "Yes")]
+    Grant {
         /// The duty.
         duty: String,
         /// The fence.
@@ -95,14 +97,15 @@
         /// The round.
         round: u64,
         /// How far the voter knows the periods to be, the asker's own mark in it.
-        mark: Mark,
+        mark: Progress,
         /// How long ago it first heard of that period, in microseconds.
         age: u64,
         /// It has lost its memory, and so had too many others: fences may have gone back.
         unproven: bool,
     },
     /// The voter does not.
-    No {
+    #[serde(rename = "No")]
+    Refusal {
         /// The duty.
         duty: String,
         /// The round.
@@ -122,26 +125,29 @@
         /// The fence.
         fence: Fence,
         /// How far the periods are.
-        mark: Mark,
+        mark: Progress,
     },
     /// The duty is handed to the one who hears this: ask now.
-    Take {
+    #[serde(rename = "Take")]
+    HandOver {
         /// The duty.
         duty: String,
         /// The fence that was let go.
         fence: Fence,
     },
     /// A voter that lost its memory asks another what it knows, from this duty on.
-    Learn {
+    #[serde(rename = "Learn")]
+    SyncRequest {
         /// Duties up to this one were told before.
         after: String,
     },
     /// What a voter knows, a bounded part of it.
-    Known {
+    #[serde(rename = "Known")]
+    SyncReply {
         /// Duties up to this one were told before.
         after: String,
         /// Duties, the highest fence of each and how far its periods are.
-        duties: Vec<(String, Fence, Mark)>,
+        duties: Vec<(String, Fence, Progress)>,
         /// More follow behind the last.
         more: bool,
         /// It remembers all that it promised; else this is what is left to it.
@@ -150,9 +156,9 @@
 }
 
 /// The version of the words; another one is not understood.
-const VERSION: u8 = 1;
+const PROTOCOL_VERSION: u8 = 1;
 /// The longest datagram, in bytes: it fits into a packet on the usual networks.
-pub const MOST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
 /// A message on its way.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -174,19 +180,26 @@
     /// A message of this life of this member.
     #[must_use]
     pub fn new(fleet: &str, from: &str, life: u64, to: u64, message: Message) -> Datagram {
-        Datagram { version: VERSION, fleet: fleet.to_owned(), from: from.to_owned(), life, to, message }
+        Datagram {
+            version: PROTOCOL_VERSION,
+            fleet: fleet.to_owned(),
+            from: from.to_owned(),
+            life,
+            to,
+            message,
+        }
     }
 
     /// As bytes; none where it would be too long, which names of bounded length never are.
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
-        postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MOST)
+        postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
     }
 
     /// Reads one, whole; none where it is malformed, of another version or of another fleet.
     #[must_use]
     pub fn decode(bytes: &[u8], fleet: &str) -> Option<Datagram> {
         let (read, rest) = postcard::take_from_bytes::<Datagram>(bytes).ok()?;
-        (rest.is_empty() && read.version == VERSION && read.fleet == fleet).then_some(read)
+        (rest.is_empty() && read.version == PROTOCOL_VERSION && read.fleet == fleet).then_some(read)
     }
 }
--- a/crates/duties/src/voter.rs
+++ b/crates/duties/src/voter.rs
@@ -1,6 +1,6 @@
 //! A voter: what it promised for each duty, and whether it may speak. It owns its promises; nothing else changes them.
 
-use crate::words::{Fence, Mark, Message, Moment, Terms};
+use crate::protocol::{Fence, LeaseConfig, Message, Moment, Progress};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How many duties a voter keeps; one more is refused. Bounds its memory.
@@ -14,16 +14,16 @@
 /// After so many leases of silence a voter that could not learn from enough others speaks all the same, and says so.
 const PATIENCE: u64 = 5;
 /// Who holds a lease: a member and its life.
-pub type Asker = (String, u64);
+pub type MemberId = (String, u64);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Promise {
     /// The highest fence granted, and to whom.
     highest: Fence,
-    of: Option<Asker>,
+    of: Option<MemberId>,
     /// The lease on it, where it was not let go.
     until: Option<Moment>,
-    mark: Mark,
+    mark: Progress,
     /// When the mark's period was first heard of.
     marked: Moment,
     /// Asked by others since then, and over how long they are told to spread their asking.
@@ -48,7 +48,7 @@
 /// A voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    terms: Terms,
+    terms: LeaseConfig,
     duties: BTreeMap<String, Promise>,
     memory: Memory,
     /// The others that remember and have told all, and those that have lost their memory too.
@@ -63,7 +63,7 @@
 impl Voter {
     /// One that starts without what it promised before, if it ever did.
     #[must_use]
-    pub fn begin(terms: Terms, now: Moment) -> Voter {
+    pub fn begin(terms: LeaseConfig, now: Moment) -> Voter {
         let memory =
             Memory::Silent { least: now.after(terms.kept()), most: now.after(PATIENCE * terms.kept()) };
         Voter {
@@ -79,13 +79,13 @@
 
     /// The first start of the fleet, where nothing was ever promised: for the exploration.
     #[must_use]
-    pub fn first(terms: Terms) -> Voter {
+    pub fn first(terms: LeaseConfig) -> Voter {
         Voter { memory: Memory::Whole, ..Voter::begin(terms, Moment::default()) }
     }
 
     #[cfg(feature = "plant")]
-    pub(crate) fn plant(&mut self, plant: crate::plant::Plant) {
-        if plant == crate::plant::Plant::VotesAtOnce {
+    pub(crate) fn plant(&mut self, plant: crate::fault::Fault) {
+        if plant == crate::fault::Fault::VotesAtOnce {
             self.memory = Memory::Whole;
         }
     }
@@ -122,7 +122,10 @@
         let open = others.filter(|name| !self.learnt.contains(*name));
         let number = |name: &String| self.terms.voters.iter().position(|voter| voter == name);
         let learn = |name: &String| {
-            Some((number(name)?, Message::Learn { after: self.told.get(name).cloned().unwrap_or_default() }))
+            Some((
+                number(name)?,
+                Message::SyncRequest { after: self.told.get(name).cloned().unwrap_or_default() },
+            ))
         };
         open.filter_map(learn).collect()
     }
@@ -146,11 +149,11 @@
     pub fn ask(
         &mut self,
         now: Moment,
-        by: &Asker,
+        by: &MemberId,
         duty: &str,
         fence: Fence,
         round: u64,
-        mark: Mark,
+        mark: Progress,
     ) -> Option<Message> {
         if !self.speaks() || !self.duties.contains_key(duty) && self.duties.len() >= DUTIES {
             return None;
@@ -168,18 +171,24 @@
         let gone = mine && promise.until.is_none();
         if held.is_some() || gone || !mine && fence <= promise.highest {
             let spread = promise.crowd(now, self.terms.lease);
-            return Some(Message::No { duty: name, round, highest: promise.highest, holder: held, spread });
+            return Some(Message::Refusal {
+                duty: name,
+                round,
+                highest: promise.highest,
+                holder: held,
+                spread,
+            });
         }
         (promise.highest, promise.of) = (fence, Some(by.clone()));
         promise.until = Some(now.after(self.terms.kept()));
         promise.note(now, mark);
         let (mark, age) = (promise.mark, now.since(promise.marked));
         let proved = promise.proved;
-        Some(Message::Yes { duty: name, fence, round, mark, age, unproven: self.unproven() && !proved })
+        Some(Message::Grant { duty: name, fence, round, mark, age, unproven: self.unproven() && !proved })
     }
 
     /// A holder or candidate lets a fence go.
-    pub fn release(&mut self, now: Moment, by: &Asker, duty: &str, fence: Fence, mark: Mark) {
+    pub fn release(&mut self, now: Moment, by: &MemberId, duty: &str, fence: Fence, mark: Progress) {
         if let Some(promise) = self.duties.get_mut(duty)
             && promise.highest <= fence
             && promise.of.as_ref() == Some(by)
@@ -195,7 +204,7 @@
         let mut behind = self.duties.iter().filter(|(name, _)| name.as_str() > after);
         let duties = behind.by_ref().take(TOLD).map(|(name, p)| (name.clone(), p.highest, p.mark)).collect();
         let (more, whole) = (behind.next().is_some(), self.memory == Memory::Whole);
-        Message::Known { after: after.to_owned(), duties, more, whole }
+        Message::SyncReply { after: after.to_owned(), duties, more, whole }
     }
 
     /// Another voter tells what it knows, behind a duty that it had told up to.
@@ -204,7 +213,7 @@
         now: Moment,
         from: &str,
         after: &str,
-        known: &[(String, Fence, Mark)],
+        known: &[(String, Fence, Progress)],
         end: Told,
     ) {
         // Only of voters is anything kept: other names would have no bound.
@@ -264,7 +273,7 @@
         self.spread
     }
 
-    fn note(&mut self, now: Moment, mark: Mark) {
+    fn note(&mut self, now: Moment, mark: Progress) {
         if mark.period > self.mark.period {
             self.marked = now;
         }
--- a/crates/duties/tests/common/mod.rs
+++ b/crates/duties/tests/common/mod.rs
@@ -3,10 +3,11 @@
 
 #![allow(dead_code)]
 
-use dunlincleat_duties::machine::Held;
-use dunlincleat_duties::plant::Plant;
+use dunlincleat_duties::fault::Fault;
+use dunlincleat_duties::member::EffectPermit;
 use dunlincleat_duties::{
-    Datagram, Effect, Ended, Fence, Input, Member, Message, Moment, Notice, Output, Terms, To,
+    Datagram, Destination, EffectOutcome, Fence, Input, LeaseConfig, Member, Message, Moment, Notice, Output,
+    Schedule,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -45,7 +46,7 @@
 }
 
 enum Later {
-    Run(usize, u64, Held),
+    Run(usize, u64, EffectPermit),
     Ran(usize, u64, Input),
 }
 
@@ -54,9 +55,9 @@
     pub rng: SmallRng,
     net: Net,
     names: Vec<String>,
-    terms: Terms,
-    duties: Vec<(String, Option<Effect>)>,
-    plant: Plant,
+    terms: LeaseConfig,
+    duties: Vec<(String, Option<Schedule>)>,
+    plant: Fault,
     processes: Vec<Process>,
     flying: Vec<Flying>,
     later: Vec<(u64, Later)>,
@@ -76,10 +77,10 @@
 }
 
 impl World {
-    pub fn new(seed: u64, members: usize, voters: usize, duties: usize, net: Net, plant: Plant) -> World {
+    pub fn new(seed: u64, members: usize, voters: usize, duties: usize, net: Net, plant: Fault) -> World {
         let names: Vec<String> = (0..members).map(|n| format!("n{n}")).collect();
-        let terms = Terms { lease: LEASE, drift: DRIFT, voters: names[..voters].to_vec() };
-        let effect = Some(Effect { period: PERIOD, catch_up: seed.is_multiple_of(2) });
+        let terms = LeaseConfig { lease: LEASE, drift: DRIFT, voters: names[..voters].to_vec() };
+        let effect = Some(Schedule { period: PERIOD, catch_up: seed.is_multiple_of(2) });
         let duties = (0..duties).map(|n| (format!("d{n}"), effect)).collect();
         let mut world = World {
             now: 10_000_000,
@@ -138,7 +139,7 @@
         let (life, now) = (self.rng.random_range(1..u64::MAX), self.clock(n));
         let first = self.processes[n].life == 0 && self.now == 10_000_000;
         let member = Member::new(&self.names[n], life, self.terms.clone(), &self.duties, now, first)
-            .planted(self.plant);
+            .with_fault(self.plant);
         self.processes[n].member = Some(member);
         (self.processes[n].life, self.processes[n].still) = (life, 0);
     }
@@ -175,8 +176,8 @@
             match output {
                 Output::Send { to, answers, message } => {
                     let to = match to {
-                        To::Voter(voter) => Some(voter),
-                        To::Back => back,
+                        Destination::Voter(voter) => Some(voter),
+                        Destination::Sender => back,
                     };
                     let Some(to) = to else { continue };
                     self.messages += 1;
@@ -186,13 +187,13 @@
                     assert_eq!(Datagram::decode(&bytes, "fleet").as_ref(), Some(&datagram));
                     self.fly(n, to, datagram);
                 }
-                Output::Run(held) => {
+                Output::RunEffect(held) => {
                     // The effect itself begins a little later, sometimes much later.
                     let after =
                         if self.rng.random_bool(0.1) { self.rng.random_range(0..2 * LEASE) } else { 200 };
                     self.later.push((self.now + after, Later::Run(n, life, held)));
                 }
-                Output::Told(Notice::Holds(duty, fence, unproven)) => {
+                Output::Notify(Notice::Acquired(duty, fence, unproven)) => {
                     if let Some(since) = self.vacant.remove(&duty) {
                         self.takeovers.push(self.now - since);
                     }
@@ -202,7 +203,9 @@
                     }
                     *highest = (*highest).max(fence);
                 }
-                Output::Told(Notice::LetGo(..) | Notice::PerhapsDone(..) | Notice::Missed(..)) => {}
+                Output::Notify(
+                    Notice::Released(..) | Notice::OutcomeUnknown(..) | Notice::PeriodsSkipped(..),
+                ) => {}
             }
         }
         self.audit();
@@ -237,7 +240,7 @@
         for (duty, _) in &self.duties {
             let holds = |n: &usize| {
                 let now = self.clock(*n);
-                self.processes[*n].member.as_ref().is_some_and(|m| m.holds(duty, now).is_some())
+                self.processes[*n].member.as_ref().is_some_and(|m| m.held_fence(duty, now).is_some())
             };
             let holders: Vec<usize> = (0..self.processes.len()).filter(holds).collect();
             if holders.len() > 1 {
@@ -249,15 +252,15 @@
         }
     }
 
-    fn effect(&mut self, n: usize, held: Held) -> Option<Ended> {
+    fn effect(&mut self, n: usize, held: EffectPermit) -> Option<EffectOutcome> {
         let now = self.clock(n);
-        if !held.may(now) {
-            return Some(Ended::Never);
+        if !held.is_valid_at(now) {
+            return Some(EffectOutcome::NotStarted);
         }
         let seen = self.seen.entry(held.duty.clone()).or_default();
         if held.fence < *seen {
             self.fenced += 1;
-            return Some(Ended::Fenced(*seen, 0));
+            return Some(EffectOutcome::Fenced(*seen, 0));
         }
         *seen = held.fence;
         let times = self.ran.entry((held.duty.clone(), held.period)).or_default();
@@ -266,13 +269,13 @@
             self.broken.push(format!("once a period: {} ran {} {times} times", held.duty, held.period));
         }
         // Its answer is lost at times.
-        Some(if self.rng.random_bool(0.1) { Ended::Perhaps } else { Ended::Done })
+        Some(if self.rng.random_bool(0.1) { EffectOutcome::Unknown } else { EffectOutcome::Done })
     }
 
     /// Goes on to the next thing that happens, but no further than that.
     pub fn step(&mut self, until: u64) -> bool {
         let due = |n: usize| {
-            self.processes[n].member.as_ref().map(|m| self.real(n, m.due()).max(self.processes[n].still))
+            self.processes[n].member.as_ref().map(|m| self.real(n, m.wake_at()).max(self.processes[n].still))
         };
         let tick = (0..self.processes.len()).filter_map(|n| Some((due(n)?, n))).min();
         let flies = self
@@ -302,7 +305,10 @@
                         && let Some(ended) = self.effect(n, held)
                     {
                         let at = self.now + self.rng.random_range(100..3_000);
-                        self.later.push((at, Later::Ran(n, life, Input::Ran { duty, fence, period, ended })));
+                        self.later.push((
+                            at,
+                            Later::Ran(n, life, Input::EffectFinished { duty, fence, period, ended }),
+                        ));
                     }
                 }
                 Later::Ran(n, life, input) => {
@@ -317,7 +323,7 @@
             let mut out = Vec::new();
             if let Some(member) = &mut self.processes[to].member {
                 let Datagram { from, life, to, message, .. } = datagram;
-                member.handle(now, Input::Heard { from, life, to, message }, &mut out);
+                member.handle(now, Input::Received { from, life, to, message }, &mut out);
             }
             self.carry_out(to, Some(from), out);
         } else if let Some((_, n)) = tick {
@@ -332,19 +338,19 @@
 
     pub fn held(&self, duty: &str) -> Option<usize> {
         let holds = |n: &usize| {
-            self.processes[*n].member.as_ref().is_some_and(|m| m.holds(duty, self.clock(*n)).is_some())
+            self.processes[*n].member.as_ref().is_some_and(|m| m.held_fence(duty, self.clock(*n)).is_some())
         };
         (0..self.processes.len()).find(holds)
     }
 
     /// Nothing that a message brings may be more than a bounded number of bytes.
     pub fn asks(message: &Message) -> bool {
-        matches!(message, Message::Ask { .. })
+        matches!(message, Message::LeaseRequest { .. })
     }
 }
 
 /// A day of faults: kills without memory, pauses around the lease, cuts; then quiet, at the end of which the duty is held.
-pub fn day(seed: u64, members: usize, voters: usize, plant: Plant) -> World {
+pub fn day(seed: u64, members: usize, voters: usize, plant: Fault) -> World {
     let mut draw = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let net = Net { lose: [0.0, 0.05, 0.2][draw.random_range(0..3)], twice: 0.05, slow: 0.05, late: 0.02 };
     let mut world = World::new(seed, members, voters, 1, net, plant);
--- a/crates/duties/tests/days.rs
+++ b/crates/duties/tests/days.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use dunlincleat_duties::plant::Plant;
+use dunlincleat_duties::fault::Fault;
 use dunlincleat_duties::{Fence, Input};
 
 /// Safety on every seed; and once the faults are over the duty is held again within a bound and its periods go on.
@@ -11,7 +11,7 @@
 fn one_holder_rising_fences_and_each_period_once_whatever_the_seed() {
     for seed in 0..400 {
         let voters = [3, 5, 3, 7][seed as usize % 4];
-        let mut world = day(seed, voters + seed as usize % 3, voters, Plant::None);
+        let mut world = day(seed, voters + seed as usize % 3, voters, Fault::None);
         // A lease that is out, the longest pause, and the time of some rounds through the loss.
         let quiet = world.now + 12 * LEASE;
         world.run(quiet);
@@ -27,11 +27,11 @@
 #[test]
 fn each_planted_fault_is_found_by_its_property() {
     for (plant, property) in [
-        (Plant::LeaseFromAnswer, "one holder"),
-        (Plant::VotesAtOnce, "one holder"),
-        (Plant::MajorityOfTheLiving, "one holder"),
-        (Plant::PeriodAgain, "once a period"),
-        (Plant::FenceAnew, "fences rise"),
+        (Fault::LeaseFromAnswer, "one holder"),
+        (Fault::VotesAtOnce, "one holder"),
+        (Fault::MajorityOfTheLiving, "one holder"),
+        (Fault::PeriodAgain, "once a period"),
+        (Fault::FenceAnew, "fences rise"),
     ] {
         let found = (0..4000).find(|&seed: &u64| {
             let mut world = day(seed, 3 + seed as usize % 3, 3, plant);
@@ -47,12 +47,12 @@
 /// A holder that lets go without stopping overlaps with the next.
 #[test]
 fn letting_go_without_stopping_is_found() {
-    for (plant, broken) in [(Plant::None, false), (Plant::ReleaseWithoutStopping, true)] {
+    for (plant, broken) in [(Fault::None, false), (Fault::ReleaseWithoutStopping, true)] {
         let mut world = World::new(1, 3, 3, 1, Net::default(), plant);
         world.run(world.now + 2 * LEASE);
         let holder = world.held("d0").unwrap();
         let to = Some(format!("n{}", (holder + 1) % 3));
-        world.tell(holder, Input::Hand { duty: "d0".into(), to });
+        world.tell(holder, Input::HandOver { duty: "d0".into(), to });
         world.run(world.now + LEASE / 4);
         assert_eq!(!world.broken.is_empty(), broken, "{:?}", world.broken);
     }
@@ -62,10 +62,10 @@
 #[test]
 fn a_planned_end_hands_on_within_some_round_trips() {
     for seed in 0..50 {
-        let mut world = World::new(seed, 5, 3, 1, Net::default(), Plant::None);
+        let mut world = World::new(seed, 5, 3, 1, Net::default(), Fault::None);
         world.run(world.now + 2 * LEASE);
         let holder = world.held("d0").unwrap();
-        world.tell(holder, Input::End);
+        world.tell(holder, Input::Shutdown);
         assert_eq!(world.held("d0"), None);
         world.run(world.now + 20_000);
         assert!(world.held("d0").is_some_and(|next| next != holder), "seed {seed}");
@@ -76,11 +76,11 @@
 #[test]
 fn after_a_total_loss_the_receiver_teaches_the_fence() {
     for seed in 0..50 {
-        let mut world = World::new(seed, 3, 3, 1, Net::default(), Plant::None);
+        let mut world = World::new(seed, 3, 3, 1, Net::default(), Fault::None);
         for _ in 0..8 {
             world.run(world.now + 3 * LEASE);
             let holder = world.held("d0").unwrap_or(0);
-            world.tell(holder, Input::Hand { duty: "d0".into(), to: None });
+            world.tell(holder, Input::HandOver { duty: "d0".into(), to: None });
         }
         let highest = world.granted["d0"];
         assert!(highest > Fence(6), "{highest:?}");
@@ -97,7 +97,7 @@
 /// 300 duties whose holder dies: what the others send until all are held again is bounded.
 #[test]
 fn many_duties_of_one_holder_are_taken_over_with_bounded_messages() {
-    let mut world = World::new(1, 5, 3, 300, Net::default(), Plant::None);
+    let mut world = World::new(1, 5, 3, 300, Net::default(), Fault::None);
     world.run(world.now + 2 * LEASE);
     world.kill(4);
     world.kill(0);
@@ -113,7 +113,7 @@
 #[test]
 fn a_member_sends_no_more_among_five_hundred_than_among_fifty() {
     let heard = |members: usize| {
-        let mut world = World::new(1, members, 5, 1, Net::default(), Plant::None);
+        let mut world = World::new(1, members, 5, 1, Net::default(), Fault::None);
         // The first asking, of all at once, has been spread by then.
         world.run(world.now + 25 * LEASE);
         let before = world.messages;
@@ -137,7 +137,7 @@
 #[test]
 fn a_candidate_that_came_to_nothing_takes_no_voter_from_the_holder() {
     for seed in 0..40 {
-        let mut world = World::new(seed, 3, 3, 1, Net::default(), Plant::None);
+        let mut world = World::new(seed, 3, 3, 1, Net::default(), Fault::None);
         // One voter starts late, when another holds it already, and its own candidate hears nobody but itself.
         world.kill(2);
         world.run(world.now + 2 * LEASE);
--- a/crates/duties/tests/explore.rs
+++ b/crates/duties/tests/explore.rs
@@ -2,8 +2,10 @@
 //! a message lost, doubled, or delivered later; a process that stands still, or dies and returns without its memory. Known
 //! as delay-bounded exploration (Emmi, Qadeer, Rakamaric, POPL 2011): complete for its bound, in discrete time.
 
-use dunlincleat_duties::plant::Plant;
-use dunlincleat_duties::{Datagram, Effect, Fence, Input, Member, Moment, Notice, Output, Terms, To};
+use dunlincleat_duties::fault::Fault;
+use dunlincleat_duties::{
+    Datagram, Destination, Fence, Input, LeaseConfig, Member, Moment, Notice, Output, Schedule,
+};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
 use std::hash::{Hash, Hasher};
@@ -26,18 +28,18 @@
     broken: Option<String>,
 }
 
-fn terms() -> Terms {
-    Terms { lease: LEASE, drift: 0, voters: ["a", "b", "c"].map(str::to_owned).to_vec() }
+fn terms() -> LeaseConfig {
+    LeaseConfig { lease: LEASE, drift: 0, voters: ["a", "b", "c"].map(str::to_owned).to_vec() }
 }
 
-fn member(n: usize, life: u64, now: u64, first: bool, plant: Plant) -> Member {
-    let effect = Effect { period: 6, catch_up: false };
+fn member(n: usize, life: u64, now: u64, first: bool, plant: Fault) -> Member {
+    let effect = Schedule { period: 6, catch_up: false };
     let duties = if n < 2 { vec![("d".to_owned(), Some(effect))] } else { Vec::new() };
-    Member::new(&terms().voters[n], life, terms(), &duties, Moment(now), first).planted(plant)
+    Member::new(&terms().voters[n], life, terms(), &duties, Moment(now), first).with_fault(plant)
 }
 
 impl State {
-    fn begin(plant: Plant) -> State {
+    fn begin(plant: Fault) -> State {
         let members = (0..3).map(|n| member(n, n as u64 + 1, 10, true, plant)).collect();
         State {
             now: 10,
@@ -55,34 +57,34 @@
 
     fn tell(&mut self, n: usize, back: usize, input: Input) {
         let mut out = Vec::new();
-        let life = self.members[n].life();
+        let life = self.members[n].incarnation();
         self.members[n].handle(Moment(self.now), input, &mut out);
         for output in out {
             match output {
                 Output::Send { to, answers, message } => {
-                    let to = if let To::Voter(voter) = to { voter } else { back };
+                    let to = if let Destination::Voter(voter) = to { voter } else { back };
                     let datagram = Datagram::new("f", &terms().voters[n], life, answers, message);
                     self.sent += 1;
                     self.net.push((self.now, self.sent, n, to, datagram));
                 }
-                Output::Run(held) if held.may(Moment(self.now)) => {
+                Output::RunEffect(held) if held.is_valid_at(Moment(self.now)) => {
                     if !self.ran.insert(held.period) {
                         self.broken = Some(format!("once a period: {} ran again", held.period));
                     }
                     let (duty, fence, period) = (held.duty, held.fence, held.period);
-                    let ended = dunlincleat_duties::Ended::Done;
-                    self.tell(n, n, Input::Ran { duty, fence, period, ended });
+                    let ended = dunlincleat_duties::EffectOutcome::Done;
+                    self.tell(n, n, Input::EffectFinished { duty, fence, period, ended });
                 }
-                Output::Told(Notice::Holds(_, fence, unproven)) => {
+                Output::Notify(Notice::Acquired(_, fence, unproven)) => {
                     if fence <= self.highest && !unproven {
                         self.broken = Some(format!("fences rise: {fence:?} after {:?}", self.highest));
                     }
                     self.highest = self.highest.max(fence);
                 }
-                Output::Run(_) | Output::Told(_) => {}
+                Output::RunEffect(_) | Output::Notify(_) => {}
             }
         }
-        let holds = (0..3).filter(|n| self.members[*n].holds("d", Moment(self.now)).is_some()).count();
+        let holds = (0..3).filter(|n| self.members[*n].held_fence("d", Moment(self.now)).is_some()).count();
         if holds > 1 {
             self.broken = Some(format!("one holder: {holds} at {}", self.now));
         }
@@ -91,16 +93,16 @@
     fn deliver(&mut self, at: usize) {
         let (_, _, from, to, datagram) = self.net.remove(at);
         let Datagram { from: name, life, to: answers, message, .. } = datagram;
-        self.tell(to, from, Input::Heard { from: name, life, to: answers, message });
+        self.tell(to, from, Input::Received { from: name, life, to: answers, message });
     }
 
-    fn die(&mut self, n: usize, plant: Plant) {
+    fn die(&mut self, n: usize, plant: Fault) {
         self.lives += 1;
         self.members[n] = member(n, self.lives, self.now, false, plant);
     }
 
     /// What may come next: the orderly step, and each departure from it.
-    fn next(&self, most: u32, plant: Plant) -> Vec<State> {
+    fn next(&self, most: u32, plant: Fault) -> Vec<State> {
         let mut all = Vec::new();
         let mut depart = |change: &dyn Fn(&mut State)| {
             let mut state = self.clone();
@@ -111,7 +113,7 @@
         let ready =
             self.net.iter().enumerate().filter(|(_, m)| m.0 <= self.now && self.still[m.3] <= self.now);
         let ready = ready.min_by_key(|(_, m)| m.1).map(|(n, _)| n);
-        let tick = (0..3).find(|n| self.still[*n] <= self.now && self.members[*n].due().0 <= self.now);
+        let tick = (0..3).find(|n| self.still[*n] <= self.now && self.members[*n].wake_at().0 <= self.now);
         let may = self.departures < most;
         if let Some(at) = ready {
             let to = self.net[at].3;
@@ -160,7 +162,7 @@
 }
 
 /// The number of states, what was broken, and how many were held at the end of the orderly execution.
-fn explore(departures: u32, plant: Plant) -> (usize, Option<String>, usize) {
+fn explore(departures: u32, plant: Fault) -> (usize, Option<String>, usize) {
     let (mut seen, mut open, mut most) = (HashSet::new(), vec![State::begin(plant)], 0);
     while let Some(state) = open.pop() {
         if let Some(broken) = &state.broken {
@@ -178,7 +180,7 @@
 #[test]
 fn every_execution_within_two_departures_keeps_the_properties() {
     let departures = std::env::var("DEPARTURES").ok().and_then(|n| n.parse().ok()).unwrap_or(2);
-    let (states, broken, ran) = explore(departures, Plant::None);
+    let (states, broken, ran) = explore(departures, Fault::None);
     println!("{states} states within {departures} departures; the orderly execution ran {ran} periods");
     assert_eq!(broken, None);
     assert!(ran >= 3 && states > 10_000, "{states} states, {ran} periods");
@@ -187,10 +189,10 @@
 #[test]
 fn planted_faults_are_found_within_two_departures() {
     for (plant, property) in [
-        (Plant::VotesAtOnce, "fences rise"),
-        (Plant::MajorityOfTheLiving, "one holder"),
-        (Plant::LeaseFromAnswer, "one holder"),
-        (Plant::PeriodAgain, "once a period"),
+        (Fault::VotesAtOnce, "fences rise"),
+        (Fault::MajorityOfTheLiving, "one holder"),
+        (Fault::LeaseFromAnswer, "one holder"),
+        (Fault::PeriodAgain, "once a period"),
     ] {
         let (states, broken, _) = explore(2, plant);
         println!("{plant:?}: {broken:?} after {states} states");
--- a/crates/dutyshell/src/lib.rs
+++ b/crates/dutyshell/src/lib.rs
@@ -11,8 +11,10 @@
 use actix_http::{Method, RequestHead};
 use anyhow::{Context, Result};
 use dunlincleat::api::RequestId;
-use dunlincleat_duties::machine::{Held, View};
-use dunlincleat_duties::{Datagram, Effect, Ended, Fence, Input, Member, Moment, Notice, Output, Terms, To};
+use dunlincleat_duties::member::{DutyStatus, EffectPermit};
+use dunlincleat_duties::{
+    Datagram, Destination, EffectOutcome, Fence, Input, LeaseConfig, Member, Moment, Notice, Output, Schedule,
+};
 use dunlincleat_engine::Answer;
 use dunlincleat_http::Handle;
 use dunlincleat_http::front::InForce;
@@ -47,7 +49,7 @@
 }
 
 /// The shell, before it runs.
-pub struct Shell {
+pub struct DutyDriver {
     socket: UdpSocket,
     member: Member,
     fleet: Arc<Fleet>,
@@ -64,7 +66,7 @@
     ended: (mpsc::UnboundedSender<Input>, mpsc::UnboundedReceiver<Input>),
 }
 
-impl Shell {
+impl DutyDriver {
     /// Opens the socket of a member of this name.
     ///
     /// # Errors
@@ -77,21 +79,21 @@
         in_force: watch::Receiver<Rc<InForce>>,
         desk: Arc<Desk>,
         orders: mpsc::UnboundedReceiver<Order>,
-    ) -> Result<Shell> {
+    ) -> Result<DutyDriver> {
         let open = || -> std::io::Result<UdpSocket> {
             let socket = std::net::UdpSocket::bind(fleet.listen)?;
             socket.set_nonblocking(true)?;
             UdpSocket::from_std(socket)
         };
         let socket = open().with_context(|| format!("fleet.listen: '{}'", fleet.listen))?;
-        let effect = |call: &dunlincleat_limits::fleet::Call| Effect {
+        let effect = |call: &dunlincleat_limits::fleet::Call| Schedule {
             period: call.period.0,
             catch_up: call.catch_up,
         };
-        let duties: Vec<(String, Option<Effect>)> =
+        let duties: Vec<(String, Option<Schedule>)> =
             fleet.duties.iter().map(|duty| (duty.name.clone(), duty.call.as_ref().map(effect))).collect();
         let voters = fleet.voters.iter().map(|(name, _)| name.clone()).collect();
-        let terms = Terms { lease: fleet.lease.0, drift: fleet.drift, voters };
+        let terms = LeaseConfig { lease: fleet.lease.0, drift: fleet.drift, voters };
         // A life's number is new with each start, whatever the configuration says.
         let life = RandomState::new().build_hasher().finish() | 1;
         let member = Member::new(me, life, terms, &duties, now(), false);
@@ -105,7 +107,7 @@
         );
         let (me, ended) = (me.to_owned(), mpsc::unbounded_channel());
         let foreign = Seldom::default();
-        Ok(Shell {
+        Ok(DutyDriver {
             socket,
             member,
             fleet,
@@ -127,11 +129,11 @@
         let mut bytes = vec![0; 2048];
         loop {
             self.show();
-            let due = Duration::from_micros(self.member.due().since(now()));
+            let due = Duration::from_micros(self.member.wake_at().since(now()));
             let mut wake = Instant::now() + due.min(Duration::from_secs(1));
             if let Some(ends) = self.ends {
                 if self.out == 0 || ends <= Instant::now() {
-                    return self.tell(Input::End, None);
+                    return self.tell(Input::Shutdown, None);
                 }
                 wake = wake.min(ends);
             }
@@ -142,7 +144,7 @@
                     self.tell(input, None);
                 }
                 order = self.orders.recv() => match order {
-                    Some(Order::Hand { duty, to }) => self.tell(Input::Hand { duty, to }, None),
+                    Some(Order::Hand { duty, to }) => self.tell(Input::HandOver { duty, to }, None),
                     Some(Order::End) | None => self.ends = Some(Instant::now() + FINISH),
                 },
                 () = sleep_until(wake) => self.tell(Input::Tick, None),
@@ -162,7 +164,7 @@
     fn hear(&mut self, bytes: &[u8], at: SocketAddr) {
         match Datagram::decode(bytes, &self.fleet.name) {
             Some(Datagram { from, life, to, message, .. }) => {
-                self.tell(Input::Heard { from, life, to, message }, Some(at));
+                self.tell(Input::Received { from, life, to, message }, Some(at));
             }
             None => {
                 let line = format!("fleet: a datagram that is malformed or of another fleet, from {at}");
@@ -178,55 +180,60 @@
             match output {
                 Output::Send { to, answers, message } => {
                     let at = match to {
-                        To::Voter(n) => self.fleet.voters.get(n).map(|(_, at)| *at),
-                        To::Back => back,
+                        Destination::Voter(n) => self.fleet.voters.get(n).map(|(_, at)| *at),
+                        Destination::Sender => back,
                     };
-                    let datagram =
-                        Datagram::new(&self.fleet.name, &self.me, self.member.life(), answers, message);
+                    let datagram = Datagram::new(
+                        &self.fleet.name,
+                        &self.me,
+                        self.member.incarnation(),
+                        answers,
+                        message,
+                    );
                     if let (Some(at), Some(bytes)) = (at, datagram.encode()) {
                         // One that the machine can't take now is lost like any other.
                         let _ = self.socket.try_send_to(&bytes, at);
                     }
                 }
-                Output::Run(held) => self.carry_out(held),
-                Output::Told(notice) => told(&notice),
+                Output::RunEffect(held) => self.carry_out(held),
+                Output::Notify(notice) => told(&notice),
             }
         }
     }
 
     /// Has an effect made as a request through the engine, which draws the server as for any other.
-    fn carry_out(&mut self, held: Held) {
+    fn carry_out(&mut self, held: EffectPermit) {
         let call =
             self.fleet.duties.iter().find(|duty| duty.name == held.duty).and_then(|duty| duty.call.clone());
         let Some(call) = call else { return };
         let (duty, fence, period) = (held.duty.clone(), held.fence, held.period);
         let (ended, in_force) = (self.ended.0.clone(), self.in_force.borrow().clone());
         self.out += 1;
-        let tell = move |how| drop(ended.send(Input::Ran { duty, fence, period, ended: how }));
-        let left = held.until().since(now());
+        let tell = move |how| drop(ended.send(Input::EffectFinished { duty, fence, period, ended: how }));
+        let left = held.valid_until().since(now());
         if left == 0 {
-            return tell(Ended::Never);
+            return tell(EffectOutcome::NotStarted);
         }
         let id = RequestId(self.next);
         self.next += 1;
-        let name = format!("duty-{:016x}-{}-{}", self.member.life(), fence.0, period);
+        let name = format!("duty-{:016x}-{}-{}", self.member.incarnation(), fence.0, period);
         let request = request(&held, &call.path, &name, left, &in_force);
         let (request, errand) = match request {
             Ok(made) => made,
             Err(error) => {
                 tracing::warn!("duty {}: its call can't be made: {error:#}", held.duty);
-                return tell(Ended::Never);
+                return tell(EffectOutcome::NotStarted);
             }
         };
         let (slot, answer) = oneshot::channel();
         self.engine.request(id, request.ask.clone(), Rc::new(request), Instant::now(), slot);
         actix_rt::spawn(async move {
             let how = match (answer.await, errand.told()) {
-                (Ok(Answer::Served(_)), _) => Ended::Done,
-                (_, Some((seen, period))) => Ended::Fenced(Fence(seen), period),
-                (Ok(Answer::Refused { .. }), None) => Ended::Never,
-                (Ok(Answer::Failed) | Err(_), None) if !errand.begun() => Ended::Never,
-                (Ok(Answer::Failed) | Err(_), None) => Ended::Perhaps,
+                (Ok(Answer::Served(_)), _) => EffectOutcome::Done,
+                (_, Some((seen, period))) => EffectOutcome::Fenced(Fence(seen), period),
+                (Ok(Answer::Refused { .. }), None) => EffectOutcome::NotStarted,
+                (Ok(Answer::Failed) | Err(_), None) if !errand.begun() => EffectOutcome::NotStarted,
+                (Ok(Answer::Failed) | Err(_), None) => EffectOutcome::Unknown,
             };
             tell(how);
         });
@@ -238,20 +245,20 @@
             return;
         }
         let now = now();
-        let line = |view: View<'_>| {
+        let line = |view: DutyStatus<'_>| {
             json!({"duty": view.duty, "holder": view.holder, "fence": view.fence.0, "left_ms": view.left / 1000,
                 "since_ms": view.since / 1000, "why": view.why, "period": view.mark.period, "done": view.mark.done,
-                "proved": !view.unproven, "me": self.me, "votes": self.member.votes()})
+                "proved": !view.unproven, "me": self.me, "votes": self.member.voter_active()})
             .to_string()
         };
-        let lines: Vec<String> = self.member.view(now).map(line).collect();
+        let lines: Vec<String> = self.member.duty_statuses(now).map(line).collect();
         self.desk.show(lines.join("\n"));
     }
 }
 
 /// The request of an effect, and the errand that goes with it.
 fn request(
-    held: &Held,
+    held: &EffectPermit,
     path: &str,
     name: &str,
     left: u64,
@@ -277,7 +284,7 @@
         ("x-duty-period", held.period.to_string()),
     ]);
     let held = held.clone();
-    let errand = Rc::new(Errand::new(headers, move || held.may(now())));
+    let errand = Rc::new(Errand::new(headers, move || held.is_valid_at(now())));
     let request = Request::decode(&head, &in_force.site, in_force.rules.as_deref());
     let request = request.map_err(|malformed| anyhow::anyhow!("{}", malformed.what))?;
     Ok((request.on(errand.clone()), errand))
@@ -285,32 +292,34 @@
 
 fn told(notice: &Notice) {
     match notice {
-        Notice::Holds(duty, fence, unproven) => {
+        Notice::Acquired(duty, fence, unproven) => {
             let proved = if *unproven { ", not proved: too many voters had lost their memory" } else { "" };
             tracing::info!("duty {duty}: held here, fence {}{proved}", fence.0);
         }
-        Notice::LetGo(duty, fence, why) => tracing::info!("duty {duty}: let go, fence {}: {why}", fence.0),
-        Notice::PerhapsDone(duty, period) => {
+        Notice::Released(duty, fence, why) => tracing::info!("duty {duty}: let go, fence {}: {why}", fence.0),
+        Notice::OutcomeUnknown(duty, period) => {
             tracing::warn!(
                 "duty {duty}: period {period} was begun by the holder before and is perhaps done: not run again"
             );
         }
-        Notice::Missed(duty, n) => tracing::warn!("duty {duty}: {n} periods were missed and are left out"),
+        Notice::PeriodsSkipped(duty, n) => {
+            tracing::warn!("duty {duty}: {n} periods were missed and are left out")
+        }
     }
 }
 
 /// A fault that a test plants in the program itself.
 #[cfg(feature = "plant")]
 fn planted(member: Member) -> Member {
-    use dunlincleat_duties::plant::Plant;
+    use dunlincleat_duties::fault::Fault;
     let plant = match std::env::var("EDGE_PLANT").unwrap_or_default().as_str() {
-        "lease-from-answer" => Plant::LeaseFromAnswer,
-        "votes-at-once" => Plant::VotesAtOnce,
-        "majority-of-the-living" => Plant::MajorityOfTheLiving,
-        "release-without-stopping" => Plant::ReleaseWithoutStopping,
-        "period-again" => Plant::PeriodAgain,
-        "fence-anew" => Plant::FenceAnew,
-        _ => Plant::None,
+        "lease-from-answer" => Fault::LeaseFromAnswer,
+        "votes-at-once" => Fault::VotesAtOnce,
+        "majority-of-the-living" => Fault::MajorityOfTheLiving,
+        "release-without-stopping" => Fault::ReleaseWithoutStopping,
+        "period-again" => Fault::PeriodAgain,
+        "fence-anew" => Fault::FenceAnew,
+        _ => Fault::None,
     };
-    member.planted(plant)
+    member.with_fault(plant)
 }
--- a/crates/lab/src/slopes/duty.rs
+++ b/crates/lab/src/slopes/duty.rs
@@ -2,7 +2,7 @@
 
 use super::{Context, cpu};
 use anyhow::{Result, bail};
-use dunlincleat_duties::{Datagram, Input, Member, Moment, Output, Terms, To};
+use dunlincleat_duties::{Datagram, Destination, Input, LeaseConfig, Member, Moment, Output};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -44,7 +44,7 @@
     fn new(members: usize) -> Fleet {
         let names: Vec<String> = (0..members).map(|n| format!("sidecar-{n:04}")).collect();
         let voters = names.iter().take(if members < 5 { 3 } else { 5 }).cloned().collect();
-        let terms = Terms { lease: LEASE, drift: DRIFT, voters };
+        let terms = LeaseConfig { lease: LEASE, drift: DRIFT, voters };
         let duties = [("settle".to_owned(), None)];
         let member = |(n, name): (usize, &String)| {
             Member::new(name, n as u64 + 1, terms.clone(), &duties, Moment(0), true)
@@ -64,7 +64,7 @@
 
     /// Has a member woken when it wants to be.
     fn plan(&mut self, n: usize) {
-        let due = self.members[n].due().0;
+        let due = self.members[n].wake_at().0;
         if due < self.woken[n] {
             self.woken[n] = due;
             self.push(due, n, None);
@@ -84,7 +84,7 @@
                         bail!("a datagram can't be read")
                     };
                     let Datagram { from: name, life, to, message, .. } = read;
-                    (Some(from), Input::Heard { from: name, life, to, message })
+                    (Some(from), Input::Received { from: name, life, to, message })
                 }
             };
             let mut out = Vec::new();
@@ -92,10 +92,10 @@
             for output in out {
                 let Output::Send { to: hears, answers, message } = output else { continue };
                 let hears = match hears {
-                    To::Voter(voter) => Some(voter),
-                    To::Back => back,
+                    Destination::Voter(voter) => Some(voter),
+                    Destination::Sender => back,
                 };
-                let life = self.members[to].life();
+                let life = self.members[to].incarnation();
                 let datagram = Datagram::new(FLEET, &self.names[to], life, answers, message);
                 let (Some(hears), Some(bytes)) = (hears, datagram.encode()) else { continue };
                 self.said.messages += 1;
@@ -117,7 +117,7 @@
     let (before, first) = (fleet.said, cpu());
     fleet.play((warm + leases) * LEASE)?;
     let took = cpu() - first;
-    let holds = |member: &&Member| member.holds("settle", Moment((warm + leases) * LEASE)).is_some();
+    let holds = |member: &&Member| member.held_fence("settle", Moment((warm + leases) * LEASE)).is_some();
     if fleet.members.iter().filter(holds).count() != 1 {
         bail!("the duty has no holder among {members} members, or more than one, seed {}", context.seed);
     }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -11,7 +11,7 @@
 use config::Config;
 use dunlincleat::api::{Reports, Settings, Time};
 use dunlincleat_directory::{Follower, Listing, Snapshot};
-use dunlincleat_dutyshell::Shell;
+use dunlincleat_dutyshell::DutyDriver;
 use dunlincleat_engine::Watch;
 use dunlincleat_engine::clock::Clock;
 use dunlincleat_engine::shell::{Actor, Gauges, mailbox};
@@ -167,7 +167,7 @@
     desk: &Arc<Desk>,
 ) -> Result<mpsc::UnboundedSender<Order>> {
     let (send, orders) = mpsc::unbounded_channel();
-    let shell = Shell::open(fleet, name, engine, in_force, desk.clone(), orders)?;
+    let shell = DutyDriver::open(fleet, name, engine, in_force, desk.clone(), orders)?;
     let by_console = send.clone();
     desk.follow(move |order| drop(by_console.send(order)));
     actix_rt::spawn(shell.run());
