--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -25,5 +25,5 @@
 pub mod protocol;
 pub mod voter;
 
-pub use member::{Destination, EffectOutcome, Input, Member, Notice, Output, Schedule};
+pub use member::{Destination, DutySpec, EffectOutcome, Input, Member, Notice, Output, Schedule};
 pub use protocol::{Datagram, Fence, LeaseConfig, Message, Moment, Progress};
--- a/crates/duties/src/member.rs
+++ b/crates/duties/src/member.rs
@@ -3,27 +3,43 @@
 
 #[cfg(feature = "plant")]
 use crate::fault::Fault;
-use crate::protocol::{Fence, LeaseConfig, Message, Moment, Progress};
-use crate::voter::{MemberId, Told, Voter};
+use crate::protocol::{
+    CurrentHolder, Fence, Grant, LeaseConfig, LeaseRequest, Message, Moment, Progress, Refusal, Release,
+};
+use crate::voter::{MemberId, Voter};
 use rustc_hash::FxHasher;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-/// Missed periods that are caught up with at the most.
-const CAUGHT_UP: u64 = 100;
-/// How often one that a duty was handed to asks again at once.
-const HANDED: u8 = 8;
-
-/// An effect on a schedule.
+/// The largest number of missed periods that are caught up on.
+const MAX_CATCH_UP_PERIODS: u64 = 100;
+/// How many times the receiver of a handover retries at once, as the previous holder's release may reach voters later than
+/// its request.
+const HANDOVER_RETRIES: u8 = 8;
+/// The exponential backoff after failed rounds doubles this many times at most.
+const MAX_BACKOFF_DOUBLINGS: u64 = 4;
+/// The longest interval for spreading requests that is accepted from a voter, in leases.
+const MAX_ACCEPTED_SPREAD_LEASES: u64 = 64;
+
+/// The schedule of a duty's effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Schedule {
-    /// How often, in microseconds.
-    pub period: u64,
+    /// The interval between effects, in microseconds.
+    pub period_us: u64,
     /// A missed period is run late; else it is told and left out.
     pub catch_up: bool,
 }
 
-/// Permission to carry out one effect: a value with a deadline, asked at the effect itself.
+/// A duty that a member is a candidate for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DutySpec {
+    /// The name of the duty.
+    pub name: String,
+    /// The schedule of its effect; none if the duty has no effect of its own.
+    pub schedule: Option<Schedule>,
+}
+
+/// Permission to carry out one effect until a deadline, to be checked at the effect itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EffectPermit {
     /// The duty.
@@ -58,8 +74,13 @@
     Unknown,
     /// It never began: it may be tried again.
     NotStarted,
-    /// Its receiver has seen this higher fence, and a period where it tells one.
-    Fenced(Fence, u64),
+    /// Its receiver refused the fence.
+    Fenced {
+        /// The higher fence that the receiver has seen.
+        highest: Fence,
+        /// The latest period that the receiver has seen; 0 if it did not report one.
+        period: u64,
+    },
 }
 
 /// What a member is told.
@@ -71,10 +92,10 @@
     Received {
         /// Its name.
         from: String,
-        /// Its life.
-        life: u64,
-        /// The life of this member that it answers; 0 where it answers nothing.
-        to: u64,
+        /// The incarnation of the sender.
+        incarnation: u64,
+        /// The incarnation of this member that the message replies to; 0 if it is not a reply.
+        in_reply_to: u64,
         /// What.
         message: Message,
     },
@@ -86,8 +107,8 @@
         fence: Fence,
         /// The period's number.
         period: u64,
-        /// How.
-        ended: EffectOutcome,
+        /// Its outcome.
+        outcome: EffectOutcome,
     },
     /// It is to let a duty go, to another where one is named, and not to ask for it for a while.
     HandOver {
@@ -116,8 +137,8 @@
     Send {
         /// To whom.
         to: Destination,
-        /// The life that it answers.
-        answers: u64,
+        /// The incarnation of the receiver that the message replies to, or 0.
+        in_reply_to: u64,
         /// What.
         message: Message,
     },
@@ -130,14 +151,38 @@
 /// What happened to a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Notice {
-    /// This member holds it now, under this fence; too many voters may have lost their memory for the fence to be proved.
-    Acquired(String, Fence, bool),
-    /// It holds it no more, and why.
-    Released(String, Fence, &'static str),
-    /// The holder before began this period, and whether it was done is not known: it is not run again.
-    OutcomeUnknown(String, u64),
-    /// So many periods passed without a holder, and are left out.
-    PeriodsSkipped(String, u64),
+    /// This member acquired the duty.
+    Acquired {
+        /// The duty.
+        duty: String,
+        /// The fence of the grant.
+        fence: Fence,
+        /// So many voters may have lost their memory that the fence is not proven to be the highest.
+        unproven: bool,
+    },
+    /// This member no longer holds the duty.
+    Released {
+        /// The duty.
+        duty: String,
+        /// The fence it was held under.
+        fence: Fence,
+        /// Why it was released.
+        reason: &'static str,
+    },
+    /// The previous holder started this period and its outcome is unknown; it is not run again.
+    OutcomeUnknown {
+        /// The duty.
+        duty: String,
+        /// The number of the period.
+        period: u64,
+    },
+    /// Periods passed without a holder and are skipped.
+    PeriodsSkipped {
+        /// The duty.
+        duty: String,
+        /// The number of periods skipped.
+        count: u64,
+    },
 }
 
 /// One round of asking every voter.
@@ -145,62 +190,79 @@
 struct Round {
     number: u64,
     fence: Fence,
-    since: Moment,
-    mark: Progress,
-    yes: BTreeSet<usize>,
-    no: BTreeSet<usize>,
+    started: Moment,
+    progress: Progress,
+    granted: BTreeSet<usize>,
+    refused: BTreeSet<usize>,
+}
+
+/// The role of this member in a duty.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum Role {
+    /// Neither holder nor candidate until this moment.
+    Idle { request_at: Moment },
+    /// Requesting the lease under this fence.
+    Candidate { fence: Fence, round: Round },
+    /// Holding the lease; a round that renews it may be in flight.
+    Holder { fence: Fence, until: Moment, renew_at: Moment, round: Option<Round> },
+}
+
+/// An effect in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct RunningEffect {
+    fence: Fence,
+    period: u64,
 }
 
+/// A holder reported by the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Stage {
-    /// Not held by this member; it asks then.
-    Idle { asks: Moment },
-    /// Asking under this fence.
-    Asking { fence: Fence, round: Round },
-    /// Held.
-    Holding { fence: Fence, until: Moment, renews: Moment, round: Option<Round> },
+struct KnownHolder {
+    name: String,
+    /// When its lease expires, by the clock of this member.
+    until: Moment,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Duty {
-    stage: Stage,
-    effect: Option<Schedule>,
-    /// The highest fence heard of.
-    seen: Fence,
-    /// How far the periods are known to be, and since when at the latest.
-    mark: Progress,
-    marked: Moment,
-    /// The effect that is out: its fence and period.
-    out: Option<(Fence, u64)>,
+    role: Role,
+    schedule: Option<Schedule>,
+    /// The highest fence known.
+    highest: Fence,
+    /// The progress of the schedule as far as known.
+    progress: Progress,
+    /// The latest moment at which the period in `progress` may have started.
+    period_started: Moment,
+    running: Option<RunningEffect>,
     /// Rounds asked in this life, and how often asking failed in a row.
     rounds: u64,
-    failed: u64,
-    /// Over how long a voter last said to spread the next asking.
-    spread: u64,
-    /// It was handed to this member: so often it asks again at once, as the word of its release may come behind that.
-    handed: u8,
-    /// Who holds it, by the voters' word, and until when by this clock.
-    holder: Option<(String, Moment)>,
+    /// Consecutive failed rounds as candidate, which set the backoff.
+    failed_rounds: u64,
+    /// The interval over which a voter last asked to spread requests.
+    spread_us: u64,
+    /// Immediate retries left after a handover to this member.
+    handover_retries: u8,
+    known_holder: Option<KnownHolder>,
     unproven: bool,
-    why: &'static str,
-    since: Moment,
+    /// Why the duty last changed hands here, and when.
+    reason: &'static str,
+    changed_at: Moment,
 }
 
 /// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    me: String,
-    life: u64,
-    terms: LeaseConfig,
+    name: String,
+    incarnation: u64,
+    config: LeaseConfig,
     voter: Option<Voter>,
     duties: BTreeMap<String, Duty>,
-    /// Voters that answered the last round of any duty, to know whom a duty can be handed to.
-    answered: BTreeSet<usize>,
-    learns: Moment,
-    due: Moment,
-    ends: bool,
+    /// Voters that have replied to a lease request of any duty: candidates for a handover.
+    responsive_voters: BTreeSet<usize>,
+    next_sync: Moment,
+    wake_at: Moment,
+    shutting_down: bool,
     #[cfg(feature = "plant")]
-    plant: Fault,
+    fault: Fault,
 }
 
 /// What operators see of a duty.
@@ -212,14 +274,14 @@
     pub holder: Option<&'a str>,
     /// The highest fence it has heard of.
     pub fence: Fence,
-    /// For how much longer it is held, in microseconds.
-    pub left: u64,
-    /// For how long that has been so, in microseconds, by this member's own word.
-    pub since: u64,
-    /// Why it changed hands last here.
-    pub why: &'a str,
-    /// How far the periods are.
-    pub mark: Progress,
+    /// The time until the lease expires, in microseconds.
+    pub remaining_us: u64,
+    /// The time since the last change of hands at this member, in microseconds.
+    pub since_us: u64,
+    /// Why it last changed hands here.
+    pub reason: &'a str,
+    /// The progress of the schedule.
+    pub progress: Progress,
     /// Whether the fence is proved.
     pub unproven: bool,
 }
@@ -229,49 +291,50 @@
     /// only an exploration can know.
     #[must_use]
     pub fn new(
-        me: &str,
-        life: u64,
-        terms: LeaseConfig,
-        duties: &[(String, Option<Schedule>)],
+        name: &str,
+        incarnation: u64,
+        config: LeaseConfig,
+        duties: &[DutySpec],
         now: Moment,
-        first: bool,
+        first_start: bool,
     ) -> Member {
-        let votes = terms.voters.iter().any(|name| name == me);
-        let voter = if first { Voter::first(terms.clone()) } else { Voter::begin(terms.clone(), now) };
+        let is_voter = config.voter_index(name).is_some();
+        let voter =
+            if first_start { Voter::first_start(config.clone()) } else { Voter::start(config.clone(), now) };
         let mut member = Member {
-            me: me.to_owned(),
-            life,
-            voter: votes.then_some(voter),
-            terms,
+            name: name.to_owned(),
+            incarnation,
+            voter: is_voter.then_some(voter),
+            config,
             duties: BTreeMap::new(),
-            answered: BTreeSet::new(),
-            learns: now,
-            due: now,
-            ends: false,
+            responsive_voters: BTreeSet::new(),
+            next_sync: now,
+            wake_at: now,
+            shutting_down: false,
             #[cfg(feature = "plant")]
-            plant: Fault::None,
+            fault: Fault::None,
         };
-        for (name, effect) in duties {
-            let asks = now.after(member.drawn(name, 0, member.terms.lease / 4));
+        for spec in duties {
+            let request_at = now.after(member.jitter(&spec.name, 0, member.config.lease_us / 4));
             let duty = Duty {
-                stage: Stage::Idle { asks },
-                effect: *effect,
-                seen: Fence(0),
-                mark: Progress::default(),
-                marked: now,
-                out: None,
+                role: Role::Idle { request_at },
+                schedule: spec.schedule,
+                highest: Fence(0),
+                progress: Progress::default(),
+                period_started: now,
+                running: None,
                 rounds: 0,
-                failed: 0,
-                spread: 0,
-                handed: 0,
-                holder: None,
+                failed_rounds: 0,
+                spread_us: 0,
+                handover_retries: 0,
+                known_holder: None,
                 unproven: false,
-                why: "never held",
-                since: now,
+                reason: "never held",
+                changed_at: now,
             };
-            member.duties.insert(name.clone(), duty);
+            member.duties.insert(spec.name.clone(), duty);
         }
-        member.plan(now);
+        member.schedule_wake(now);
         member
     }
 
@@ -279,9 +342,9 @@
     #[cfg(feature = "plant")]
     #[must_use]
     pub fn with_fault(mut self, fault: Fault) -> Member {
-        self.plant = fault;
+        self.fault = fault;
         if let Some(voter) = &mut self.voter {
-            voter.plant(fault);
+            voter.inject(fault);
         }
         self
     }
@@ -289,20 +352,20 @@
     /// Its life.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
-        self.life
+        self.incarnation
     }
 
     /// When it is to be woken at the latest.
     #[must_use]
     pub fn wake_at(&self) -> Moment {
-        self.due
+        self.wake_at
     }
 
     /// Whether it holds a duty at this moment, and under which fence.
     #[must_use]
     pub fn held_fence(&self, duty: &str, now: Moment) -> Option<Fence> {
-        match self.duties.get(duty)?.stage {
-            Stage::Holding { fence, until, .. } if now < until => Some(fence),
+        match self.duties.get(duty)?.role {
+            Role::Holder { fence, until, .. } if now < until => Some(fence),
             _ => None,
         }
     }
@@ -310,30 +373,43 @@
     /// What is known of each duty.
     pub fn duty_statuses(&self, now: Moment) -> impl Iterator<Item = DutyStatus<'_>> {
         self.duties.iter().map(move |(name, duty)| {
-            let (holder, left) = match (&duty.stage, &duty.holder) {
-                (Stage::Holding { until, .. }, _) if now < *until => {
-                    (Some(self.me.as_str()), until.since(now))
+            let (holder, remaining_us) = match (&duty.role, &duty.known_holder) {
+                (Role::Holder { until, .. }, _) if now < *until => {
+                    (Some(self.name.as_str()), until.since(now))
                 }
-                (_, Some((holder, until))) if now < *until => (Some(holder.as_str()), until.since(now)),
+                (_, Some(known)) if now < known.until => (Some(known.name.as_str()), known.until.since(now)),
                 _ => (None, 0),
             };
-            let (fence, mark, why, unproven) = (duty.seen, duty.mark, duty.why, duty.unproven);
-            DutyStatus { duty: name, holder, fence, left, since: now.since(duty.since), why, mark, unproven }
+            DutyStatus {
+                duty: name,
+                holder,
+                fence: duty.highest,
+                remaining_us,
+                since_us: now.since(duty.changed_at),
+                reason: duty.reason,
+                progress: duty.progress,
+                unproven: duty.unproven,
+            }
         })
     }
 
     /// Whether it is a voter, and one that speaks.
     #[must_use]
     pub fn voter_active(&self) -> Option<bool> {
-        self.voter.as_ref().map(Voter::speaks)
+        self.voter.as_ref().map(Voter::is_active)
     }
 
-    /// A number under a bound that differs from member to member, duty to duty and try to try, and is the same each time.
-    fn drawn(&self, duty: &str, tries: u64, under: u64) -> u64 {
+    /// A number below `bound` that differs between members, duties and attempts, and is the same for the same arguments.
+    fn jitter(&self, duty: &str, attempt: u64, bound: u64) -> u64 {
         let mut hasher = FxHasher::default();
-        (&self.me, duty, tries, self.life).hash(&mut hasher);
-        // Its low bits follow the last word hashed: the high ones are spread.
-        ((u128::from(hasher.finish()) * u128::from(under.max(1))) >> 64) as u64
+        (&self.name, duty, attempt, self.incarnation).hash(&mut hasher);
+        // Only the high bits are well spread; the low bits follow the last value hashed.
+        ((u128::from(hasher.finish()) * u128::from(bound.max(1))) >> 64) as u64
+    }
+
+    /// How long a round waits for replies before it has failed.
+    fn round_timeout(&self) -> u64 {
+        self.config.lease_us / 8
     }
 
     /// Takes one input at a time; what it wants done is added in order.
@@ -342,59 +418,72 @@
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let first = out.len();
-            self.take(now, input, out);
-            let own = self.terms.voters.iter().position(|name| *name == self.me);
-            let mut n = first;
-            while n < out.len() {
-                match &out[n] {
-                    Output::Send { to: Destination::Voter(voter), .. } if Some(*voter) == own => {
-                        let Output::Send { message, .. } = out.remove(n) else { continue };
-                        let by = (self.me.clone(), self.life);
-                        if let Some(message) = self.vote(now, &by, message) {
-                            let (from, life, to) = (self.me.clone(), self.life, self.life);
-                            inputs.push_back(Input::Received { from, life, to, message });
-                        }
-                    }
-                    _ => n += 1,
+            self.handle_one(now, input, out);
+            for message in self.take_own_messages(first, out) {
+                let own_id = MemberId { name: self.name.clone(), incarnation: self.incarnation };
+                if let Some(message) = self.deliver_to_voter(now, &own_id, message) {
+                    inputs.push_back(Input::Received {
+                        from: own_id.name,
+                        incarnation: self.incarnation,
+                        in_reply_to: self.incarnation,
+                        message,
+                    });
                 }
             }
         }
-        self.plan(now);
+        self.schedule_wake(now);
     }
 
-    fn take(&mut self, now: Moment, input: Input, out: &mut Vec<Output>) {
+    /// Removes the messages to this member's own voter from the outputs that start at `first`.
+    fn take_own_messages(&self, first: usize, out: &mut Vec<Output>) -> Vec<Message> {
+        let own = self.config.voter_index(&self.name);
+        let is_own = |output: &Output| matches!(output, Output::Send { to: Destination::Voter(n), .. } if Some(*n) == own);
+        let mut messages = Vec::new();
+        let mut n = first;
+        while n < out.len() {
+            if !is_own(&out[n]) {
+                n += 1;
+            } else if let Output::Send { message, .. } = out.remove(n) {
+                messages.push(message);
+            }
+        }
+        messages
+    }
+
+    fn handle_one(&mut self, now: Moment, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => self.tick(now, out),
-            Input::Received { from, life, to, message } => {
-                let answer = matches!(
-                    message,
-                    Message::Grant { .. } | Message::Refusal { .. } | Message::SyncReply { .. }
-                );
-                // What answers an earlier life of this member is none of this one's.
-                if answer && to != self.life {
+            Input::Received { from, incarnation, in_reply_to, message } => {
+                let is_reply =
+                    matches!(message, Message::Grant(_) | Message::Refusal(_) | Message::SyncReply(_));
+                // Replies to an earlier incarnation of this member are ignored.
+                if is_reply && in_reply_to != self.incarnation {
                     return;
                 }
-                self.heard(now, from, life, message, out);
+                self.receive(now, MemberId { name: from, incarnation }, message, out);
             }
-            Input::EffectFinished { duty, fence, period, ended } => {
-                self.ran(now, &duty, (fence, period), ended, out)
+            Input::EffectFinished { duty, fence, period, outcome } => {
+                self.on_effect_finished(now, &duty, RunningEffect { fence, period }, outcome, out);
             }
-            Input::HandOver { duty, to } => self.hand(now, &duty, to.as_deref(), "handed on", out),
+            Input::HandOver { duty, to } => self.hand_over(now, &duty, to.as_deref(), "handed on", out),
             Input::Shutdown => {
-                self.ends = true;
+                self.shutting_down = true;
                 let names: Vec<String> = self.duties.keys().cloned().collect();
                 for name in names {
-                    let next = self.next(&name);
-                    self.hand(now, &name, next.as_deref(), "told to end", out);
+                    let successor = self.successor(&name);
+                    self.hand_over(now, &name, successor.as_deref(), "told to end", out);
                 }
             }
         }
     }
 
-    /// Another voter that answered last, in an order that differs from duty to duty.
-    fn next(&self, duty: &str) -> Option<String> {
-        let names =
-            self.answered.iter().filter_map(|n| self.terms.voters.get(*n)).filter(|name| **name != self.me);
+    /// Another voter that is known to reply, chosen by a hash so that duties spread over the voters.
+    fn successor(&self, duty: &str) -> Option<String> {
+        let names = self
+            .responsive_voters
+            .iter()
+            .filter_map(|voter| self.config.voters.get(*voter))
+            .filter(|name| **name != self.name);
         let weight = |name: &&String| {
             let mut hasher = FxHasher::default();
             (*name, duty).hash(&mut hasher);
@@ -403,288 +492,332 @@
         names.max_by_key(weight).cloned()
     }
 
-    fn vote(&mut self, now: Moment, by: &MemberId, message: Message) -> Option<Message> {
+    /// Has this member's voter handle a message. Returns its reply.
+    fn deliver_to_voter(&mut self, now: Moment, from: &MemberId, message: Message) -> Option<Message> {
         let voter = self.voter.as_mut()?;
         match message {
-            Message::LeaseRequest { duty, fence, round, mark } => {
-                voter.ask(now, by, &duty, fence, round, mark)
-            }
-            Message::Release { duty, fence, mark } => {
-                voter.release(now, by, &duty, fence, mark);
+            Message::LeaseRequest(request) => voter.handle_request(now, from, request),
+            Message::Release(release) => {
+                voter.handle_release(now, from, &release);
                 None
             }
-            Message::SyncRequest { after } => Some(voter.teach(&after)),
-            Message::SyncReply { after, duties, more, whole } => {
-                let end = match (more, whole) {
-                    (true, _) => Told::More,
-                    (false, true) => Told::AllOfIt,
-                    (false, false) => Told::AllThatIsLeft,
-                };
-                voter.learn(now, &by.0, &after, &duties, end);
+            Message::SyncRequest { after } => Some(Message::SyncReply(voter.sync_reply(&after))),
+            Message::SyncReply(reply) => {
+                voter.handle_sync_reply(now, &from.name, &reply);
                 None
             }
-            Message::Grant { .. } | Message::Refusal { .. } | Message::HandOver { .. } => None,
+            Message::Grant(_) | Message::Refusal(_) | Message::HandOver { .. } => None,
         }
     }
 
-    fn heard(&mut self, now: Moment, from: String, life: u64, message: Message, out: &mut Vec<Output>) {
+    fn receive(&mut self, now: Moment, from: MemberId, message: Message, out: &mut Vec<Output>) {
         match message {
-            Message::LeaseRequest { .. }
-            | Message::Release { .. }
+            Message::LeaseRequest(_)
+            | Message::Release(_)
             | Message::SyncRequest { .. }
-            | Message::SyncReply { .. } => {
-                let known = matches!(message, Message::SyncReply { .. });
-                if let Some(message) = self.vote(now, &(from, life), message) {
-                    out.push(Output::Send { to: Destination::Sender, answers: life, message });
+            | Message::SyncReply(_) => {
+                let is_sync_reply = matches!(message, Message::SyncReply(_));
+                if let Some(message) = self.deliver_to_voter(now, &from, message) {
+                    let in_reply_to = from.incarnation;
+                    out.push(Output::Send { to: Destination::Sender, in_reply_to, message });
                 }
-                if known {
-                    self.learn(now, out);
+                if is_sync_reply {
+                    self.sync_voter(now, out);
                 }
             }
-            Message::Grant { duty, fence, round, mark, age, unproven } => {
-                let Some(voter) = self.terms.voters.iter().position(|name| *name == from) else { return };
-                self.answered.insert(voter);
-                self.yes(now, voter, &duty, (fence, round), (mark, age, unproven), out);
-            }
-            Message::Refusal { duty, round, highest, holder, spread } => {
-                let Some(voter) = self.terms.voters.iter().position(|name| *name == from) else { return };
-                self.answered.insert(voter);
-                self.no(now, voter, &duty, (round, spread), highest, holder, out);
+            Message::Grant(grant) => {
+                let Some(voter) = self.config.voter_index(&from.name) else { return };
+                self.responsive_voters.insert(voter);
+                self.on_grant(now, voter, &grant, out);
             }
-            Message::HandOver { duty, fence } => {
-                if let Some(duty) = self.duties.get_mut(&duty).filter(|_| !self.ends) {
-                    duty.seen = duty.seen.max(fence);
-                    if let Stage::Idle { asks } = &mut duty.stage {
-                        (*asks, duty.failed, duty.handed) = (now, 0, HANDED);
-                    }
-                    self.tick(now, out);
-                }
+            Message::Refusal(refusal) => {
+                let Some(voter) = self.config.voter_index(&from.name) else { return };
+                self.responsive_voters.insert(voter);
+                self.on_refusal(now, voter, refusal, out);
             }
+            Message::HandOver { duty, fence } => self.on_hand_over(now, &duty, fence, out),
         }
     }
 
-    fn yes(
-        &mut self,
-        now: Moment,
-        voter: usize,
-        name: &str,
-        (fence, number): (Fence, u64),
-        (mark, age, unproven): (Progress, u64, bool),
-        out: &mut Vec<Output>,
-    ) {
+    /// Requests the lease of a duty that was handed over to this member.
+    fn on_hand_over(&mut self, now: Moment, name: &str, fence: Fence, out: &mut Vec<Output>) {
+        if self.shutting_down {
+            return;
+        }
         let Some(duty) = self.duties.get_mut(name) else { return };
-        let asking = matches!(duty.stage, Stage::Asking { .. });
-        let round = match &mut duty.stage {
-            Stage::Asking { round, .. } | Stage::Holding { round: Some(round), .. } => round,
-            Stage::Holding { .. } | Stage::Idle { .. } => return,
+        duty.highest = duty.highest.max(fence);
+        if let Role::Idle { request_at } = &mut duty.role {
+            *request_at = now;
+            duty.failed_rounds = 0;
+            duty.handover_retries = HANDOVER_RETRIES;
+        }
+        self.tick(now, out);
+    }
+
+    fn on_grant(&mut self, now: Moment, voter: usize, grant: &Grant, out: &mut Vec<Output>) {
+        let name = &grant.duty;
+        let Some(duty) = self.duties.get_mut(name) else { return };
+        let is_candidate = matches!(duty.role, Role::Candidate { .. });
+        let round = match &mut duty.role {
+            Role::Candidate { round, .. } | Role::Holder { round: Some(round), .. } => round,
+            Role::Holder { .. } | Role::Idle { .. } => return,
         };
-        if round.fence != fence || round.number != number {
+        if round.fence != grant.fence || round.number != grant.round {
             return;
         }
-        round.yes.insert(voter);
-        // When the last period was begun, at the latest that any voter knows: the next is rather late than early.
-        let begun = Moment(now.0.saturating_sub(age));
-        if mark.period > duty.mark.period {
-            duty.marked = begun;
-        } else if mark.period == duty.mark.period && asking {
-            duty.marked = duty.marked.max(begun);
-        }
-        let noted = duty.mark;
-        duty.mark = duty.mark.max(mark);
-        let enough = round.yes.len() >= self.terms.majority();
+        round.granted.insert(voter);
+        // The latest start of the period that any voter knows is used: the next period is rather late than early.
+        let started = Moment(now.0.saturating_sub(grant.age_us));
+        if grant.progress.period > duty.progress.period {
+            duty.period_started = started;
+        } else if grant.progress.period == duty.progress.period && is_candidate {
+            duty.period_started = duty.period_started.max(started);
+        }
+        let progress_before = duty.progress;
+        duty.progress = duty.progress.max(grant.progress);
+        let has_majority = round.granted.len() >= self.config.majority();
         #[cfg(feature = "plant")]
-        let enough = enough || self.plant == Fault::MajorityOfTheLiving && round.yes.len() > round.no.len();
-        let (since, asked) = (round.since, round.mark);
-        duty.unproven |= unproven;
-        if !enough {
+        let has_majority = has_majority
+            || self.fault == Fault::MajorityOfTheLiving && round.granted.len() > round.refused.len();
+        let round_started = round.started;
+        let requested = round.progress;
+        duty.unproven |= grant.unproven;
+        if !has_majority {
             return;
         }
         #[cfg(feature = "plant")]
-        let since = if self.plant == Fault::LeaseFromAnswer { now } else { since };
-        let until = since.after(self.terms.held());
+        let round_started = if self.fault == Fault::LeaseFromAnswer { now } else { round_started };
+        let until = round_started.after(self.config.holder_lease_us());
         if now >= until {
             // Proved too late to be worth anything: it is over before it began.
             return;
         }
-        let renews = since.after(self.terms.lease / 3);
-        duty.stage = Stage::Holding { fence, until, renews, round: None };
-        duty.failed = 0;
-        if asking {
-            (duty.out, duty.handed) = (None, 0);
-            (duty.holder, duty.since, duty.why) = (None, now, "asked and won");
-            out.push(Output::Notify(Notice::Acquired(name.to_owned(), fence, duty.unproven)));
-            if duty.mark.period > 0 && !duty.mark.done {
-                out.push(Output::Notify(Notice::OutcomeUnknown(name.to_owned(), duty.mark.period)));
+        let renew_at = round_started.after(self.config.lease_us / 3);
+        duty.role = Role::Holder { fence: grant.fence, until, renew_at, round: None };
+        duty.failed_rounds = 0;
+        if is_candidate {
+            duty.running = None;
+            duty.handover_retries = 0;
+            duty.known_holder = None;
+            duty.changed_at = now;
+            duty.reason = "asked and won";
+            out.push(Output::Notify(Notice::Acquired {
+                duty: name.clone(),
+                fence: grant.fence,
+                unproven: duty.unproven,
+            }));
+            if duty.progress.period > 0 && !duty.progress.done {
+                out.push(Output::Notify(Notice::OutcomeUnknown {
+                    duty: name.clone(),
+                    period: duty.progress.period,
+                }));
                 #[cfg(feature = "plant")]
-                if self.plant == Fault::PeriodAgain {
-                    duty.mark.period -= 1;
+                if self.fault == Fault::PeriodAgain {
+                    duty.progress.period -= 1;
                 }
-                // Its fate is settled: nobody runs it again.
-                duty.mark.done = true;
+                // Nobody runs that period again.
+                duty.progress.done = true;
             }
-        } else if asked.period > 0
-            && !asked.done
-            && asked == noted
-            && duty.mark == asked
-            && duty.out.is_none()
+        } else if requested.period > 0
+            && !requested.done
+            && requested == progress_before
+            && duty.progress == requested
+            && duty.running.is_none()
         {
-            // A majority has the period's number, under a lease that this same round proved: now, and only now, it may run.
-            duty.out = Some((fence, asked.period));
-            let held = EffectPermit { duty: name.to_owned(), fence, period: asked.period, until };
-            out.push(Output::RunEffect(held));
+            // A majority has recorded the number of the period, in the same round that proved the lease. The effect may run
+            // only now.
+            duty.running = Some(RunningEffect { fence: grant.fence, period: requested.period });
+            out.push(Output::RunEffect(EffectPermit {
+                duty: name.clone(),
+                fence: grant.fence,
+                period: requested.period,
+                until,
+            }));
         }
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
-    fn no(
-        &mut self,
-        now: Moment,
-        voter: usize,
-        name: &str,
-        (number, spread): (u64, u64),
-        highest: Fence,
-        holder: Option<(String, u64)>,
-        out: &mut Vec<Output>,
-    ) {
-        let Some(duty) = self.duties.get_mut(name) else { return };
-        duty.seen = duty.seen.max(highest);
-        duty.spread = spread.min(64 * self.terms.lease);
-        let own = matches!(&holder, Some((who, _)) if *who == self.me);
-        if let Some((who, left)) = holder.filter(|_| !own) {
-            let until = now.after(left);
-            if duty.holder.as_ref().is_none_or(|(_, known)| until > *known) {
-                duty.holder = Some((who, until));
+    fn on_refusal(&mut self, now: Moment, voter: usize, refusal: Refusal, out: &mut Vec<Output>) {
+        let Refusal { duty: name, round: number, highest, holder, spread_us } = refusal;
+        let Some(duty) = self.duties.get_mut(&name) else { return };
+        duty.highest = duty.highest.max(highest);
+        duty.spread_us = spread_us.min(MAX_ACCEPTED_SPREAD_LEASES * self.config.lease_us);
+        if let Some(CurrentHolder { name: holder, remaining_us }) = holder
+            && holder != self.name
+        {
+            let until = now.after(remaining_us);
+            if duty.known_holder.as_ref().is_none_or(|known| until > known.until) {
+                duty.known_holder = Some(KnownHolder { name: holder, until });
             }
         }
-        let (round, holding) = match &mut duty.stage {
-            Stage::Asking { round, .. } => (round, false),
-            Stage::Holding { round: Some(round), .. } => (round, true),
-            Stage::Holding { .. } | Stage::Idle { .. } => return,
+        let (round, is_holder) = match &mut duty.role {
+            Role::Candidate { round, .. } => (round, false),
+            Role::Holder { round: Some(round), .. } => (round, true),
+            Role::Holder { .. } | Role::Idle { .. } => return,
         };
         if round.number != number {
             return;
         }
-        round.no.insert(voter);
-        // So many say no that no majority can be left.
-        if round.no.len() + self.terms.majority() > self.terms.voters.len() {
-            if holding {
-                // Under a fence that is too low by now: asked again under a higher one. Its lease runs on meanwhile, or out.
-                let soon = now.after((self.terms.lease / 16).max(1));
-                if let Stage::Holding { renews, round, .. } = &mut duty.stage {
-                    (*renews, *round) = (soon, None);
-                }
-            } else {
-                self.give_up(now, name, out);
+        round.refused.insert(voter);
+        let majority_possible = round.refused.len() + self.config.majority() <= self.config.voters.len();
+        if majority_possible {
+            return;
+        }
+        if is_holder {
+            // The fence has become too low: the next round requests a higher one. Meanwhile the current lease stays in force until
+            // it expires.
+            let soon = now.after((self.config.lease_us / 16).max(1));
+            if let Role::Holder { renew_at, round, .. } = &mut duty.role {
+                *renew_at = soon;
+                *round = None;
             }
+        } else {
+            self.abandon_candidacy(now, &name, out);
         }
     }
 
-    /// Asking has failed: what was granted is given back, and it asks again later, when others are done.
-    fn give_up(&mut self, now: Moment, name: &str, out: &mut Vec<Output>) {
-        let lease = self.terms.lease;
+    /// Ends a failed candidacy: releases what was granted and schedules the next request after a backoff.
+    fn abandon_candidacy(&mut self, now: Moment, name: &str, out: &mut Vec<Output>) {
+        let lease_us = self.config.lease_us;
         let Some(duty) = self.duties.get_mut(name) else { return };
-        let Stage::Asking { fence, round } = &duty.stage else { return };
-        let (fence, refused) = (*fence, round.no.clone());
-        duty.failed = (duty.failed + 1).min(4);
+        let Role::Candidate { fence, round } = &duty.role else { return };
+        let fence = *fence;
+        let refused = round.refused.clone();
+        duty.failed_rounds = (duty.failed_rounds + 1).min(MAX_BACKOFF_DOUBLINGS);
         duty.rounds += 1;
-        let (mark, handed) = (duty.mark, duty.handed > 0);
-        duty.handed = duty.handed.saturating_sub(1);
-        let left = duty.holder.as_ref().map_or(0, |(_, until)| until.since(now));
-        let busy = duty.spread.max(lease / 4);
-        let (tries, spread) = (duty.rounds, if left > 0 { busy } else { (lease / 8) << duty.failed });
-        let wait = if handed { lease / 300 } else { left + self.drawn(name, tries, spread) };
-        let asks = now.after(1 + wait);
+        let progress = duty.progress;
+        let retries_at_once = duty.handover_retries > 0;
+        duty.handover_retries = duty.handover_retries.saturating_sub(1);
+        let lease_remaining = duty.known_holder.as_ref().map_or(0, |known| known.until.since(now));
+        let spread = if lease_remaining > 0 {
+            duty.spread_us.max(lease_us / 4)
+        } else {
+            (lease_us / 8) << duty.failed_rounds
+        };
+        let attempt = duty.rounds;
+        let wait = if retries_at_once {
+            lease_us / 300
+        } else {
+            lease_remaining + self.jitter(name, attempt, spread)
+        };
+        let request_at = now.after(1 + wait);
         if let Some(duty) = self.duties.get_mut(name) {
-            duty.stage = Stage::Idle { asks };
+            duty.role = Role::Idle { request_at };
         }
-        // A voter whose word is still on its way keeps to its grant until it is over; one that said no gave none.
-        let voters = self.terms.voters.len();
+        // A voter whose reply is still on its way keeps its grant until it is released or expires. One that refused granted nothing.
+        let voters = self.config.voters.len();
         for voter in (0..voters).filter(|voter| !refused.contains(voter)) {
-            let message = Message::Release { duty: name.to_owned(), fence, mark };
-            out.push(Output::Send { to: Destination::Voter(voter), answers: 0, message });
+            self.send_release(voter, name, fence, progress, out);
         }
     }
 
-    /// Holds it no more. What was begun is told with it.
-    fn let_go(&mut self, now: Moment, name: &str, why: &'static str, out: &mut Vec<Output>) {
-        let lease = self.terms.lease;
+    /// Releases a held duty; the release carries the progress.
+    fn release(&mut self, now: Moment, name: &str, reason: &'static str, out: &mut Vec<Output>) {
+        let lease_us = self.config.lease_us;
         let Some(duty) = self.duties.get_mut(name) else { return };
-        let Stage::Holding { fence, round, .. } = &duty.stage else { return };
-        // Some voters may have granted the higher one of the round that is out.
-        let (fence, last) = (*fence, round.as_ref().map_or(*fence, |round| round.fence.max(*fence)));
+        let Role::Holder { fence, round, .. } = &duty.role else { return };
+        let fence = *fence;
+        // Some voters may already have granted the higher fence of the round in flight.
+        let last_fence = round.as_ref().map_or(fence, |round| round.fence.max(fence));
         duty.rounds += 1;
-        (duty.why, duty.since, duty.holder) = (why, now, None);
-        let (mark, tries) = (duty.mark, duty.rounds);
-        // It takes nothing back at once: another has the time of a lease to come in.
-        let asks = now.after(lease + self.drawn(name, tries, lease / 4));
+        duty.reason = reason;
+        duty.changed_at = now;
+        duty.known_holder = None;
+        let progress = duty.progress;
+        let attempt = duty.rounds;
+        // It does not request the duty again at once: another member has the time of a lease to acquire it.
+        let request_at = now.after(lease_us + self.jitter(name, attempt, lease_us / 4));
         if let Some(duty) = self.duties.get_mut(name) {
-            duty.stage = Stage::Idle { asks };
+            duty.role = Role::Idle { request_at };
         }
-        out.push(Output::Notify(Notice::Released(name.to_owned(), fence, why)));
-        for voter in 0..self.terms.voters.len() {
-            let message = Message::Release { duty: name.to_owned(), fence: last, mark };
-            out.push(Output::Send { to: Destination::Voter(voter), answers: 0, message });
+        out.push(Output::Notify(Notice::Released { duty: name.to_owned(), fence, reason }));
+        for voter in 0..self.config.voters.len() {
+            self.send_release(voter, name, last_fence, progress, out);
         }
     }
 
-    /// Lets a duty go, to another where one is named.
-    fn hand(&mut self, now: Moment, name: &str, to: Option<&str>, why: &'static str, out: &mut Vec<Output>) {
+    fn send_release(
+        &self,
+        voter: usize,
+        duty: &str,
+        fence: Fence,
+        progress: Progress,
+        out: &mut Vec<Output>,
+    ) {
+        let message = Message::Release(Release { duty: duty.to_owned(), fence, progress });
+        out.push(Output::Send { to: Destination::Voter(voter), in_reply_to: 0, message });
+    }
+
+    /// Releases a duty, and tells its successor to request it if one is named.
+    fn hand_over(
+        &mut self,
+        now: Moment,
+        name: &str,
+        to: Option<&str>,
+        reason: &'static str,
+        out: &mut Vec<Output>,
+    ) {
         let Some(duty) = self.duties.get(name) else { return };
-        let fence = match duty.stage {
-            Stage::Holding { fence, .. } => fence,
-            Stage::Asking { .. } => return self.give_up(now, name, out),
-            Stage::Idle { .. } => return,
+        let fence = match duty.role {
+            Role::Holder { fence, .. } => fence,
+            Role::Candidate { .. } => return self.abandon_candidacy(now, name, out),
+            Role::Idle { .. } => return,
         };
         #[cfg(feature = "plant")]
-        if self.plant == Fault::ReleaseWithoutStopping {
-            let stays = duty.clone();
-            self.let_go(now, name, why, out);
-            self.duties.insert(name.to_owned(), stays);
+        if self.fault == Fault::ReleaseWithoutStopping {
+            let unreleased = duty.clone();
+            self.release(now, name, reason, out);
+            self.duties.insert(name.to_owned(), unreleased);
             return;
         }
-        self.let_go(now, name, why, out);
-        let next = to.and_then(|to| self.terms.voters.iter().position(|voter| voter == to));
-        if let Some(voter) = next.filter(|voter| self.terms.voters[*voter] != self.me) {
+        self.release(now, name, reason, out);
+        let successor = to.filter(|to| *to != self.name).and_then(|to| self.config.voter_index(to));
+        if let Some(voter) = successor {
             let message = Message::HandOver { duty: name.to_owned(), fence };
-            out.push(Output::Send { to: Destination::Voter(voter), answers: 0, message });
+            out.push(Output::Send { to: Destination::Voter(voter), in_reply_to: 0, message });
         }
     }
 
-    fn ran(
+    fn on_effect_finished(
         &mut self,
         now: Moment,
         name: &str,
-        (fence, of): (Fence, u64),
-        ended: EffectOutcome,
+        effect: RunningEffect,
+        outcome: EffectOutcome,
         out: &mut Vec<Output>,
     ) {
-        // What was begun under an earlier grant was settled when that ended.
-        let Some(duty) = self.duties.get_mut(name).filter(|duty| duty.out == Some((fence, of))) else {
+        let Some(duty) = self.duties.get_mut(name) else { return };
+        // Effects of an earlier grant were settled when that grant ended.
+        if duty.running != Some(effect) {
             return;
-        };
-        duty.out = None;
-        match ended {
-            // Not known to be done is settled too: it is never run again.
-            EffectOutcome::Done | EffectOutcome::Unknown => duty.mark.done = true,
+        }
+        duty.running = None;
+        match outcome {
+            // An unknown outcome settles the period too: it is never run again.
+            EffectOutcome::Done | EffectOutcome::Unknown => duty.progress.done = true,
             EffectOutcome::NotStarted => {
-                // The number is not used up, as nothing began under it; but only this grant knows that.
-                if let Stage::Holding { renews, .. } = &mut duty.stage {
-                    *renews = now.after(self.terms.lease / 8);
+                // Nothing ran under this number, so it can be reused, but only this grant knows that.
+                if let Role::Holder { renew_at, .. } = &mut duty.role {
+                    *renew_at = now.after(self.config.lease_us / 8);
                 } else {
-                    duty.mark.done = true;
+                    duty.progress.done = true;
                 }
             }
-            EffectOutcome::Fenced(seen, period) => {
-                duty.seen = duty.seen.max(seen);
-                if period > duty.mark.period {
-                    (duty.mark, duty.marked) = (Progress { period, done: true }, now);
+            EffectOutcome::Fenced { highest, period } => {
+                duty.highest = duty.highest.max(highest);
+                if period > duty.progress.period {
+                    duty.progress.period = period;
+                    duty.period_started = now;
                 }
-                duty.mark.done = true;
-                if matches!(duty.stage, Stage::Holding { fence: held, .. } if held == fence && held <= seen) {
-                    self.let_go(now, name, "a receiver has seen a higher fence", out);
+                duty.progress.done = true;
+                let outdated = matches!(
+                    duty.role,
+                    Role::Holder { fence, .. } if fence == effect.fence && fence <= highest
+                );
+                if outdated {
+                    self.release(now, name, "a receiver has seen a higher fence", out);
                     // Nobody else knows of it: it is asked for at once, under one that is higher.
                     if let Some(duty) = self.duties.get_mut(name) {
-                        duty.stage = Stage::Idle { asks: now };
+                        duty.role = Role::Idle { request_at: now };
                     }
                 }
             }
@@ -692,137 +825,175 @@
     }
 
     fn tick(&mut self, now: Moment, out: &mut Vec<Output>) {
-        self.learn(now, out);
-        // A loop that was woken this late may have been late with anything: what it holds is let go before it is over.
-        let late = now.since(self.due) > self.terms.lease / 4;
+        self.sync_voter(now, out);
+        // If this process was woken this late, anything else in it may be late as well: it releases what it holds before the
+        // lease expires.
+        let woken_late = now.since(self.wake_at) > self.config.lease_us / 4;
+        let round_timeout = self.round_timeout();
         let names: Vec<String> = self.duties.keys().cloned().collect();
         for name in names {
             let Some(duty) = self.duties.get(&name) else { continue };
-            match duty.stage {
-                Stage::Idle { asks } if now >= asks && !self.ends => self.ask(now, &name, out),
-                Stage::Asking { ref round, .. } if now.since(round.since) > self.terms.lease / 8 => {
-                    self.give_up(now, &name, out);
+            match duty.role {
+                Role::Idle { request_at } if now >= request_at && !self.shutting_down => {
+                    self.start_candidacy(now, &name, out);
+                }
+                Role::Candidate { ref round, .. } if now.since(round.started) > round_timeout => {
+                    self.abandon_candidacy(now, &name, out);
                 }
-                Stage::Holding { until, .. } if now >= until => {
-                    self.let_go(now, &name, "its lease was over before it was renewed", out);
+                Role::Holder { until, .. } if now >= until => {
+                    self.release(now, &name, "its lease was over before it was renewed", out);
                 }
-                Stage::Holding { .. } if late => self.let_go(now, &name, "it was late itself", out),
-                Stage::Holding { .. } => self.keep(now, &name, out),
-                Stage::Idle { .. } | Stage::Asking { .. } => {}
+                Role::Holder { .. } if woken_late => {
+                    self.release(now, &name, "it was late itself", out);
+                }
+                Role::Holder { .. } => self.maintain(now, &name, out),
+                Role::Idle { .. } | Role::Candidate { .. } => {}
             }
         }
     }
 
-    fn learn(&mut self, now: Moment, out: &mut Vec<Output>) {
+    /// Has the voter end its silence if it is time to, and requests promises that it still has to learn.
+    fn sync_voter(&mut self, now: Moment, out: &mut Vec<Output>) {
         let Some(voter) = &mut self.voter else { return };
-        let wants = voter.tick(now, &self.me);
-        if now >= self.learns {
-            self.learns = now.after((self.terms.lease / 4).max(1));
-            let send = |(to, message)| Output::Send { to: Destination::Voter(to), answers: 0, message };
-            out.extend(wants.into_iter().map(send));
+        let targets = voter.tick(now, &self.name);
+        if now < self.next_sync {
+            return;
+        }
+        self.next_sync = now.after((self.config.lease_us / 4).max(1));
+        for target in targets {
+            let message = Message::SyncRequest { after: target.after };
+            out.push(Output::Send { to: Destination::Voter(target.voter), in_reply_to: 0, message });
         }
     }
 
-    /// Asks every voter for a duty that is not held, as far as is known.
-    fn ask(&mut self, now: Moment, name: &str, out: &mut Vec<Output>) {
+    /// Requests the lease of a duty that has no holder as far as this member knows.
+    fn start_candidacy(&mut self, now: Moment, name: &str, out: &mut Vec<Output>) {
         let Some(duty) = self.duties.get_mut(name) else { return };
         duty.rounds += 1;
-        let fence = Fence(duty.seen.0 + 1);
+        let fence = Fence(duty.highest.0 + 1);
         #[cfg(feature = "plant")]
-        let fence = if self.plant == Fault::FenceAnew { Fence(1 + duty.failed) } else { fence };
-        (duty.seen, duty.unproven) = (fence, false);
+        let fence = if self.fault == Fault::FenceAnew { Fence(1 + duty.failed_rounds) } else { fence };
+        duty.highest = fence;
+        duty.unproven = false;
         let round = Round::new(duty.rounds, fence, now, Progress::default());
-        let number = round.number;
-        duty.stage = Stage::Asking { fence, round };
-        self.send(name, fence, number, Progress::default(), out);
+        duty.role = Role::Candidate { fence, round: round.clone() };
+        self.send_requests(name, &round, out);
     }
 
-    fn send(&self, name: &str, fence: Fence, round: u64, mark: Progress, out: &mut Vec<Output>) {
-        for voter in 0..self.terms.voters.len() {
-            let message = Message::LeaseRequest { duty: name.to_owned(), fence, round, mark };
-            out.push(Output::Send { to: Destination::Voter(voter), answers: 0, message });
+    /// Sends the lease requests of a round to all voters.
+    fn send_requests(&self, duty: &str, round: &Round, out: &mut Vec<Output>) {
+        for voter in 0..self.config.voters.len() {
+            let message = Message::LeaseRequest(LeaseRequest {
+                duty: duty.to_owned(),
+                fence: round.fence,
+                round: round.number,
+                progress: round.progress,
+            });
+            out.push(Output::Send { to: Destination::Voter(voter), in_reply_to: 0, message });
         }
     }
 
-    /// Renews a lease, and begins a period that is due: both by one round.
-    fn keep(&mut self, now: Moment, name: &str, out: &mut Vec<Output>) {
-        let lease = self.terms.lease;
+    /// Renews a held lease and starts a period that is due, both in one round.
+    fn maintain(&mut self, now: Moment, name: &str, out: &mut Vec<Output>) {
+        let round_timeout = self.round_timeout();
         let Some(duty) = self.duties.get_mut(name) else { return };
-        let Stage::Holding { fence, renews, round, .. } = &mut duty.stage else { return };
-        if round.as_ref().is_some_and(|round| now.since(round.since) <= lease / 8) {
+        let Role::Holder { fence, renew_at, ref round, .. } = duty.role else { return };
+        if round.as_ref().is_some_and(|round| now.since(round.started) <= round_timeout) {
             return;
         }
-        let begins = duty.effect.filter(|effect| {
-            duty.out.is_none()
-                && (duty.mark.period == 0 || duty.mark.done && now >= duty.marked.after(effect.period))
-        });
-        if now < *renews && begins.is_none() {
+        let due_schedule = duty.schedule.filter(|schedule| duty.period_is_due(now, *schedule));
+        if now < renew_at && due_schedule.is_none() {
             return;
         }
-        if let Some(effect) = begins {
-            let passed =
-                if duty.mark.period == 0 { 1 } else { now.since(duty.marked) / effect.period.max(1) };
-            let passed = passed.max(1);
-            // Caught up with one by one, but for what lies too far back.
-            let missed = if effect.catch_up { passed.saturating_sub(CAUGHT_UP) } else { passed - 1 };
-            if missed > 0 {
-                out.push(Output::Notify(Notice::PeriodsSkipped(name.to_owned(), missed)));
+        if let Some(schedule) = due_schedule {
+            let skipped = duty.start_period(now, schedule);
+            if skipped > 0 {
+                let notice = Notice::PeriodsSkipped { duty: name.to_owned(), count: skipped };
+                out.push(Output::Notify(notice));
             }
-            // Kept to its own beat, so that what is late once is not late for ever.
-            let first = duty.mark.period == 0;
-            duty.marked = if first { now } else { duty.marked.after(effect.period * (missed + 1)) };
-            duty.mark = Progress { period: duty.mark.period + missed + 1, done: false };
         }
         duty.rounds += 1;
-        // A voter may have promised a higher one to a candidate that came to nothing: only a higher one is renewed there.
-        let fence = if duty.seen > *fence { Fence(duty.seen.0 + 1) } else { *fence };
-        (duty.seen, duty.unproven) = (fence, false);
-        let mark = duty.mark;
-        *round = Some(Round::new(duty.rounds, fence, now, mark));
-        *renews = now.after((lease / 8).max(1));
-        let number = duty.rounds;
-        self.send(name, fence, number, mark, out);
-    }
-
-    /// When it is to be woken.
-    fn plan(&mut self, now: Moment) {
-        let mut due = Moment(u64::MAX);
-        for duty in self.duties.values() {
-            let next = match &duty.stage {
-                Stage::Idle { .. } if self.ends => continue,
-                Stage::Idle { asks } => *asks,
-                Stage::Asking { round, .. } => round.since.after(self.terms.lease / 8 + 1),
-                Stage::Holding { until, renews, round, .. } => {
-                    let mut next = (*until).min(*renews);
-                    if let (Some(effect), None) = (duty.effect, duty.out) {
-                        if duty.mark.period == 0 {
-                            next = duty.since;
-                        } else if duty.mark.done {
-                            next = next.min(duty.marked.after(effect.period));
-                        }
-                    }
-                    match round {
-                        Some(round) => next.max(round.since.after(self.terms.lease / 8 + 1)).min(*until),
-                        None => next,
+        // Voters may have promised a higher fence to a candidate that failed; they renew only a fence above that.
+        let round_fence = if duty.highest > fence { Fence(duty.highest.0 + 1) } else { fence };
+        duty.highest = round_fence;
+        duty.unproven = false;
+        let next_round = Round::new(duty.rounds, round_fence, now, duty.progress);
+        if let Role::Holder { renew_at, round, .. } = &mut duty.role {
+            *renew_at = now.after(round_timeout.max(1));
+            *round = Some(next_round.clone());
+        }
+        self.send_requests(name, &next_round, out);
+    }
+
+    /// Sets when this member is to be woken.
+    fn schedule_wake(&mut self, now: Moment) {
+        let round_timeout = self.round_timeout();
+        let duties = self.duties.values();
+        let duty_events = duties.filter_map(|duty| duty.next_event(self.shutting_down, round_timeout));
+        let next_event = duty_events.chain(self.next_voter_event()).min().unwrap_or(Moment(u64::MAX));
+        // Lateness is counted from now at the earliest. Otherwise every wait that ended long ago would count as lateness of this
+        // process.
+        self.wake_at = next_event.max(now);
+    }
+
+    fn next_voter_event(&self) -> Option<Moment> {
+        let voter = self.voter.as_ref()?;
+        match voter.silence() {
+            Some(silence) if self.next_sync < silence.earliest_end => Some(self.next_sync),
+            Some(silence) => Some(silence.latest_end.min(self.next_sync)),
+            None => voter.is_learning().then_some(self.next_sync),
+        }
+    }
+}
+
+impl Duty {
+    /// Whether the holder is to start a period now.
+    fn period_is_due(&self, now: Moment, schedule: Schedule) -> bool {
+        let previous_over = self.progress.done && now >= self.period_started.after(schedule.period_us);
+        self.running.is_none() && (self.progress.period == 0 || previous_over)
+    }
+
+    /// Advances the progress to the next period. Returns the number of periods skipped.
+    fn start_period(&mut self, now: Moment, schedule: Schedule) -> u64 {
+        let is_first = self.progress.period == 0;
+        let elapsed = if is_first { 1 } else { now.since(self.period_started) / schedule.period_us.max(1) };
+        let elapsed = elapsed.max(1);
+        // Missed periods are caught up on one by one, except those too far back.
+        let skipped =
+            if schedule.catch_up { elapsed.saturating_sub(MAX_CATCH_UP_PERIODS) } else { elapsed - 1 };
+        // The schedule keeps its own pace, so that one late period does not delay all later ones.
+        self.period_started =
+            if is_first { now } else { self.period_started.after(schedule.period_us * (skipped + 1)) };
+        self.progress = Progress { period: self.progress.period + skipped + 1, done: false };
+        skipped
+    }
+
+    /// The next moment at which something is to be done for this duty.
+    fn next_event(&self, shutting_down: bool, round_timeout: u64) -> Option<Moment> {
+        match &self.role {
+            Role::Idle { .. } if shutting_down => None,
+            Role::Idle { request_at } => Some(*request_at),
+            Role::Candidate { round, .. } => Some(round.started.after(round_timeout + 1)),
+            Role::Holder { until, renew_at, round, .. } => {
+                let mut next = (*until).min(*renew_at);
+                if let (Some(schedule), None) = (self.schedule, self.running) {
+                    if self.progress.period == 0 {
+                        next = self.changed_at;
+                    } else if self.progress.done {
+                        next = next.min(self.period_started.after(schedule.period_us));
                     }
                 }
-            };
-            due = due.min(next);
-        }
-        if let Some(voter) = &self.voter {
-            if let Some((least, most)) = voter.silent() {
-                due = due.min(if self.learns < least { self.learns } else { most.min(self.learns) });
-            } else if voter.learns() {
-                due = due.min(self.learns);
+                Some(match round {
+                    Some(round) => next.max(round.started.after(round_timeout + 1)).min(*until),
+                    None => next,
+                })
             }
         }
-        // What was due before now is late from now on only: else every wait that ended long ago would count as its own lateness.
-        self.due = due.max(now);
     }
 }
 
 impl Round {
-    fn new(number: u64, fence: Fence, since: Moment, mark: Progress) -> Round {
-        Round { number, fence, since, mark, yes: BTreeSet::new(), no: BTreeSet::new() }
+    fn new(number: u64, fence: Fence, started: Moment, progress: Progress) -> Round {
+        Round { number, fence, started, progress, granted: BTreeSet::new(), refused: BTreeSet::new() }
     }
 }
--- a/crates/duties/src/protocol.rs
+++ b/crates/duties/src/protocol.rs
@@ -39,10 +39,10 @@
 /// What all members are told alike.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
-    /// How long a lease is, in microseconds.
-    pub lease: u64,
-    /// By how many millionths a clock may run off.
-    pub drift: u64,
+    /// The length of a lease, in microseconds.
+    pub lease_us: u64,
+    /// The largest clock rate error to allow for, in parts per million.
+    pub drift_ppm: u64,
     /// The voters by name, in order; a majority of all of them is needed, whoever lives.
     pub voters: Vec<String>,
 }
@@ -54,108 +54,160 @@
         self.voters.len() / 2 + 1
     }
 
-    /// For how long the holder counts on its lease, by its own clock from before it asked.
+    /// The position of a voter in the list.
     #[must_use]
-    pub fn held(&self) -> u64 {
-        self.lease - self.off()
+    pub fn voter_index(&self, name: &str) -> Option<usize> {
+        self.voters.iter().position(|voter| voter == name)
     }
 
-    /// For how long a voter keeps to it, by its own clock from after it heard.
+    /// How long the holder relies on its lease, by its own clock, counted from before it sent the request.
     #[must_use]
-    pub fn kept(&self) -> u64 {
-        self.lease + self.off()
+    pub fn holder_lease_us(&self) -> u64 {
+        self.lease_us - self.clock_error_us()
     }
 
-    /// What a clock may run off in a lease, rounded up.
-    fn off(&self) -> u64 {
-        (self.lease.saturating_mul(self.drift)).div_ceil(1_000_000)
+    /// How long a voter honours a lease, by its own clock, counted from after it received the request.
+    #[must_use]
+    pub fn voter_lease_us(&self) -> u64 {
+        self.lease_us + self.clock_error_us()
+    }
+
+    /// The largest clock error that accumulates over one lease, rounded up.
+    fn clock_error_us(&self) -> u64 {
+        (self.lease_us.saturating_mul(self.drift_ppm)).div_ceil(1_000_000)
     }
 }
 
 /// What one member says to another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// A candidate or the holder asks a voter for a lease under this fence, and has it keep the mark.
+    /// A candidate or the holder asks a voter for a lease, or for its renewal.
     #[serde(rename = "Ask")]
-    LeaseRequest {
-        /// The duty.
-        duty: String,
-        /// The fence.
-        fence: Fence,
-        /// The asker's count of its rounds, so that an answer is of this one.
-        round: u64,
-        /// How far the periods are to be noted.
-        mark: Progress,
-    },
-    /// The voter grants it.
+    LeaseRequest(LeaseRequest),
+    /// The voter grants the lease.
     #[serde(rename = "Yes")]
-    Grant {
-        /// The duty.
-        duty: String,
-        /// The fence.
-        fence: Fence,
-        /// The round.
-        round: u64,
-        /// How far the voter knows the periods to be, the asker's own mark in it.
-        mark: Progress,
-        /// How long ago it first heard of that period, in microseconds.
-        age: u64,
-        /// It has lost its memory, and so had too many others: fences may have gone back.
-        unproven: bool,
-    },
-    /// The voter does not.
+    Grant(Grant),
+    /// The voter refuses the lease.
     #[serde(rename = "No")]
-    Refusal {
-        /// The duty.
-        duty: String,
-        /// The round.
-        round: u64,
-        /// The highest fence that it has promised.
-        highest: Fence,
-        /// Who holds it by this voter's word, and for how much longer in microseconds; nobody where the fence was too low.
-        holder: Option<(String, u64)>,
-        /// Over how long those that ask are to spread their next asking once the lease is over, in microseconds: the more of
-        /// them there are the longer, so that what voters hear does not grow with the fleet.
-        spread: u64,
-    },
-    /// A holder or a candidate is done with this fence for good.
-    Release {
-        /// The duty.
-        duty: String,
-        /// The fence.
-        fence: Fence,
-        /// How far the periods are.
-        mark: Progress,
-    },
+    Refusal(Refusal),
+    /// A holder or candidate gives up its lease.
+    Release(Release),
     /// The duty is handed to the one who hears this: ask now.
     #[serde(rename = "Take")]
     HandOver {
         /// The duty.
         duty: String,
-        /// The fence that was let go.
+        /// The fence of the released lease.
         fence: Fence,
     },
     /// A voter that lost its memory asks another what it knows, from this duty on.
     #[serde(rename = "Learn")]
     SyncRequest {
-        /// Duties up to this one were told before.
+        /// The last duty that was received before; the reply starts after it.
         after: String,
     },
-    /// What a voter knows, a bounded part of it.
+    /// The promises of a voter, a bounded number of them.
     #[serde(rename = "Known")]
-    SyncReply {
-        /// Duties up to this one were told before.
-        after: String,
-        /// Duties, the highest fence of each and how far its periods are.
-        duties: Vec<(String, Fence, Progress)>,
-        /// More follow behind the last.
-        more: bool,
-        /// It remembers all that it promised; else this is what is left to it.
-        whole: bool,
-    },
+    SyncReply(SyncReply),
+}
+
+/// A request for a lease under a fence, which also has the voter record the progress of the duty.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct LeaseRequest {
+    /// The duty.
+    pub duty: String,
+    /// The fence.
+    pub fence: Fence,
+    /// The requester's round number, to match replies to rounds.
+    pub round: u64,
+    /// The progress to record.
+    #[serde(rename = "mark")]
+    pub progress: Progress,
+}
+
+/// A voter's grant of a lease.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Grant {
+    /// The duty.
+    pub duty: String,
+    /// The fence.
+    pub fence: Fence,
+    /// The round that was asked in.
+    pub round: u64,
+    /// The progress that the voter knows, including that of the request.
+    #[serde(rename = "mark")]
+    pub progress: Progress,
+    /// How long ago the voter first received that period, in microseconds.
+    #[serde(rename = "age")]
+    pub age_us: u64,
+    /// This voter and too many others lost their memory: fences may have gone back.
+    pub unproven: bool,
+}
+
+/// A voter's refusal of a lease.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Refusal {
+    /// The duty.
+    pub duty: String,
+    /// The round that was asked in.
+    pub round: u64,
+    /// The highest fence that the voter has promised.
+    pub highest: Fence,
+    /// The holder that the voter knows; none if the fence was too low.
+    pub holder: Option<CurrentHolder>,
+    /// The interval over which candidates are to spread their next request once the lease has expired, in microseconds. It grows
+    /// with their number, so that the load of a voter does not grow with the fleet.
+    #[serde(rename = "spread")]
+    pub spread_us: u64,
+}
+
+/// The holder of a lease as a voter reports it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct CurrentHolder {
+    /// The name of the holder.
+    pub name: String,
+    /// The time until its lease expires, in microseconds.
+    pub remaining_us: u64,
+}
+
+/// The final release of a fence by a holder or candidate.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Release {
+    /// The duty.
+    pub duty: String,
+    /// The fence.
+    pub fence: Fence,
+    /// The progress of the duty.
+    #[serde(rename = "mark")]
+    pub progress: Progress,
+}
+
+/// One part of a voter's promises.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct SyncReply {
+    /// The last duty that was received before; this part starts after it.
+    pub after: String,
+    /// The duties of this part.
+    pub duties: Vec<PromisedDuty>,
+    /// More duties follow after the last one of this part.
+    pub more: bool,
+    /// The voter remembers all of its promises; otherwise it lost its memory, and this is what it has learnt since.
+    #[serde(rename = "whole")]
+    pub complete: bool,
+}
+
+/// What a voter has promised and recorded for one duty.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct PromisedDuty {
+    /// The duty.
+    pub duty: String,
+    /// The highest fence promised.
+    pub highest: Fence,
+    /// The recorded progress.
+    pub progress: Progress,
 }
 
-/// The version of the words; another one is not understood.
+/// The protocol version; a datagram of any other version is rejected.
 const PROTOCOL_VERSION: u8 = 1;
 /// The longest datagram, in bytes: it fits into a packet on the usual networks.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
@@ -168,24 +220,26 @@
     pub fleet: String,
     /// Who says it.
     pub from: String,
-    /// Which life of the sayer: a number drawn at each start.
-    pub life: u64,
-    /// In answer to this life of the hearer; 0 where it answers nothing.
-    pub to: u64,
+    /// The incarnation of the sender: a number drawn at each start of its process.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// The incarnation of the receiver that this message replies to; 0 if it is not a reply.
+    #[serde(rename = "to")]
+    pub in_reply_to: u64,
     /// What.
     pub message: Message,
 }
 
 impl Datagram {
-    /// A message of this life of this member.
+    /// A datagram from this incarnation of a member.
     #[must_use]
-    pub fn new(fleet: &str, from: &str, life: u64, to: u64, message: Message) -> Datagram {
+    pub fn new(fleet: &str, from: &str, incarnation: u64, in_reply_to: u64, message: Message) -> Datagram {
         Datagram {
             version: PROTOCOL_VERSION,
             fleet: fleet.to_owned(),
             from: from.to_owned(),
-            life,
-            to,
+            incarnation,
+            in_reply_to,
             message,
         }
     }
@@ -199,7 +253,8 @@
     /// Reads one, whole; none where it is malformed, of another version or of another fleet.
     #[must_use]
     pub fn decode(bytes: &[u8], fleet: &str) -> Option<Datagram> {
-        let (read, rest) = postcard::take_from_bytes::<Datagram>(bytes).ok()?;
-        (rest.is_empty() && read.version == PROTOCOL_VERSION && read.fleet == fleet).then_some(read)
+        let (datagram, rest) = postcard::take_from_bytes::<Datagram>(bytes).ok()?;
+        let accepted = rest.is_empty() && datagram.version == PROTOCOL_VERSION && datagram.fleet == fleet;
+        accepted.then_some(datagram)
     }
 }
--- a/crates/duties/src/voter.rs
+++ b/crates/duties/src/voter.rs
@@ -1,283 +1,310 @@
 //! A voter: what it promised for each duty, and whether it may speak. It owns its promises; nothing else changes them.
 
-use crate::protocol::{Fence, LeaseConfig, Message, Moment, Progress};
+use crate::protocol::{
+    CurrentHolder, Fence, Grant, LeaseConfig, LeaseRequest, Message, Moment, Progress, PromisedDuty, Refusal,
+    Release, SyncReply,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many duties a voter keeps; one more is refused. Bounds its memory.
-const DUTIES: usize = 4096;
-/// How many duties fit into one word of what it knows.
-const TOLD: usize = 12;
-/// Askers beside the holder that a voter hears in a lease once they are spread, and the longest spread in leases: what is left
-/// of a fleet that has mostly died asks within that.
-const ASKED: u64 = 8;
-const SPREAD: u64 = 32;
-/// After so many leases of silence a voter that could not learn from enough others speaks all the same, and says so.
-const PATIENCE: u64 = 5;
-/// Who holds a lease: a member and its life.
-pub type MemberId = (String, u64);
+/// The number of duties that a voter keeps, which bounds its memory; requests for further ones get no reply.
+const MAX_DUTIES: usize = 4096;
+/// The number of duties in a [`SyncReply`], so that it fits into one datagram.
+const DUTIES_PER_SYNC_REPLY: usize = 12;
+/// The number of requests beside the holder's that a voter aims to receive per lease.
+const REQUESTS_PER_LEASE: u64 = 8;
+/// The longest interval, in leases, over which candidates are told to spread their requests. The survivors of a fleet that has
+/// mostly died send their requests within it.
+const MAX_SPREAD_LEASES: u64 = 32;
+/// A voter that could not learn from enough others votes after this many leases of silence, and marks its grants unproven.
+const MAX_SILENCE_LEASES: u64 = 5;
 
+/// One incarnation of a member; leases are granted to it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct MemberId {
+    /// The name of the member.
+    pub name: String,
+    /// Its incarnation.
+    pub incarnation: u64,
+}
+
+/// What a voter has promised and recorded for one duty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Promise {
     /// The highest fence granted, and to whom.
     highest: Fence,
-    of: Option<MemberId>,
-    /// The lease on it, where it was not let go.
-    until: Option<Moment>,
-    mark: Progress,
-    /// When the mark's period was first heard of.
-    marked: Moment,
-    /// Asked by others since then, and over how long they are told to spread their asking.
-    counts: Moment,
-    asked: u64,
-    spread: u64,
-    /// An effect under a fence of this duty was carried out: its receiver has seen no higher one.
-    proved: bool,
+    /// The member it was granted to.
+    granted_to: Option<MemberId>,
+    /// When the lease on it expires; none once it has been released.
+    leased_until: Option<Moment>,
+    progress: Progress,
+    /// When the period in `progress` was first received.
+    period_received: Moment,
+    /// When the current count of refused requests began.
+    count_started: Moment,
+    /// Requests refused since then.
+    refused_requests: u64,
+    /// The interval over which candidates are told to spread their requests.
+    spread_us: u64,
+    /// An effect of this duty was carried out under a promised fence: its receiver has seen no higher one.
+    proven: bool,
 }
 
-/// Whether it may speak.
+/// The interval in which a voter that lost its memory ends its silence.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Silence {
+    /// It stays silent until this moment, when every lease it may have granted has expired.
+    pub earliest_end: Moment,
+    /// It votes from this moment on, even if it has not learnt enough.
+    pub latest_end: Moment,
+}
+
+/// What a voter remembers of its promises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Memory {
-    /// It remembers all that it ever promised, or has learnt all that it must.
-    Whole,
-    /// It began without: silent until then at the least, and until it has learnt enough, but no longer than the second.
-    Silent { least: Moment, most: Moment },
+    /// It remembers all of its promises, or has learnt all that it needs.
+    Complete,
+    /// It started without memory and stays silent until it has learnt enough, within these bounds.
+    Silent(Silence),
     /// It could not learn enough in time, speaks all the same, and goes on learning.
     Unproven,
 }
 
+/// Another voter that is to be asked for its promises.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SyncTarget {
+    /// The position of the voter in the configured list.
+    pub voter: usize,
+    /// The last duty received from it.
+    pub after: String,
+}
+
 /// A voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    terms: LeaseConfig,
-    duties: BTreeMap<String, Promise>,
+    config: LeaseConfig,
+    promises: BTreeMap<String, Promise>,
     memory: Memory,
-    /// The others that remember and have told all, and those that have lost their memory too.
-    learnt: BTreeSet<String>,
-    lost: BTreeSet<String>,
-    /// Too many had lost it for what they promised together to be known.
-    bereft: bool,
-    /// How far each other voter has told what it knows.
-    told: BTreeMap<String, String>,
+    /// Other voters with complete memory that have sent all of their promises.
+    learnt_from: BTreeSet<String>,
+    /// Other voters that have lost their memory too.
+    without_memory: BTreeSet<String>,
+    /// So many voters had lost their memory that their joint promises are unknown.
+    quorum_memory_lost: bool,
+    /// The last duty received from each other voter.
+    sync_positions: BTreeMap<String, String>,
 }
 
 impl Voter {
-    /// One that starts without what it promised before, if it ever did.
+    /// A voter whose process starts now. It may have made promises in an earlier incarnation, so it starts silent.
     #[must_use]
-    pub fn begin(terms: LeaseConfig, now: Moment) -> Voter {
-        let memory =
-            Memory::Silent { least: now.after(terms.kept()), most: now.after(PATIENCE * terms.kept()) };
+    pub fn start(config: LeaseConfig, now: Moment) -> Voter {
+        let silence = Silence {
+            earliest_end: now.after(config.voter_lease_us()),
+            latest_end: now.after(MAX_SILENCE_LEASES * config.voter_lease_us()),
+        };
         Voter {
-            terms,
-            duties: BTreeMap::new(),
-            memory,
-            learnt: BTreeSet::new(),
-            lost: BTreeSet::new(),
-            bereft: false,
-            told: BTreeMap::new(),
+            config,
+            promises: BTreeMap::new(),
+            memory: Memory::Silent(silence),
+            learnt_from: BTreeSet::new(),
+            without_memory: BTreeSet::new(),
+            quorum_memory_lost: false,
+            sync_positions: BTreeMap::new(),
         }
     }
 
-    /// The first start of the fleet, where nothing was ever promised: for the exploration.
+    /// A voter at the first start of a fleet, when no promise was ever made. Only simulations can know this.
     #[must_use]
-    pub fn first(terms: LeaseConfig) -> Voter {
-        Voter { memory: Memory::Whole, ..Voter::begin(terms, Moment::default()) }
+    pub fn first_start(config: LeaseConfig) -> Voter {
+        Voter { memory: Memory::Complete, ..Voter::start(config, Moment::default()) }
     }
 
     #[cfg(feature = "plant")]
-    pub(crate) fn plant(&mut self, plant: crate::fault::Fault) {
-        if plant == crate::fault::Fault::VotesAtOnce {
-            self.memory = Memory::Whole;
+    pub(crate) fn inject(&mut self, fault: crate::fault::Fault) {
+        if fault == crate::fault::Fault::VotesAtOnce {
+            self.memory = Memory::Complete;
         }
     }
 
     /// Whether it votes now.
     #[must_use]
-    pub fn speaks(&self) -> bool {
-        !matches!(self.memory, Memory::Silent { .. })
+    pub fn is_active(&self) -> bool {
+        !matches!(self.memory, Memory::Silent(_))
     }
 
-    /// It is not known to remember all that the voters ever promised together.
+    /// Whether promises that the voters made together may be unknown to it.
     #[must_use]
-    pub fn unproven(&self) -> bool {
-        self.memory == Memory::Unproven || self.bereft
+    pub fn is_unproven(&self) -> bool {
+        self.memory == Memory::Unproven || self.quorum_memory_lost
     }
 
-    /// Looks at whether its silence is over. What it still has to ask of others is given.
-    pub fn tick(&mut self, now: Moment, me: &str) -> Vec<(usize, Message)> {
-        let others = self.terms.voters.iter().filter(|name| *name != me);
-        // A majority that it was in before has one of a majority of the others in it; or all that is left has been heard.
-        let enough = self.learnt.len() >= self.terms.majority();
-        let all = others.clone().all(|name| self.learnt.contains(name) || self.lost.contains(name));
+    /// Ends the silence if it is time to. Returns the voters that are still to be asked for their promises.
+    pub fn tick(&mut self, now: Moment, own_name: &str) -> Vec<SyncTarget> {
+        let others = self.config.voters.iter().filter(|name| *name != own_name);
+        // Every majority that this voter was part of includes one of a majority of the others. If that many with memory do not
+        // exist, the replies of all others are all there is to learn.
+        let majority_learnt = self.learnt_from.len() >= self.config.majority();
+        let all_replied =
+            others.clone().all(|name| self.learnt_from.contains(name) || self.without_memory.contains(name));
         match self.memory {
-            Memory::Whole => return Vec::new(),
-            Memory::Silent { least, .. } if now < least => {}
-            Memory::Silent { .. } | Memory::Unproven if enough || all => {
-                self.bereft = !enough;
-                self.memory = Memory::Whole;
+            Memory::Complete => return Vec::new(),
+            Memory::Silent(silence) if now < silence.earliest_end => {}
+            Memory::Silent(_) | Memory::Unproven if majority_learnt || all_replied => {
+                self.quorum_memory_lost = !majority_learnt;
+                self.memory = Memory::Complete;
                 return Vec::new();
             }
-            Memory::Silent { most, .. } if now >= most => self.memory = Memory::Unproven,
-            Memory::Silent { .. } | Memory::Unproven => {}
+            Memory::Silent(silence) if now >= silence.latest_end => self.memory = Memory::Unproven,
+            Memory::Silent(_) | Memory::Unproven => {}
         }
-        let open = others.filter(|name| !self.learnt.contains(*name));
-        let number = |name: &String| self.terms.voters.iter().position(|voter| voter == name);
-        let learn = |name: &String| {
-            Some((
-                number(name)?,
-                Message::SyncRequest { after: self.told.get(name).cloned().unwrap_or_default() },
-            ))
+        let missing = others.filter(|name| !self.learnt_from.contains(*name));
+        let target = |name: &String| {
+            let voter = self.config.voter_index(name)?;
+            let after = self.sync_positions.get(name).cloned().unwrap_or_default();
+            Some(SyncTarget { voter, after })
         };
-        open.filter_map(learn).collect()
+        missing.filter_map(target).collect()
     }
 
-    /// How long its silence lasts, at the least and at the most; none where it speaks.
+    /// The bounds of its silence; none if it votes.
     #[must_use]
-    pub fn silent(&self) -> Option<(Moment, Moment)> {
+    pub fn silence(&self) -> Option<Silence> {
         match self.memory {
-            Memory::Silent { least, most } => Some((least, most)),
-            Memory::Whole | Memory::Unproven => None,
+            Memory::Silent(silence) => Some(silence),
+            Memory::Complete | Memory::Unproven => None,
         }
     }
 
-    /// It has still to learn from others.
+    /// Whether it still has promises to learn from others.
     #[must_use]
-    pub fn learns(&self) -> bool {
-        self.memory != Memory::Whole
+    pub fn is_learning(&self) -> bool {
+        self.memory != Memory::Complete
     }
 
-    /// A candidate or holder asks.
-    pub fn ask(
-        &mut self,
-        now: Moment,
-        by: &MemberId,
-        duty: &str,
-        fence: Fence,
-        round: u64,
-        mark: Progress,
-    ) -> Option<Message> {
-        if !self.speaks() || !self.duties.contains_key(duty) && self.duties.len() >= DUTIES {
+    /// Handles a lease request of a candidate or holder.
+    pub fn handle_request(&mut self, now: Moment, by: &MemberId, request: LeaseRequest) -> Option<Message> {
+        let LeaseRequest { duty, fence, round, progress } = request;
+        if !self.is_active() || !self.promises.contains_key(&duty) && self.promises.len() >= MAX_DUTIES {
             return None;
         }
-        let promise = self.duties.entry(duty.to_owned()).or_default();
-        // The holder may raise its own fence: a candidate that failed elsewhere has left a higher one behind at some voters, which
-        // else would never renew the holder's again.
-        let same = promise.of.as_ref() == Some(by);
-        let mine = same && promise.highest == fence;
-        let live = promise.until.filter(|until| now < *until);
-        let name = duty.to_owned();
-        let held =
-            live.filter(|_| !same).and_then(|until| Some((promise.of.as_ref()?.0.clone(), until.since(now))));
-        // One that was let go is never granted again: its word may come late.
-        let gone = mine && promise.until.is_none();
-        if held.is_some() || gone || !mine && fence <= promise.highest {
-            let spread = promise.crowd(now, self.terms.lease);
-            return Some(Message::Refusal {
-                duty: name,
-                round,
-                highest: promise.highest,
-                holder: held,
-                spread,
-            });
+        let promise = self.promises.entry(duty.clone()).or_default();
+        // The holder may raise its own fence: a candidate that failed elsewhere has left a higher one at some voters, which
+        // otherwise would never renew the holder's lease again.
+        let same_member = promise.granted_to.as_ref() == Some(by);
+        let renewal = same_member && promise.highest == fence;
+        let holder = if same_member { None } else { promise.current_holder(now) };
+        // A released fence is never granted again, as the request may be a late one.
+        let released = renewal && promise.leased_until.is_none();
+        if holder.is_some() || released || !renewal && fence <= promise.highest {
+            let highest = promise.highest;
+            let spread_us = promise.count_refused_request(now, self.config.lease_us);
+            return Some(Message::Refusal(Refusal { duty, round, highest, holder, spread_us }));
         }
-        (promise.highest, promise.of) = (fence, Some(by.clone()));
-        promise.until = Some(now.after(self.terms.kept()));
-        promise.note(now, mark);
-        let (mark, age) = (promise.mark, now.since(promise.marked));
-        let proved = promise.proved;
-        Some(Message::Grant { duty: name, fence, round, mark, age, unproven: self.unproven() && !proved })
+        promise.highest = fence;
+        promise.granted_to = Some(by.clone());
+        promise.leased_until = Some(now.after(self.config.voter_lease_us()));
+        promise.record(now, progress);
+        let progress = promise.progress;
+        let age_us = now.since(promise.period_received);
+        let proven = promise.proven;
+        let unproven = self.is_unproven() && !proven;
+        Some(Message::Grant(Grant { duty, fence, round, progress, age_us, unproven }))
     }
 
-    /// A holder or candidate lets a fence go.
-    pub fn release(&mut self, now: Moment, by: &MemberId, duty: &str, fence: Fence, mark: Progress) {
-        if let Some(promise) = self.duties.get_mut(duty)
-            && promise.highest <= fence
-            && promise.of.as_ref() == Some(by)
+    /// Handles the release of a lease by its holder or candidate.
+    pub fn handle_release(&mut self, now: Moment, by: &MemberId, release: &Release) {
+        if let Some(promise) = self.promises.get_mut(&release.duty)
+            && promise.highest <= release.fence
+            && promise.granted_to.as_ref() == Some(by)
         {
-            promise.until = None;
-            promise.note(now, mark);
+            promise.leased_until = None;
+            promise.record(now, release.progress);
         }
     }
 
-    /// Another voter asks what this one knows.
+    /// The promises that follow a duty, for another voter that lost its memory.
     #[must_use]
-    pub fn teach(&self, after: &str) -> Message {
-        let mut behind = self.duties.iter().filter(|(name, _)| name.as_str() > after);
-        let duties = behind.by_ref().take(TOLD).map(|(name, p)| (name.clone(), p.highest, p.mark)).collect();
-        let (more, whole) = (behind.next().is_some(), self.memory == Memory::Whole);
-        Message::SyncReply { after: after.to_owned(), duties, more, whole }
+    pub fn sync_reply(&self, after: &str) -> SyncReply {
+        let mut following = self.promises.iter().filter(|(duty, _)| duty.as_str() > after);
+        let promised = |(duty, promise): (&String, &Promise)| PromisedDuty {
+            duty: duty.clone(),
+            highest: promise.highest,
+            progress: promise.progress,
+        };
+        let duties = following.by_ref().take(DUTIES_PER_SYNC_REPLY).map(promised).collect();
+        SyncReply {
+            after: after.to_owned(),
+            duties,
+            more: following.next().is_some(),
+            complete: self.memory == Memory::Complete,
+        }
     }
 
-    /// Another voter tells what it knows, behind a duty that it had told up to.
-    pub fn learn(
-        &mut self,
-        now: Moment,
-        from: &str,
-        after: &str,
-        known: &[(String, Fence, Progress)],
-        end: Told,
-    ) {
-        // Only of voters is anything kept: other names would have no bound.
-        if self.memory == Memory::Whole || !self.terms.voters.iter().any(|name| name == from) {
+    /// Handles the promises sent by another voter.
+    pub fn handle_sync_reply(&mut self, now: Moment, from: &str, reply: &SyncReply) {
+        // Replies are kept from voters only: the number of other names has no bound.
+        if self.memory == Memory::Complete || self.config.voter_index(from).is_none() {
             return;
         }
-        let told = self.told.entry(from.to_owned()).or_default();
-        if told != after {
+        let position = self.sync_positions.entry(from.to_owned()).or_default();
+        if *position != reply.after {
             return;
         }
-        for (name, fence, mark) in known.iter().take(TOLD) {
-            if self.duties.len() >= DUTIES && !self.duties.contains_key(name) {
+        for promised in reply.duties.iter().take(DUTIES_PER_SYNC_REPLY) {
+            if self.promises.len() >= MAX_DUTIES && !self.promises.contains_key(&promised.duty) {
                 continue;
             }
-            let promise = self.duties.entry(name.clone()).or_default();
-            if *fence > promise.highest {
-                (promise.highest, promise.of, promise.until) = (*fence, None, None);
+            let promise = self.promises.entry(promised.duty.clone()).or_default();
+            if promised.highest > promise.highest {
+                promise.highest = promised.highest;
+                promise.granted_to = None;
+                promise.leased_until = None;
             }
-            promise.note(now, *mark);
-            *told = name.clone();
+            promise.record(now, promised.progress);
+            *position = promised.duty.clone();
         }
-        match end {
-            Told::More => {}
-            Told::AllOfIt => drop(self.learnt.insert(from.to_owned())),
-            Told::AllThatIsLeft => {
-                self.lost.insert(from.to_owned());
-                // It may learn more itself, and is asked again from the first.
-                self.told.remove(from);
-            }
+        if reply.more {
+            return;
+        }
+        if reply.complete {
+            self.learnt_from.insert(from.to_owned());
+        } else {
+            self.without_memory.insert(from.to_owned());
+            // It may learn more itself, so it is asked again from the first duty.
+            self.sync_positions.remove(from);
         }
     }
 }
 
-/// How a word of what another voter knows ends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// There is more to ask for.
-    More,
-    /// That was all that it ever promised.
-    AllOfIt,
-    /// That was all that is left to it: it has lost its memory.
-    AllThatIsLeft,
-}
-
 impl Promise {
-    /// One more asker; gives over how long it is to spread its asking.
-    fn crowd(&mut self, now: Moment, lease: u64) -> u64 {
-        let least = (lease / 4).max(1);
-        self.spread = self.spread.max(least);
-        self.asked += 1;
-        if now.since(self.counts) >= lease {
-            // As many times longer as there were too many of them, or shorter by half at the most.
-            let wanted = self.spread.saturating_mul(self.asked) / ASKED;
-            self.spread = wanted.clamp((self.spread / 2).max(least), SPREAD * lease);
-            (self.counts, self.asked) = (now, 0);
+    /// The holder of the lease, if it has not expired.
+    fn current_holder(&self, now: Moment) -> Option<CurrentHolder> {
+        let until = self.leased_until.filter(|until| now < *until)?;
+        let holder = self.granted_to.as_ref()?;
+        Some(CurrentHolder { name: holder.name.clone(), remaining_us: until.since(now) })
+    }
+
+    /// Counts a refused request. Returns the interval over which candidates are to spread their next requests.
+    fn count_refused_request(&mut self, now: Moment, lease_us: u64) -> u64 {
+        let shortest = (lease_us / 4).max(1);
+        self.spread_us = self.spread_us.max(shortest);
+        self.refused_requests += 1;
+        if now.since(self.count_started) >= lease_us {
+            // Scaled by the ratio of received to wanted requests, but at most halved.
+            let scaled = self.spread_us.saturating_mul(self.refused_requests) / REQUESTS_PER_LEASE;
+            let lower_bound = (self.spread_us / 2).max(shortest);
+            self.spread_us = scaled.clamp(lower_bound, MAX_SPREAD_LEASES * lease_us);
+            self.count_started = now;
+            self.refused_requests = 0;
         }
-        self.spread
+        self.spread_us
     }
 
-    fn note(&mut self, now: Moment, mark: Progress) {
-        if mark.period > self.mark.period {
-            self.marked = now;
+    fn record(&mut self, now: Moment, progress: Progress) {
+        if progress.period > self.progress.period {
+            self.period_received = now;
         }
-        self.mark = self.mark.max(mark);
-        self.proved |= mark.done && mark.period > 0;
+        self.progress = self.progress.max(progress);
+        self.proven |= progress.done && progress.period > 0;
     }
 }
--- a/crates/duties/tests/explore.rs
+++ b/crates/duties/tests/explore.rs
@@ -4,154 +4,192 @@
 
 use dunlincleat_duties::fault::Fault;
 use dunlincleat_duties::{
-    Datagram, Destination, Fence, Input, LeaseConfig, Member, Moment, Notice, Output, Schedule,
+    Datagram, Destination, DutySpec, EffectOutcome, Fence, Input, LeaseConfig, Member, Moment, Notice,
+    Output, Schedule,
 };
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
 use std::hash::{Hash, Hasher};
 
+/// The length of a lease, in ticks of the discrete clock.
 const LEASE: u64 = 8;
+/// The tick at which executions start, and the one at which they end.
+const START: u64 = 10;
 const HORIZON: u64 = 36;
 
+#[derive(Clone, Hash)]
+struct InFlight {
+    deliver_at: u64,
+    /// Messages that can be delivered are delivered in the order in which they were sent.
+    order: u64,
+    from: usize,
+    to: usize,
+    datagram: Datagram,
+}
+
 #[derive(Clone, Hash)]
 struct State {
     now: u64,
     members: Vec<Member>,
-    still: Vec<u64>,
-    /// When it may be delivered, in which order, from whom, to whom.
-    net: Vec<(u64, u64, usize, usize, Datagram)>,
-    sent: u64,
-    lives: u64,
+    paused_until: Vec<u64>,
+    network: Vec<InFlight>,
+    messages_sent: u64,
+    incarnations: u64,
     highest: Fence,
-    ran: BTreeSet<u64>,
-    departures: u32,
-    broken: Option<String>,
+    periods_run: BTreeSet<u64>,
+    deviations: u32,
+    violation: Option<String>,
 }
 
-fn terms() -> LeaseConfig {
-    LeaseConfig { lease: LEASE, drift: 0, voters: ["a", "b", "c"].map(str::to_owned).to_vec() }
+fn config() -> LeaseConfig {
+    LeaseConfig { lease_us: LEASE, drift_ppm: 0, voters: ["a", "b", "c"].map(str::to_owned).to_vec() }
 }
 
-fn member(n: usize, life: u64, now: u64, first: bool, plant: Fault) -> Member {
-    let effect = Schedule { period: 6, catch_up: false };
-    let duties = if n < 2 { vec![("d".to_owned(), Some(effect))] } else { Vec::new() };
-    Member::new(&terms().voters[n], life, terms(), &duties, Moment(now), first).with_fault(plant)
+fn member(n: usize, incarnation: u64, now: u64, first_start: bool, fault: Fault) -> Member {
+    let schedule = Some(Schedule { period_us: 6, catch_up: false });
+    let duties = if n < 2 { vec![DutySpec { name: "d".to_owned(), schedule }] } else { Vec::new() };
+    let config = config();
+    let name = config.voters[n].clone();
+    Member::new(&name, incarnation, config, &duties, Moment(now), first_start).with_fault(fault)
 }
 
 impl State {
-    fn begin(plant: Fault) -> State {
-        let members = (0..3).map(|n| member(n, n as u64 + 1, 10, true, plant)).collect();
+    fn initial(fault: Fault) -> State {
+        let members = (0..3).map(|n| member(n, n as u64 + 1, START, true, fault)).collect();
         State {
-            now: 10,
+            now: START,
             members,
-            still: vec![0; 3],
-            net: Vec::new(),
-            sent: 0,
-            lives: 3,
+            paused_until: vec![0; 3],
+            network: Vec::new(),
+            messages_sent: 0,
+            incarnations: 3,
             highest: Fence(0),
-            ran: BTreeSet::new(),
-            departures: 0,
-            broken: None,
+            periods_run: BTreeSet::new(),
+            deviations: 0,
+            violation: None,
         }
     }
 
-    fn tell(&mut self, n: usize, back: usize, input: Input) {
+    /// Has a member handle an input; `sender` is the member that a reply goes to.
+    fn handle(&mut self, n: usize, sender: usize, input: Input) {
         let mut out = Vec::new();
-        let life = self.members[n].incarnation();
+        let incarnation = self.members[n].incarnation();
         self.members[n].handle(Moment(self.now), input, &mut out);
         for output in out {
             match output {
-                Output::Send { to, answers, message } => {
-                    let to = if let Destination::Voter(voter) = to { voter } else { back };
-                    let datagram = Datagram::new("f", &terms().voters[n], life, answers, message);
-                    self.sent += 1;
-                    self.net.push((self.now, self.sent, n, to, datagram));
+                Output::Send { to, in_reply_to, message } => {
+                    let to = if let Destination::Voter(voter) = to { voter } else { sender };
+                    let datagram = Datagram::new("f", &config().voters[n], incarnation, in_reply_to, message);
+                    self.messages_sent += 1;
+                    self.network.push(InFlight {
+                        deliver_at: self.now,
+                        order: self.messages_sent,
+                        from: n,
+                        to,
+                        datagram,
+                    });
                 }
-                Output::RunEffect(held) if held.is_valid_at(Moment(self.now)) => {
-                    if !self.ran.insert(held.period) {
-                        self.broken = Some(format!("once a period: {} ran again", held.period));
+                Output::RunEffect(permit) if permit.is_valid_at(Moment(self.now)) => {
+                    if !self.periods_run.insert(permit.period) {
+                        self.violation = Some(format!("once a period: {} ran again", permit.period));
                     }
-                    let (duty, fence, period) = (held.duty, held.fence, held.period);
-                    let ended = dunlincleat_duties::EffectOutcome::Done;
-                    self.tell(n, n, Input::EffectFinished { duty, fence, period, ended });
+                    let input = Input::EffectFinished {
+                        duty: permit.duty,
+                        fence: permit.fence,
+                        period: permit.period,
+                        outcome: EffectOutcome::Done,
+                    };
+                    self.handle(n, n, input);
                 }
-                Output::Notify(Notice::Acquired(_, fence, unproven)) => {
+                Output::Notify(Notice::Acquired { fence, unproven, .. }) => {
                     if fence <= self.highest && !unproven {
-                        self.broken = Some(format!("fences rise: {fence:?} after {:?}", self.highest));
+                        self.violation = Some(format!("fences rise: {fence:?} after {:?}", self.highest));
                     }
                     self.highest = self.highest.max(fence);
                 }
                 Output::RunEffect(_) | Output::Notify(_) => {}
             }
         }
-        let holds = (0..3).filter(|n| self.members[*n].held_fence("d", Moment(self.now)).is_some()).count();
-        if holds > 1 {
-            self.broken = Some(format!("one holder: {holds} at {}", self.now));
+        let now = Moment(self.now);
+        let holders = self.members.iter().filter(|member| member.held_fence("d", now).is_some()).count();
+        if holders > 1 {
+            self.violation = Some(format!("one holder: {holders} at {}", self.now));
         }
     }
 
-    fn deliver(&mut self, at: usize) {
-        let (_, _, from, to, datagram) = self.net.remove(at);
-        let Datagram { from: name, life, to: answers, message, .. } = datagram;
-        self.tell(to, from, Input::Received { from: name, life, to: answers, message });
+    fn deliver(&mut self, index: usize) {
+        let InFlight { from, to, datagram, .. } = self.network.remove(index);
+        let input = Input::Received {
+            from: datagram.from,
+            incarnation: datagram.incarnation,
+            in_reply_to: datagram.in_reply_to,
+            message: datagram.message,
+        };
+        self.handle(to, from, input);
+    }
+
+    fn restart(&mut self, n: usize, fault: Fault) {
+        self.incarnations += 1;
+        self.members[n] = member(n, self.incarnations, self.now, false, fault);
     }
 
-    fn die(&mut self, n: usize, plant: Fault) {
-        self.lives += 1;
-        self.members[n] = member(n, self.lives, self.now, false, plant);
+    /// The message to be delivered next in the fault-free execution, if there is one.
+    fn next_message(&self) -> Option<usize> {
+        let deliverable =
+            |message: &InFlight| message.deliver_at <= self.now && self.paused_until[message.to] <= self.now;
+        let messages = self.network.iter().enumerate().filter(|(_, message)| deliverable(message));
+        messages.min_by_key(|(_, message)| message.order).map(|(index, _)| index)
     }
 
-    /// What may come next: the orderly step, and each departure from it.
-    fn next(&self, most: u32, plant: Fault) -> Vec<State> {
-        let mut all = Vec::new();
-        let mut depart = |change: &dyn Fn(&mut State)| {
+    /// The successors of this state: the fault-free step, and each deviation from it.
+    fn successors(&self, max_deviations: u32, fault: Fault) -> Vec<State> {
+        let mut successors = Vec::new();
+        let mut deviate = |change: &dyn Fn(&mut State)| {
             let mut state = self.clone();
-            state.departures += 1;
+            state.deviations += 1;
             change(&mut state);
-            all.push(state);
+            successors.push(state);
         };
-        let ready =
-            self.net.iter().enumerate().filter(|(_, m)| m.0 <= self.now && self.still[m.3] <= self.now);
-        let ready = ready.min_by_key(|(_, m)| m.1).map(|(n, _)| n);
-        let tick = (0..3).find(|n| self.still[*n] <= self.now && self.members[*n].wake_at().0 <= self.now);
-        let may = self.departures < most;
-        if let Some(at) = ready {
-            let to = self.net[at].3;
-            if may {
-                depart(&|s| drop(s.net.remove(at)));
-                depart(&|s| s.net[at].0 = s.now + 1);
-                depart(&|s| s.net[at].0 = s.now + LEASE + 1);
-                depart(&|s| {
-                    let mut copy = s.net[at].clone();
-                    copy.0 = s.now + LEASE + 1;
-                    s.deliver(at);
-                    s.net.push(copy);
+        let due_member =
+            (0..3).find(|n| self.paused_until[*n] <= self.now && self.members[*n].wake_at().0 <= self.now);
+        let may_deviate = self.deviations < max_deviations;
+        if let Some(index) = self.next_message() {
+            let to = self.network[index].to;
+            if may_deviate {
+                deviate(&|state| drop(state.network.remove(index)));
+                deviate(&|state| state.network[index].deliver_at = state.now + 1);
+                deviate(&|state| state.network[index].deliver_at = state.now + LEASE + 1);
+                deviate(&|state| {
+                    let mut duplicate = state.network[index].clone();
+                    duplicate.deliver_at = state.now + LEASE + 1;
+                    state.deliver(index);
+                    state.network.push(duplicate);
                 });
-                depart(&|s| {
-                    s.deliver(at);
-                    s.die(to, plant);
+                deviate(&|state| {
+                    state.deliver(index);
+                    state.restart(to, fault);
                 });
-                depart(&|s| s.still[to] = s.now + LEASE + 2);
+                deviate(&|state| state.paused_until[to] = state.now + LEASE + 2);
             }
             let mut state = self.clone();
-            state.deliver(at);
-            all.push(state);
-        } else if let Some(n) = tick {
-            if may {
-                depart(&|s| s.still[n] = s.now + 3);
-                depart(&|s| s.still[n] = s.now + LEASE + 2);
-                depart(&|s| s.die(n, plant));
+            state.deliver(index);
+            successors.push(state);
+        } else if let Some(n) = due_member {
+            if may_deviate {
+                deviate(&|state| state.paused_until[n] = state.now + 3);
+                deviate(&|state| state.paused_until[n] = state.now + LEASE + 2);
+                deviate(&|state| state.restart(n, fault));
             }
             let mut state = self.clone();
-            state.tell(n, n, Input::Tick);
-            all.push(state);
+            state.handle(n, n, Input::Tick);
+            successors.push(state);
         } else if self.now < HORIZON {
             let mut state = self.clone();
+            // No member has an input, but one that held a lease by its clock may now hold it together with another.
             state.now += 1;
-            // Nobody is told anything, but who held by the clock may now hold with another.
-            all.push(state);
+            successors.push(state);
         }
-        all
+        successors
     }
 
     fn key(&self) -> u64 {
@@ -161,41 +199,55 @@
     }
 }
 
-/// The number of states, what was broken, and how many were held at the end of the orderly execution.
-fn explore(departures: u32, plant: Fault) -> (usize, Option<String>, usize) {
-    let (mut seen, mut open, mut most) = (HashSet::new(), vec![State::begin(plant)], 0);
+struct Exploration {
+    states: usize,
+    /// The first property that was violated.
+    violation: Option<String>,
+    /// The number of periods that ran in the fault-free execution.
+    periods_run: usize,
+}
+
+fn explore(max_deviations: u32, fault: Fault) -> Exploration {
+    let mut seen = HashSet::new();
+    let mut open = vec![State::initial(fault)];
+    let mut periods_run = 0;
     while let Some(state) = open.pop() {
-        if let Some(broken) = &state.broken {
-            return (seen.len(), Some(broken.clone()), most);
+        if state.violation.is_some() {
+            return Exploration { states: seen.len(), violation: state.violation, periods_run };
         }
-        if state.departures == 0 {
-            most = most.max(state.ran.len());
+        if state.deviations == 0 {
+            periods_run = periods_run.max(state.periods_run.len());
         }
-        let next = state.next(departures, plant);
-        open.extend(next.into_iter().filter(|state| seen.insert(state.key())));
+        let successors = state.successors(max_deviations, fault);
+        open.extend(successors.into_iter().filter(|state| seen.insert(state.key())));
     }
-    (seen.len(), None, most)
+    Exploration { states: seen.len(), violation: None, periods_run }
 }
 
 #[test]
-fn every_execution_within_two_departures_keeps_the_properties() {
-    let departures = std::env::var("DEPARTURES").ok().and_then(|n| n.parse().ok()).unwrap_or(2);
-    let (states, broken, ran) = explore(departures, Fault::None);
-    println!("{states} states within {departures} departures; the orderly execution ran {ran} periods");
-    assert_eq!(broken, None);
-    assert!(ran >= 3 && states > 10_000, "{states} states, {ran} periods");
+fn all_executions_within_two_deviations_keep_the_properties() {
+    let deviations = std::env::var("DEPARTURES").ok().and_then(|n| n.parse().ok()).unwrap_or(2);
+    let Exploration { states, violation, periods_run } = explore(deviations, Fault::None);
+    println!(
+        "{states} states within {deviations} deviations; the fault-free execution ran {periods_run} periods"
+    );
+    assert_eq!(violation, None);
+    assert!(periods_run >= 3 && states > 10_000, "{states} states, {periods_run} periods");
 }
 
 #[test]
-fn planted_faults_are_found_within_two_departures() {
-    for (plant, property) in [
+fn injected_faults_are_detected_within_two_deviations() {
+    for (fault, property) in [
         (Fault::VotesAtOnce, "fences rise"),
         (Fault::MajorityOfTheLiving, "one holder"),
         (Fault::LeaseFromAnswer, "one holder"),
         (Fault::PeriodAgain, "once a period"),
     ] {
-        let (states, broken, _) = explore(2, plant);
-        println!("{plant:?}: {broken:?} after {states} states");
-        assert!(broken.as_ref().is_some_and(|b| b.starts_with(property)), "{plant:?}: {broken:?}");
+        let Exploration { states, violation, .. } = explore(2, fault);
+        println!("{fault:?}: {violation:?} after {states} states");
+        assert!(
+            violation.as_ref().is_some_and(|text| text.starts_with(property)),
+            "{fault:?}: {violation:?}"
+        );
     }
 }
--- a/crates/dutyshell/src/lib.rs
+++ b/crates/dutyshell/src/lib.rs
@@ -7,19 +7,21 @@
 
 #![forbid(unsafe_code)]
 
-use actix_http::header::HeaderValue;
+use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead};
 use anyhow::{Context, Result};
 use dunlincleat::api::RequestId;
 use dunlincleat_duties::member::{DutyStatus, EffectPermit};
 use dunlincleat_duties::{
-    Datagram, Destination, EffectOutcome, Fence, Input, LeaseConfig, Member, Moment, Notice, Output, Schedule,
+    Datagram, Destination, DutySpec, EffectOutcome, Fence, Input, LeaseConfig, Member, Moment, Notice,
+    Output, Schedule,
 };
 use dunlincleat_engine::Answer;
 use dunlincleat_http::Handle;
 use dunlincleat_http::front::InForce;
 use dunlincleat_http::message::{Errand, Request, class_of};
 use dunlincleat_limits::Fleet;
+use dunlincleat_limits::fleet::Call;
 use dunlincleat_status::desk::{Desk, Order};
 use dunlincleat_status::{Seldom, seldom};
 use rustix::time::{ClockId, clock_gettime};
@@ -34,18 +36,23 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Requests of duties are numbered from here on: no application's request gets so far.
-const FIRST: u64 = 1 << 63;
-/// How long an effect that is out may hold up a planned end.
-const FINISH: Duration = Duration::from_millis(500);
-/// Datagrams that are read at a time before the timer is looked at again.
-const AT_A_TIME: usize = 64;
+/// The first request id of effects; ids of client requests never get this high.
+const FIRST_REQUEST_ID: u64 = 1 << 63;
+/// How long effects in flight may delay a planned shutdown.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(500);
+/// The number of datagrams that are read before the timers are checked again.
+const DATAGRAMS_PER_WAKE: usize = 64;
+/// The receive buffer in bytes, larger than any valid datagram.
+const RECEIVE_BUFFER_BYTES: usize = 2048;
+/// The longest sleep between two ticks.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// The time of a clock that goes on through suspension.
+/// The current time of the boot-time clock, which keeps running during suspension.
 fn now() -> Moment {
     let time = clock_gettime(ClockId::Boottime);
-    let (s, ns) = (u64::try_from(time.tv_sec).unwrap_or(0), u64::try_from(time.tv_nsec).unwrap_or(0));
-    Moment(s * 1_000_000 + ns / 1000)
+    let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
+    let nanoseconds = u64::try_from(time.tv_nsec).unwrap_or(0);
+    Moment(seconds * 1_000_000 + nanoseconds / 1000)
 }
 
 /// The shell, before it runs.
@@ -53,17 +60,19 @@
     socket: UdpSocket,
     member: Member,
     fleet: Arc<Fleet>,
-    me: String,
+    name: String,
     engine: Handle,
     in_force: watch::Receiver<Rc<InForce>>,
     desk: Arc<Desk>,
     orders: mpsc::UnboundedReceiver<Order>,
-    next: u64,
-    foreign: Seldom,
-    /// Told to end, and when at the latest.
-    ends: Option<Instant>,
-    out: usize,
-    ended: (mpsc::UnboundedSender<Input>, mpsc::UnboundedReceiver<Input>),
+    next_request_id: u64,
+    /// Limits the rate of log lines about rejected datagrams.
+    rejected_log: Seldom,
+    /// The latest end of a shutdown that was ordered.
+    shutdown_deadline: Option<Instant>,
+    effects_in_flight: usize,
+    finished_sender: mpsc::UnboundedSender<Input>,
+    finished: mpsc::UnboundedReceiver<Input>,
 }
 
 impl DutyDriver {
@@ -74,194 +83,211 @@
     /// The address can't be had.
     pub fn open(
         fleet: Arc<Fleet>,
-        me: &str,
+        name: &str,
         engine: Handle,
         in_force: watch::Receiver<Rc<InForce>>,
         desk: Arc<Desk>,
         orders: mpsc::UnboundedReceiver<Order>,
     ) -> Result<DutyDriver> {
-        let open = || -> std::io::Result<UdpSocket> {
-            let socket = std::net::UdpSocket::bind(fleet.listen)?;
-            socket.set_nonblocking(true)?;
-            UdpSocket::from_std(socket)
-        };
-        let socket = open().with_context(|| format!("fleet.listen: '{}'", fleet.listen))?;
-        let effect = |call: &dunlincleat_limits::fleet::Call| Schedule {
-            period: call.period.0,
-            catch_up: call.catch_up,
-        };
-        let duties: Vec<(String, Option<Schedule>)> =
-            fleet.duties.iter().map(|duty| (duty.name.clone(), duty.call.as_ref().map(effect))).collect();
-        let voters = fleet.voters.iter().map(|(name, _)| name.clone()).collect();
-        let terms = LeaseConfig { lease: fleet.lease.0, drift: fleet.drift, voters };
-        // A life's number is new with each start, whatever the configuration says.
-        let life = RandomState::new().build_hasher().finish() | 1;
-        let member = Member::new(me, life, terms, &duties, now(), false);
-        #[cfg(feature = "plant")]
-        let member = planted(member);
+        let socket = bind(fleet.listen).with_context(|| format!("fleet.listen: '{}'", fleet.listen))?;
+        let member = new_member(&fleet, name);
         let at = socket.local_addr()?;
         tracing::info!(
-            "fleet {}: member {me} heard at {at}, life {life:016x}, {} voters",
+            "fleet {}: member {name} heard at {at}, life {:016x}, {} voters",
             fleet.name,
+            member.incarnation(),
             fleet.voters.len()
         );
-        let (me, ended) = (me.to_owned(), mpsc::unbounded_channel());
-        let foreign = Seldom::default();
+        let (finished_sender, finished) = mpsc::unbounded_channel();
         Ok(DutyDriver {
             socket,
             member,
             fleet,
-            me,
+            name: name.to_owned(),
             engine,
             in_force,
             desk,
             orders,
-            next: FIRST,
-            foreign,
-            ends: None,
-            out: 0,
-            ended,
+            next_request_id: FIRST_REQUEST_ID,
+            rejected_log: Seldom::default(),
+            shutdown_deadline: None,
+            effects_in_flight: 0,
+            finished_sender,
+            finished,
         })
     }
 
     /// Runs until it is told to end and has let go of all.
     pub async fn run(mut self) {
-        let mut bytes = vec![0; 2048];
+        let mut bytes = vec![0; RECEIVE_BUFFER_BYTES];
         loop {
-            self.show();
-            let due = Duration::from_micros(self.member.wake_at().since(now()));
-            let mut wake = Instant::now() + due.min(Duration::from_secs(1));
-            if let Some(ends) = self.ends {
-                if self.out == 0 || ends <= Instant::now() {
-                    return self.tell(Input::Shutdown, None);
+            self.publish_status();
+            let sleep = Duration::from_micros(self.member.wake_at().since(now()));
+            let mut wake = Instant::now() + sleep.min(MAX_SLEEP);
+            if let Some(deadline) = self.shutdown_deadline {
+                if self.effects_in_flight == 0 || deadline <= Instant::now() {
+                    return self.handle(Input::Shutdown, None);
                 }
-                wake = wake.min(ends);
+                wake = wake.min(deadline);
             }
             tokio::select! {
                 biased;
-                Some(input) = self.ended.1.recv() => {
-                    self.out -= 1;
-                    self.tell(input, None);
+                Some(input) = self.finished.recv() => {
+                    self.effects_in_flight -= 1;
+                    self.handle(input, None);
                 }
                 order = self.orders.recv() => match order {
-                    Some(Order::Hand { duty, to }) => self.tell(Input::HandOver { duty, to }, None),
-                    Some(Order::End) | None => self.ends = Some(Instant::now() + FINISH),
+                    Some(Order::Hand { duty, to }) => self.handle(Input::HandOver { duty, to }, None),
+                    Some(Order::End) | None => {
+                        self.shutdown_deadline = Some(Instant::now() + SHUTDOWN_GRACE);
+                    }
                 },
-                () = sleep_until(wake) => self.tell(Input::Tick, None),
-                read = self.socket.recv_from(&mut bytes) => {
-                    let mut read = read;
-                    for _ in 0..AT_A_TIME {
-                        // A fault of the socket is that of one datagram.
-                        let Ok((len, from)) = read else { break };
-                        self.hear(&bytes[..len], from);
-                        read = self.socket.try_recv_from(&mut bytes);
+                () = sleep_until(wake) => self.handle(Input::Tick, None),
+                received = self.socket.recv_from(&mut bytes) => {
+                    let mut received = received;
+                    for _ in 0..DATAGRAMS_PER_WAKE {
+                        // A socket error concerns one datagram only.
+                        let Ok((length, from)) = received else { break };
+                        self.receive(&bytes[..length], from);
+                        received = self.socket.try_recv_from(&mut bytes);
                     }
                 }
             }
         }
     }
 
-    fn hear(&mut self, bytes: &[u8], at: SocketAddr) {
+    fn receive(&mut self, bytes: &[u8], sender: SocketAddr) {
         match Datagram::decode(bytes, &self.fleet.name) {
-            Some(Datagram { from, life, to, message, .. }) => {
-                self.tell(Input::Received { from, life, to, message }, Some(at));
+            Some(Datagram { from, incarnation, in_reply_to, message, .. }) => {
+                let input = Input::Received { from, incarnation, in_reply_to, message };
+                self.handle(input, Some(sender));
             }
             None => {
-                let line = format!("fleet: a datagram that is malformed or of another fleet, from {at}");
-                seldom!(self.foreign, warn, line);
+                let line = format!("fleet: a datagram that is malformed or of another fleet, from {sender}");
+                seldom!(self.rejected_log, warn, line);
             }
         }
     }
 
-    fn tell(&mut self, input: Input, back: Option<SocketAddr>) {
+    /// Has the member handle an input and carries out its outputs. `sender` is the source of a received message.
+    fn handle(&mut self, input: Input, sender: Option<SocketAddr>) {
         let mut out = Vec::new();
         self.member.handle(now(), input, &mut out);
         for output in out {
             match output {
-                Output::Send { to, answers, message } => {
-                    let at = match to {
-                        Destination::Voter(n) => self.fleet.voters.get(n).map(|(_, at)| *at),
-                        Destination::Sender => back,
+                Output::Send { to, in_reply_to, message } => {
+                    let address = match to {
+                        Destination::Voter(n) => self.fleet.voters.get(n).map(|(_, address)| *address),
+                        Destination::Sender => sender,
                     };
-                    let datagram = Datagram::new(
-                        &self.fleet.name,
-                        &self.me,
-                        self.member.incarnation(),
-                        answers,
-                        message,
-                    );
-                    if let (Some(at), Some(bytes)) = (at, datagram.encode()) {
-                        // One that the machine can't take now is lost like any other.
-                        let _ = self.socket.try_send_to(&bytes, at);
+                    let incarnation = self.member.incarnation();
+                    let datagram =
+                        Datagram::new(&self.fleet.name, &self.name, incarnation, in_reply_to, message);
+                    if let (Some(address), Some(bytes)) = (address, datagram.encode()) {
+                        // A datagram that cannot be sent now counts as lost.
+                        let _ = self.socket.try_send_to(&bytes, address);
                     }
                 }
-                Output::RunEffect(held) => self.carry_out(held),
-                Output::Notify(notice) => told(&notice),
+                Output::RunEffect(permit) => self.run_effect(permit),
+                Output::Notify(notice) => log(&notice),
             }
         }
     }
 
-    /// Has an effect made as a request through the engine, which draws the server as for any other.
-    fn carry_out(&mut self, held: EffectPermit) {
-        let call =
-            self.fleet.duties.iter().find(|duty| duty.name == held.duty).and_then(|duty| duty.call.clone());
-        let Some(call) = call else { return };
-        let (duty, fence, period) = (held.duty.clone(), held.fence, held.period);
-        let (ended, in_force) = (self.ended.0.clone(), self.in_force.borrow().clone());
-        self.out += 1;
-        let tell = move |how| drop(ended.send(Input::EffectFinished { duty, fence, period, ended: how }));
-        let left = held.valid_until().since(now());
-        if left == 0 {
-            return tell(EffectOutcome::NotStarted);
+    /// Sends an effect as a request through the engine, which selects the server as for any other request.
+    fn run_effect(&mut self, permit: EffectPermit) {
+        let duty = self.fleet.duties.iter().find(|duty| duty.name == permit.duty);
+        let Some(call) = duty.and_then(|duty| duty.call.clone()) else { return };
+        let EffectPermit { duty, fence, period, .. } = permit.clone();
+        let finished = self.finished_sender.clone();
+        let in_force = self.in_force.borrow().clone();
+        self.effects_in_flight += 1;
+        let report =
+            move |outcome| drop(finished.send(Input::EffectFinished { duty, fence, period, outcome }));
+        let remaining_us = permit.valid_until().since(now());
+        if remaining_us == 0 {
+            return report(EffectOutcome::NotStarted);
         }
-        let id = RequestId(self.next);
-        self.next += 1;
-        let name = format!("duty-{:016x}-{}-{}", self.member.incarnation(), fence.0, period);
-        let request = request(&held, &call.path, &name, left, &in_force);
-        let (request, errand) = match request {
-            Ok(made) => made,
-            Err(error) => {
-                tracing::warn!("duty {}: its call can't be made: {error:#}", held.duty);
-                return tell(EffectOutcome::NotStarted);
-            }
-        };
+        let id = RequestId(self.next_request_id);
+        self.next_request_id += 1;
+        let request_id = format!("duty-{:016x}-{}-{period}", self.member.incarnation(), fence.0);
+        let (request, errand) =
+            match effect_request(&permit, &call.path, &request_id, remaining_us, &in_force) {
+                Ok(request) => request,
+                Err(error) => {
+                    tracing::warn!("duty {}: its call can't be made: {error:#}", permit.duty);
+                    return report(EffectOutcome::NotStarted);
+                }
+            };
         let (slot, answer) = oneshot::channel();
         self.engine.request(id, request.ask.clone(), Rc::new(request), Instant::now(), slot);
         actix_rt::spawn(async move {
-            let how = match (answer.await, errand.told()) {
+            let outcome = match (answer.await, errand.told()) {
                 (Ok(Answer::Served(_)), _) => EffectOutcome::Done,
-                (_, Some((seen, period))) => EffectOutcome::Fenced(Fence(seen), period),
+                (_, Some((highest, period))) => EffectOutcome::Fenced { highest: Fence(highest), period },
                 (Ok(Answer::Refused { .. }), None) => EffectOutcome::NotStarted,
                 (Ok(Answer::Failed) | Err(_), None) if !errand.begun() => EffectOutcome::NotStarted,
                 (Ok(Answer::Failed) | Err(_), None) => EffectOutcome::Unknown,
             };
-            tell(how);
+            report(outcome);
         });
     }
 
-    /// What operators see.
-    fn show(&self) {
+    /// Publishes the state of the duties for operators, if any console reads it.
+    fn publish_status(&self) {
         if !self.desk.wanted() {
             return;
         }
-        let now = now();
-        let line = |view: DutyStatus<'_>| {
-            json!({"duty": view.duty, "holder": view.holder, "fence": view.fence.0, "left_ms": view.left / 1000,
-                "since_ms": view.since / 1000, "why": view.why, "period": view.mark.period, "done": view.mark.done,
-                "proved": !view.unproven, "me": self.me, "votes": self.member.voter_active()})
+        let line = |status: DutyStatus<'_>| {
+            json!({
+                "duty": status.duty,
+                "holder": status.holder,
+                "fence": status.fence.0,
+                "left_ms": status.remaining_us / 1000,
+                "since_ms": status.since_us / 1000,
+                "why": status.reason,
+                "period": status.progress.period,
+                "done": status.progress.done,
+                "proved": !status.unproven,
+                "me": self.name,
+                "votes": self.member.voter_active(),
+            })
             .to_string()
         };
-        let lines: Vec<String> = self.member.duty_statuses(now).map(line).collect();
+        let lines: Vec<String> = self.member.duty_statuses(now()).map(line).collect();
         self.desk.show(lines.join("\n"));
     }
 }
 
-/// The request of an effect, and the errand that goes with it.
-fn request(
-    held: &EffectPermit,
+fn bind(address: SocketAddr) -> std::io::Result<UdpSocket> {
+    let socket = std::net::UdpSocket::bind(address)?;
+    socket.set_nonblocking(true)?;
+    UdpSocket::from_std(socket)
+}
+
+fn new_member(fleet: &Fleet, name: &str) -> Member {
+    let schedule = |call: &Call| Schedule { period_us: call.period.0, catch_up: call.catch_up };
+    let duties: Vec<DutySpec> = fleet
+        .duties
+        .iter()
+        .map(|duty| DutySpec { name: duty.name.clone(), schedule: duty.call.as_ref().map(schedule) })
+        .collect();
+    let voters = fleet.voters.iter().map(|(name, _)| name.clone()).collect();
+    let config = LeaseConfig { lease_us: fleet.lease.0, drift_ppm: fleet.drift, voters };
+    // Random, so that each start has a new incarnation whatever the configuration says; never 0, which means "not a reply".
+    let incarnation = RandomState::new().build_hasher().finish() | 1;
+    let member = Member::new(name, incarnation, config, &duties, now(), false);
+    #[cfg(feature = "plant")]
+    let member = with_configured_fault(member);
+    member
+}
+
+/// The request of an effect, and the errand that tells whether it was sent and how the receiver judged its fence.
+fn effect_request(
+    permit: &EffectPermit,
     path: &str,
-    name: &str,
-    left: u64,
+    request_id: &str,
+    remaining_us: u64,
     in_force: &InForce,
 ) -> Result<(Request, Rc<Errand>)> {
     let mut head = RequestHead::default();
@@ -270,49 +296,50 @@
     let safe = in_force.site.settings.classes[class].effect == dunlincleat::api::Effect::Safe;
     head.method = if safe { Method::GET } else { Method::POST };
     let mut set = |name: &'static str, value: String| -> Result<()> {
-        head.headers
-            .insert(actix_http::header::HeaderName::from_static(name), HeaderValue::from_str(&value)?);
+        head.headers.insert(HeaderName::from_static(name), HeaderValue::from_str(&value)?);
         Ok(())
     };
-    set("x-request-id", name.to_owned())?;
-    // The same whoever holds the duty: to a receiver that knows keys it is the same effect.
-    set("idempotency-key", format!("{}-{}", held.duty, held.period))?;
-    set("x-timeout", format!("{:.6}", left as f64 / 1e6))?;
+    set("x-request-id", request_id.to_owned())?;
+    // The same key whoever holds the duty: a receiver that checks keys recognises a repeated effect.
+    set("idempotency-key", format!("{}-{}", permit.duty, permit.period))?;
+    set("x-timeout", format!("{:.6}", remaining_us as f64 / 1e6))?;
     let headers = BTreeMap::from([
-        ("x-duty", held.duty.clone()),
-        ("x-duty-fence", held.fence.0.to_string()),
-        ("x-duty-period", held.period.to_string()),
+        ("x-duty", permit.duty.clone()),
+        ("x-duty-fence", permit.fence.0.to_string()),
+        ("x-duty-period", permit.period.to_string()),
     ]);
-    let held = held.clone();
-    let errand = Rc::new(Errand::new(headers, move || held.is_valid_at(now())));
+    let permit = permit.clone();
+    let errand = Rc::new(Errand::new(headers, move || permit.is_valid_at(now())));
     let request = Request::decode(&head, &in_force.site, in_force.rules.as_deref());
     let request = request.map_err(|malformed| anyhow::anyhow!("{}", malformed.what))?;
     Ok((request.on(errand.clone()), errand))
 }
 
-fn told(notice: &Notice) {
+fn log(notice: &Notice) {
     match notice {
-        Notice::Acquired(duty, fence, unproven) => {
+        Notice::Acquired { duty, fence, unproven } => {
             let proved = if *unproven { ", not proved: too many voters had lost their memory" } else { "" };
             tracing::info!("duty {duty}: held here, fence {}{proved}", fence.0);
         }
-        Notice::Released(duty, fence, why) => tracing::info!("duty {duty}: let go, fence {}: {why}", fence.0),
-        Notice::OutcomeUnknown(duty, period) => {
+        Notice::Released { duty, fence, reason } => {
+            tracing::info!("duty {duty}: let go, fence {}: {reason}", fence.0);
+        }
+        Notice::OutcomeUnknown { duty, period } => {
             tracing::warn!(
                 "duty {duty}: period {period} was begun by the holder before and is perhaps done: not run again"
             );
         }
-        Notice::PeriodsSkipped(duty, n) => {
-            tracing::warn!("duty {duty}: {n} periods were missed and are left out")
+        Notice::PeriodsSkipped { duty, count } => {
+            tracing::warn!("duty {duty}: {count} periods were missed and are left out");
         }
     }
 }
 
-/// A fault that a test plants in the program itself.
+/// Injects the fault that a test names in the environment.
 #[cfg(feature = "plant")]
-fn planted(member: Member) -> Member {
+fn with_configured_fault(member: Member) -> Member {
     use dunlincleat_duties::fault::Fault;
-    let plant = match std::env::var("EDGE_PLANT").unwrap_or_default().as_str() {
+    let fault = match std::env::var("EDGE_PLANT").unwrap_or_default().as_str() {
         "lease-from-answer" => Fault::LeaseFromAnswer,
         "votes-at-once" => Fault::VotesAtOnce,
         "majority-of-the-living" => Fault::MajorityOfTheLiving,
@@ -321,5 +348,5 @@
         "fence-anew" => Fault::FenceAnew,
         _ => Fault::None,
     };
-    member.with_fault(plant)
+    member.with_fault(fault)
 }
--- a/crates/lab/src/slopes/duty.rs
+++ b/crates/lab/src/slopes/duty.rs
@@ -2,7 +2,7 @@
 
 use super::{Context, cpu};
 use anyhow::{Result, bail};
-use dunlincleat_duties::{Datagram, Destination, Input, LeaseConfig, Member, Moment, Output};
+use dunlincleat_duties::{Datagram, Destination, DutySpec, Input, LeaseConfig, Member, Moment, Output};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -44,8 +44,8 @@
     fn new(members: usize) -> Fleet {
         let names: Vec<String> = (0..members).map(|n| format!("sidecar-{n:04}")).collect();
         let voters = names.iter().take(if members < 5 { 3 } else { 5 }).cloned().collect();
-        let terms = LeaseConfig { lease: LEASE, drift: DRIFT, voters };
-        let duties = [("settle".to_owned(), None)];
+        let terms = LeaseConfig { lease_us: LEASE, drift_ppm: DRIFT, voters };
+        let duties = [DutySpec { name: "settle".to_owned(), schedule: None }];
         let member = |(n, name): (usize, &String)| {
             Member::new(name, n as u64 + 1, terms.clone(), &duties, Moment(0), true)
         };
@@ -83,20 +83,20 @@
                     let Some(read) = Datagram::decode(&bytes, FLEET) else {
                         bail!("a datagram can't be read")
                     };
-                    let Datagram { from: name, life, to, message, .. } = read;
-                    (Some(from), Input::Received { from: name, life, to, message })
+                    let Datagram { from: name, incarnation, in_reply_to, message, .. } = read;
+                    (Some(from), Input::Received { from: name, incarnation, in_reply_to, message })
                 }
             };
             let mut out = Vec::new();
             self.members[to].handle(Moment(at), input, &mut out);
             for output in out {
-                let Output::Send { to: hears, answers, message } = output else { continue };
+                let Output::Send { to: hears, in_reply_to, message } = output else { continue };
                 let hears = match hears {
                     Destination::Voter(voter) => Some(voter),
                     Destination::Sender => back,
                 };
-                let life = self.members[to].incarnation();
-                let datagram = Datagram::new(FLEET, &self.names[to], life, answers, message);
+                let incarnation = self.members[to].incarnation();
+                let datagram = Datagram::new(FLEET, &self.names[to], incarnation, in_reply_to, message);
                 let (Some(hears), Some(bytes)) = (hears, datagram.encode()) else { continue };
                 self.said.messages += 1;
                 self.said.bytes += bytes.len() as u64;
