--- a/crates/duties/src/fault.rs
+++ b/crates/duties/src/fault.rs
@@ -1,21 +1,21 @@
-//! Faults that the tests must find, in a file of their own: machine and voter both ask.
+//! Injected faults that the tests must detect, shared by member and voter.
 
-/// Faults that the tests must find.
+/// An injected fault. A test suite that passes with one of them does not check the property it breaks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// The lease is counted from its answers.
+    /// The holder counts its lease from the last grant instead of from the request.
     LeaseFromAnswer,
-    /// A voter that lost its memory votes at once.
+    /// A voter that lost its memory votes without waiting.
     VotesAtOnce,
-    /// A majority of those that answered is enough.
+    /// A majority of the voters that answered suffices, instead of a majority of all voters.
     MajorityOfTheLiving,
-    /// A holder lets go without stopping.
+    /// A holder releases its lease but goes on as holder.
     ReleaseWithoutStopping,
-    /// A period that the one before began is run again.
+    /// A period that the previous holder started is run again.
     PeriodAgain,
-    /// A fence is drawn without regard to those before.
+    /// A candidate chooses its fence without regard to earlier fences.
     FenceAnew,
 }
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,21 +1,26 @@
-//! Duties that one sidecar alone may hold at a time, `(now, input) -> outputs`, without I/O or a clock of its own.
+//! Duties that at most one sidecar holds at a time: leases granted by a quorum of voters, with fencing tokens. A pure
+//! state machine, `(now, input) -> outputs`, without I/O or a clock of its own.
 //!
-//! Properties, in words that can be checked from outside:
+//! Properties that can be checked from outside:
 //!
-//! 1. **One holder**: at no moment do two processes hold a duty, each by its own clock, as long as no clock runs off by more than
-//!    the stated bound.
-//! 2. **Fences rise**: a grant's fence is higher than that of every grant of the duty before it.
-//! 3. **Once a period**: the effect of one period number is begun by one holder at the most, and only once.
-//! 4. **It goes on**: while a majority of the voters and a candidate that reach each other live, the duty has a holder within
-//!    a stated bound.
+//! 1. **One holder**: at no moment do two processes hold a duty, each by its own clock, as long as no clock rate is off by
+//!    more than the configured bound.
+//! 2. **Fences rise**: the fence of a grant is higher than that of every earlier grant of the duty.
+//! 3. **Once a period**: the effect of a period is started by at most one holder, and at most once.
+//! 4. **Liveness**: while a majority of the voters and a candidate are alive and reach each other, the duty gets a holder
+//!    within a fixed bound.
 //!
-//! The argument for 1 and 2: a grant takes a majority of the *configured* voters, and two majorities share a voter. A voter
-//! grants to nobody else until the lease it granted is over by its own clock, counted from after it heard; the holder counts
-//! from before it asked. A voter grants only fences above all that it promised, so of two grants the later has the higher.
-//! For 3: a holder writes the period's number to a majority before the effect, in the round that proves its lease, and who
-//! comes after it learns that number from its own majority. A voter that lost its memory is silent for the longest lease, so
-//! that all it granted is over, and votes again once it has learnt from a majority of the others that remember; where that
-//! many are not there, after a bound, and says so.
+//! Why 1 and 2 hold: a grant takes a majority of the *configured* voters, and any two majorities share a voter. A voter
+//! grants to nobody else until the lease it granted has expired by its own clock, counted from after it received the
+//! request; the holder counts from before it sent the request. A voter grants only fences above all that it has
+//! promised, so of two grants the later one has the higher fence.
+//!
+//! Why 3 holds: a holder writes the number of the period to a majority before it starts the effect, in the same round
+//! that proves its lease, and its successor learns that number from its own majority.
+//!
+//! Voters keep their promises in memory only. A voter that lost its memory stays silent for the longest possible lease,
+//! so that every lease it granted has expired. It votes again once it has learnt from a majority of the others that
+//! still remember. If that many do not exist, it votes after a fixed bound, and its grants say so.
 
 #![forbid(unsafe_code)]
 
--- a/crates/duties/src/member.rs
+++ b/crates/duties/src/member.rs
@@ -1,5 +1,6 @@
-//! A member: its part in each duty, as candidate and as holder, and its voter where it is one. It owns all of it; a shell
-//! carries messages, wakes it, and carries out effects under the [`EffectPermit`](crate::Output::RunEffect) value that it is given.
+//! The state machine of a member: its role in each duty, as candidate and holder, and its voter if it is one. It owns
+//! all of this state. An I/O adapter delivers messages, wakes it when [`Member::wake_at`] is reached, and carries out
+//! effects under the [`EffectPermit`] of each [`Output::RunEffect`].
 
 #[cfg(feature = "plant")]
 use crate::fault::Fault;
@@ -13,8 +14,8 @@
 
 /// The largest number of missed periods that are caught up on.
 const MAX_CATCH_UP_PERIODS: u64 = 100;
-/// How many times the receiver of a handover retries at once, as the previous holder's release may reach voters later than
-/// its request.
+/// How many times the receiver of a handover retries at once, as the previous holder's release may reach voters later
+/// than its request.
 const HANDOVER_RETRIES: u8 = 8;
 /// The exponential backoff after failed rounds doubles this many times at most.
 const MAX_BACKOFF_DOUBLINGS: u64 = 4;
@@ -26,7 +27,7 @@
 pub struct Schedule {
     /// The interval between effects, in microseconds.
     pub period_us: u64,
-    /// A missed period is run late; else it is told and left out.
+    /// Run missed periods late; otherwise they are reported and skipped.
     pub catch_up: bool,
 }
 
@@ -44,35 +45,35 @@
 pub struct EffectPermit {
     /// The duty.
     pub duty: String,
-    /// The fence that goes with the effect.
+    /// The fence to send with the effect.
     pub fence: Fence,
-    /// The period's number.
+    /// The number of the period.
     pub period: u64,
     until: Moment,
 }
 
 impl EffectPermit {
-    /// Whether the effect may begin at this moment.
+    /// Whether the effect may start at this moment.
     #[must_use]
     pub fn is_valid_at(&self, now: Moment) -> bool {
         now < self.until
     }
 
-    /// Until when it may.
+    /// The deadline for starting the effect.
     #[must_use]
     pub fn valid_until(&self) -> Moment {
         self.until
     }
 }
 
-/// How an effect ended.
+/// The outcome of an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EffectOutcome {
     /// It is done.
     Done,
-    /// It may have been done, or may yet be.
+    /// It may have been done, or may still be.
     Unknown,
-    /// It never began: it may be tried again.
+    /// It never started and may be retried.
     NotStarted,
     /// Its receiver refused the fence.
     Fenced {
@@ -83,72 +84,72 @@
     },
 }
 
-/// What a member is told.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// Another member said something.
+    /// A message from another member was received.
     Received {
-        /// Its name.
+        /// The sender.
         from: String,
         /// The incarnation of the sender.
         incarnation: u64,
         /// The incarnation of this member that the message replies to; 0 if it is not a reply.
         in_reply_to: u64,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// An effect ended.
+    /// An effect finished.
     EffectFinished {
         /// The duty.
         duty: String,
-        /// The fence that it was begun under.
+        /// The fence it was started under.
         fence: Fence,
-        /// The period's number.
+        /// The number of the period.
         period: u64,
         /// Its outcome.
         outcome: EffectOutcome,
     },
-    /// It is to let a duty go, to another where one is named, and not to ask for it for a while.
+    /// Release a duty, to a named successor if given, and do not request it again for a while.
     HandOver {
         /// The duty.
         duty: String,
         /// The next holder.
         to: Option<String>,
     },
-    /// It ends: all is let go.
+    /// The process shuts down: release all duties.
     Shutdown,
 }
 
-/// Where a message goes.
+/// The destination of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Destination {
-    /// To a voter, by its place in the list.
+    /// A voter, by its position in the configured list.
     Voter(usize),
-    /// To where the message came from that is answered.
+    /// The sender of the message that is replied to.
     Sender,
 }
 
-/// What a member wants done.
+/// An output of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Send this; `answers` is the life that it answers, or 0.
+    /// Send a message.
     Send {
-        /// To whom.
+        /// The destination.
         to: Destination,
         /// The incarnation of the receiver that the message replies to, or 0.
         in_reply_to: u64,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Carry out an effect, if the value says so when it begins, and tell how it ended.
+    /// Carry out an effect if its permit is still valid when it starts, and report the outcome.
     RunEffect(EffectPermit),
-    /// For the log and the view.
+    /// An event for the log and the operator's view.
     Notify(Notice),
 }
 
-/// What happened to a duty.
+/// A change of a duty's state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Notice {
     /// This member acquired the duty.
@@ -185,7 +186,7 @@
     },
 }
 
-/// One round of asking every voter.
+/// One round of requests to all voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Round {
     number: u64,
@@ -233,7 +234,7 @@
     /// The latest moment at which the period in `progress` may have started.
     period_started: Moment,
     running: Option<RunningEffect>,
-    /// Rounds asked in this life, and how often asking failed in a row.
+    /// Rounds started in this incarnation.
     rounds: u64,
     /// Consecutive failed rounds as candidate, which set the backoff.
     failed_rounds: u64,
@@ -265,14 +266,14 @@
     fault: Fault,
 }
 
-/// What operators see of a duty.
+/// The state of a duty as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyStatus<'a> {
     /// The duty.
     pub duty: &'a str,
-    /// Who holds it, as far as this member knows.
+    /// The holder, if this member knows one.
     pub holder: Option<&'a str>,
-    /// The highest fence it has heard of.
+    /// The highest fence this member knows.
     pub fence: Fence,
     /// The time until the lease expires, in microseconds.
     pub remaining_us: u64,
@@ -282,13 +283,13 @@
     pub reason: &'a str,
     /// The progress of the schedule.
     pub progress: Progress,
-    /// Whether the fence is proved.
+    /// The fence is not proven to be the highest.
     pub unproven: bool,
 }
 
 impl Member {
-    /// A member that starts now, with these duties to stand for. `first` says that nothing was ever promised before, which
-    /// only an exploration can know.
+    /// A member whose process starts now, as a candidate for these duties. `first_start` says that no promise was ever
+    /// made in the fleet, which only a simulation can know.
     #[must_use]
     pub fn new(
         name: &str,
@@ -338,7 +339,7 @@
         member
     }
 
-    /// Plants a fault.
+    /// Injects a fault.
     #[cfg(feature = "plant")]
     #[must_use]
     pub fn with_fault(mut self, fault: Fault) -> Member {
@@ -349,19 +350,19 @@
         self
     }
 
-    /// Its life.
+    /// The incarnation of this member.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// When it is to be woken at the latest.
+    /// The latest moment for the next [`Input::Tick`].
     #[must_use]
     pub fn wake_at(&self) -> Moment {
         self.wake_at
     }
 
-    /// Whether it holds a duty at this moment, and under which fence.
+    /// The fence under which this member holds a duty at this moment; none if it does not hold it.
     #[must_use]
     pub fn held_fence(&self, duty: &str, now: Moment) -> Option<Fence> {
         match self.duties.get(duty)?.role {
@@ -370,7 +371,7 @@
         }
     }
 
-    /// What is known of each duty.
+    /// The state of each duty.
     pub fn duty_statuses(&self, now: Moment) -> impl Iterator<Item = DutyStatus<'_>> {
         self.duties.iter().map(move |(name, duty)| {
             let (holder, remaining_us) = match (&duty.role, &duty.known_holder) {
@@ -393,13 +394,14 @@
         })
     }
 
-    /// Whether it is a voter, and one that speaks.
+    /// Whether its voter votes at present; none if it is not a voter.
     #[must_use]
     pub fn voter_active(&self) -> Option<bool> {
         self.voter.as_ref().map(Voter::is_active)
     }
 
-    /// A number below `bound` that differs between members, duties and attempts, and is the same for the same arguments.
+    /// A number below `bound` that differs between members, duties and attempts, and is the same for the same
+    /// arguments.
     fn jitter(&self, duty: &str, attempt: u64, bound: u64) -> u64 {
         let mut hasher = FxHasher::default();
         (&self.name, duty, attempt, self.incarnation).hash(&mut hasher);
@@ -412,9 +414,10 @@
         self.config.lease_us / 8
     }
 
-    /// Takes one input at a time; what it wants done is added in order.
+    /// Handles one input and appends the resulting outputs in order.
     pub fn handle(&mut self, now: Moment, input: Input, out: &mut Vec<Output>) {
-        // What is for its own voter goes straight there, and comes back as from any other.
+        // Messages to the member's own voter are delivered directly; its replies are handled like those of other
+        // voters.
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let first = out.len();
@@ -437,7 +440,10 @@
     /// Removes the messages to this member's own voter from the outputs that start at `first`.
     fn take_own_messages(&self, first: usize, out: &mut Vec<Output>) -> Vec<Message> {
         let own = self.config.voter_index(&self.name);
-        let is_own = |output: &Output| matches!(output, Output::Send { to: Destination::Voter(n), .. } if Some(*n) == own);
+        let is_own = |output: &Output| match output {
+            Output::Send { to: Destination::Voter(voter), .. } => Some(*voter) == own,
+            _ => false,
+        };
         let mut messages = Vec::new();
         let mut n = first;
         while n < out.len() {
@@ -465,13 +471,13 @@
             Input::EffectFinished { duty, fence, period, outcome } => {
                 self.on_effect_finished(now, &duty, RunningEffect { fence, period }, outcome, out);
             }
-            Input::HandOver { duty, to } => self.hand_over(now, &duty, to.as_deref(), "handed on", out),
+            Input::HandOver { duty, to } => self.hand_over(now, &duty, to.as_deref(), "handed over", out),
             Input::Shutdown => {
                 self.shutting_down = true;
                 let names: Vec<String> = self.duties.keys().cloned().collect();
                 for name in names {
                     let successor = self.successor(&name);
-                    self.hand_over(now, &name, successor.as_deref(), "told to end", out);
+                    self.hand_over(now, &name, successor.as_deref(), "the process is shutting down", out);
                 }
             }
         }
@@ -589,7 +595,7 @@
         let round_started = if self.fault == Fault::LeaseFromAnswer { now } else { round_started };
         let until = round_started.after(self.config.holder_lease_us());
         if now >= until {
-            // Proved too late to be worth anything: it is over before it began.
+            // The majority came so late that the lease has already expired.
             return;
         }
         let renew_at = round_started.after(self.config.lease_us / 3);
@@ -600,7 +606,7 @@
             duty.handover_retries = 0;
             duty.known_holder = None;
             duty.changed_at = now;
-            duty.reason = "asked and won";
+            duty.reason = "a majority of the voters granted the lease";
             out.push(Output::Notify(Notice::Acquired {
                 duty: name.clone(),
                 fence: grant.fence,
@@ -624,8 +630,8 @@
             && duty.progress == requested
             && duty.running.is_none()
         {
-            // A majority has recorded the number of the period, in the same round that proved the lease. The effect may run
-            // only now.
+            // A majority has recorded the number of the period, in the same round that proved the lease. The effect may
+            // run only now.
             duty.running = Some(RunningEffect { fence: grant.fence, period: requested.period });
             out.push(Output::RunEffect(EffectPermit {
                 duty: name.clone(),
@@ -663,8 +669,8 @@
             return;
         }
         if is_holder {
-            // The fence has become too low: the next round requests a higher one. Meanwhile the current lease stays in force until
-            // it expires.
+            // The fence has become too low: the next round requests a higher one. Meanwhile the current lease stays in
+            // force until it expires.
             let soon = now.after((self.config.lease_us / 16).max(1));
             if let Role::Holder { renew_at, round, .. } = &mut duty.role {
                 *renew_at = soon;
@@ -703,7 +709,8 @@
         if let Some(duty) = self.duties.get_mut(name) {
             duty.role = Role::Idle { request_at };
         }
-        // A voter whose reply is still on its way keeps its grant until it is released or expires. One that refused granted nothing.
+        // A voter whose reply is still on its way keeps its grant until it is released or expires. One that refused
+        // granted nothing.
         let voters = self.config.voters.len();
         for voter in (0..voters).filter(|voter| !refused.contains(voter)) {
             self.send_release(voter, name, fence, progress, out);
@@ -815,7 +822,7 @@
                 );
                 if outdated {
                     self.release(now, name, "a receiver has seen a higher fence", out);
-                    // Nobody else knows of it: it is asked for at once, under one that is higher.
+                    // Nobody else knows of that fence: the duty is requested at once under a higher one.
                     if let Some(duty) = self.duties.get_mut(name) {
                         duty.role = Role::Idle { request_at: now };
                     }
@@ -826,8 +833,8 @@
 
     fn tick(&mut self, now: Moment, out: &mut Vec<Output>) {
         self.sync_voter(now, out);
-        // If this process was woken this late, anything else in it may be late as well: it releases what it holds before the
-        // lease expires.
+        // If this process was woken this late, anything else in it may be late as well: it releases what it holds
+        // before the lease expires.
         let woken_late = now.since(self.wake_at) > self.config.lease_us / 4;
         let round_timeout = self.round_timeout();
         let names: Vec<String> = self.duties.keys().cloned().collect();
@@ -841,10 +848,10 @@
                     self.abandon_candidacy(now, &name, out);
                 }
                 Role::Holder { until, .. } if now >= until => {
-                    self.release(now, &name, "its lease was over before it was renewed", out);
+                    self.release(now, &name, "the lease expired before it was renewed", out);
                 }
                 Role::Holder { .. } if woken_late => {
-                    self.release(now, &name, "it was late itself", out);
+                    self.release(now, &name, "this process was woken too late", out);
                 }
                 Role::Holder { .. } => self.maintain(now, &name, out),
                 Role::Idle { .. } | Role::Candidate { .. } => {}
@@ -931,8 +938,8 @@
         let duties = self.duties.values();
         let duty_events = duties.filter_map(|duty| duty.next_event(self.shutting_down, round_timeout));
         let next_event = duty_events.chain(self.next_voter_event()).min().unwrap_or(Moment(u64::MAX));
-        // Lateness is counted from now at the earliest. Otherwise every wait that ended long ago would count as lateness of this
-        // process.
+        // Lateness is counted from now at the earliest. Otherwise every wait that ended long ago would count as
+        // lateness of this process.
         self.wake_at = next_event.max(now);
     }
 
--- a/crates/duties/src/protocol.rs
+++ b/crates/duties/src/protocol.rs
@@ -1,54 +1,57 @@
-//! What members say to each other, and the terms that all of them are told alike. Encoded by a library, read whole or not at
-//! all.
+//! Messages between members, and the lease configuration that all members share.
+//!
+//! Datagrams are encoded with postcard, which writes fields and variants by position: their order is the wire format.
+//! The serde names are those of protocol version 1. A datagram is decoded completely or rejected.
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time in microseconds, on a clock that never goes back and runs through suspension: the process's own, compared
-/// with nobody else's.
+/// A point in time in microseconds, read from a clock of this process that is monotonic and keeps running during
+/// suspension. Moments of different processes are never compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// So many microseconds later.
+    /// The moment this many microseconds later.
     #[must_use]
     pub fn after(self, micros: u64) -> Moment {
         Moment(self.0.saturating_add(micros))
     }
 
-    /// Microseconds since another; 0 where that is later.
+    /// Microseconds elapsed since `other`; 0 if `other` is later.
     #[must_use]
     pub fn since(self, other: Moment) -> u64 {
         self.0.saturating_sub(other.0)
     }
 }
 
-/// The number of a grant: of two grants of a duty the later has the higher. What receives an effect refuses a lower one than
-/// it has seen.
+/// The fencing token of a grant: of two grants of a duty, the later one has the higher fence. The receiver of an effect
+/// refuses a fence lower than the highest it has seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fence(pub u64);
 
-/// How far a duty's periods have come: the last that was begun, and whether it is known to be done.
+/// The progress of a duty's schedule: the last period that was started, and whether it is known to be done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Progress {
-    /// The number of the last period that was begun; 0 for none.
+    /// The number of the last period that was started; 0 for none.
     pub period: u64,
-    /// It is known to be done; else it is perhaps done, and never run again.
+    /// The period is known to be done. If false, it may or may not have been done, and it is never run again.
     pub done: bool,
 }
 
-/// What all members are told alike.
+/// The lease configuration, identical on all members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
     /// The length of a lease, in microseconds.
     pub lease_us: u64,
     /// The largest clock rate error to allow for, in parts per million.
     pub drift_ppm: u64,
-    /// The voters by name, in order; a majority of all of them is needed, whoever lives.
+    /// The names of the voters, in a fixed order. A quorum is a majority of all configured voters, whether alive or
+    /// not.
     pub voters: Vec<String>,
 }
 
 impl LeaseConfig {
-    /// How many voters are a majority.
+    /// The number of voters that form a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
@@ -78,7 +81,7 @@
     }
 }
 
-/// What one member says to another.
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// A candidate or the holder asks a voter for a lease, or for its renewal.
@@ -92,7 +95,7 @@
     Refusal(Refusal),
     /// A holder or candidate gives up its lease.
     Release(Release),
-    /// The duty is handed to the one who hears this: ask now.
+    /// The duty is handed over to the receiver, which is to request the lease now.
     #[serde(rename = "Take")]
     HandOver {
         /// The duty.
@@ -100,7 +103,7 @@
         /// The fence of the released lease.
         fence: Fence,
     },
-    /// A voter that lost its memory asks another what it knows, from this duty on.
+    /// A voter that lost its memory asks another voter for its promises.
     #[serde(rename = "Learn")]
     SyncRequest {
         /// The last duty that was received before; the reply starts after it.
@@ -155,8 +158,8 @@
     pub highest: Fence,
     /// The holder that the voter knows; none if the fence was too low.
     pub holder: Option<CurrentHolder>,
-    /// The interval over which candidates are to spread their next request once the lease has expired, in microseconds. It grows
-    /// with their number, so that the load of a voter does not grow with the fleet.
+    /// The interval over which candidates are to spread their next request once the lease has expired, in microseconds.
+    /// It grows with their number, so that the load of a voter does not grow with the fleet.
     #[serde(rename = "spread")]
     pub spread_us: u64,
 }
@@ -209,16 +212,16 @@
 
 /// The protocol version; a datagram of any other version is rejected.
 const PROTOCOL_VERSION: u8 = 1;
-/// The longest datagram, in bytes: it fits into a packet on the usual networks.
+/// The longest datagram in bytes, which fits into a packet on the usual networks.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// A message on its way.
+/// A message with its envelope.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Datagram {
     version: u8,
-    /// The fleet; one of another fleet has no effect.
+    /// The fleet; datagrams of other fleets are rejected.
     pub fleet: String,
-    /// Who says it.
+    /// The sender.
     pub from: String,
     /// The incarnation of the sender: a number drawn at each start of its process.
     #[serde(rename = "life")]
@@ -226,7 +229,7 @@
     /// The incarnation of the receiver that this message replies to; 0 if it is not a reply.
     #[serde(rename = "to")]
     pub in_reply_to: u64,
-    /// What.
+    /// The message.
     pub message: Message,
 }
 
@@ -244,13 +247,13 @@
         }
     }
 
-    /// As bytes; none where it would be too long, which names of bounded length never are.
+    /// The encoded bytes; none if they exceed the limit, which names of bounded length never do.
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
         postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
     }
 
-    /// Reads one, whole; none where it is malformed, of another version or of another fleet.
+    /// Decodes a datagram; none if it is malformed, has trailing bytes, or is of another version or fleet.
     #[must_use]
     pub fn decode(bytes: &[u8], fleet: &str) -> Option<Datagram> {
         let (datagram, rest) = postcard::take_from_bytes::<Datagram>(bytes).ok()?;
--- a/crates/duties/src/voter.rs
+++ b/crates/duties/src/voter.rs
@@ -1,4 +1,4 @@
-//! A voter: what it promised for each duty, and whether it may speak. It owns its promises; nothing else changes them.
+//! A voter: its promises for each duty, and whether it may vote. Promises are changed here only.
 
 use crate::protocol::{
     CurrentHolder, Fence, Grant, LeaseConfig, LeaseRequest, Message, Moment, Progress, PromisedDuty, Refusal,
@@ -12,10 +12,11 @@
 const DUTIES_PER_SYNC_REPLY: usize = 12;
 /// The number of requests beside the holder's that a voter aims to receive per lease.
 const REQUESTS_PER_LEASE: u64 = 8;
-/// The longest interval, in leases, over which candidates are told to spread their requests. The survivors of a fleet that has
-/// mostly died send their requests within it.
+/// The longest interval, in leases, over which candidates are told to spread their requests. The survivors of a fleet
+/// that has mostly died send their requests within it.
 const MAX_SPREAD_LEASES: u64 = 32;
-/// A voter that could not learn from enough others votes after this many leases of silence, and marks its grants unproven.
+/// A voter that could not learn from enough others votes after this many leases of silence, and marks its grants
+/// unproven.
 const MAX_SILENCE_LEASES: u64 = 5;
 
 /// One incarnation of a member; leases are granted to it.
@@ -30,7 +31,7 @@
 /// What a voter has promised and recorded for one duty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Promise {
-    /// The highest fence granted, and to whom.
+    /// The highest fence granted.
     highest: Fence,
     /// The member it was granted to.
     granted_to: Option<MemberId>,
@@ -65,7 +66,7 @@
     Complete,
     /// It started without memory and stays silent until it has learnt enough, within these bounds.
     Silent(Silence),
-    /// It could not learn enough in time, speaks all the same, and goes on learning.
+    /// It could not learn enough in time; it votes nevertheless and goes on learning.
     Unproven,
 }
 
@@ -141,8 +142,8 @@
     /// Ends the silence if it is time to. Returns the voters that are still to be asked for their promises.
     pub fn tick(&mut self, now: Moment, own_name: &str) -> Vec<SyncTarget> {
         let others = self.config.voters.iter().filter(|name| *name != own_name);
-        // Every majority that this voter was part of includes one of a majority of the others. If that many with memory do not
-        // exist, the replies of all others are all there is to learn.
+        // Every majority that this voter was part of includes one of a majority of the others. If that many with memory
+        // do not exist, the replies of all others are all there is to learn.
         let majority_learnt = self.learnt_from.len() >= self.config.majority();
         let all_replied =
             others.clone().all(|name| self.learnt_from.contains(name) || self.without_memory.contains(name));
@@ -188,8 +189,8 @@
             return None;
         }
         let promise = self.promises.entry(duty.clone()).or_default();
-        // The holder may raise its own fence: a candidate that failed elsewhere has left a higher one at some voters, which
-        // otherwise would never renew the holder's lease again.
+        // The holder may raise its own fence: a candidate that failed elsewhere has left a higher one at some voters,
+        // which otherwise would never renew the holder's lease again.
         let same_member = promise.granted_to.as_ref() == Some(by);
         let renewal = same_member && promise.highest == fence;
         let holder = if same_member { None } else { promise.current_holder(now) };
--- a/crates/duties/tests/common/mod.rs
+++ b/crates/duties/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Members in simulated time, each with a clock of its own, over a network that loses, doubles, delays and reorders; processes
-//! that die, lose their memory and stand still; an auditor that knows only what is held and what is run.
+//! Members in simulated time, each with a clock of its own, on a network that loses, duplicates, delays and reorders
+//! messages. Processes die, lose their memory and pause. An auditor that knows only who holds what and which effects
+//! run checks the properties.
 
 use dunlincleat_duties::fault::Fault;
 use dunlincleat_duties::member::EffectPermit;
@@ -238,7 +239,7 @@
                 let Some(to) = to else { return };
                 self.messages += 1;
                 let datagram = Datagram::new("fleet", &self.names[n], incarnation, in_reply_to, message);
-                // What does not survive its encoding would not arrive.
+                // Every message must survive its encoding.
                 let bytes = datagram.encode().expect("a datagram within its bound");
                 assert_eq!(Datagram::decode(&bytes, "fleet").as_ref(), Some(&datagram));
                 self.send(n, to, &datagram);
@@ -296,7 +297,7 @@
         member.is_some_and(|member| member.held_fence(duty, self.clock(n)).is_some())
     }
 
-    /// What an outsider sees: who believes that it holds what, at this moment, by its own clock.
+    /// Checks from outside who believes to hold each duty at this moment, each by its own clock.
     fn audit(&mut self) {
         for DutySpec { name: duty, .. } in &self.duties {
             let holders: Vec<usize> = (0..self.processes.len()).filter(|n| self.holds(*n, duty)).collect();
@@ -359,7 +360,7 @@
         self.scheduled.iter().enumerate().map(due).min()
     }
 
-    /// Goes on to the next thing that happens, but no further than that.
+    /// Advances to the next event, but no further than `until`. Returns whether there was one.
     pub fn step(&mut self, until: u64) -> bool {
         let tick = self.next_tick();
         let delivery = self.next_delivery();
@@ -450,8 +451,8 @@
     plan
 }
 
-/// A run with random faults: restarts without memory, pauses around the length of a lease, and partitions. All partitions are
-/// healed at its end.
+/// A run with random faults: restarts without memory, pauses around the length of a lease, and partitions. All
+/// partitions are healed at its end.
 pub fn faulty_run(seed: u64, members: usize, voters: usize, fault: Fault) -> World {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let network = Network {
--- a/crates/duties/tests/days.rs
+++ b/crates/duties/tests/days.rs
@@ -1,4 +1,4 @@
-//! Days of faults in simulated time, clocks off by the bound included.
+//! Simulated runs with faults, including clocks that are off by the configured bound.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use dunlincleat_duties::fault::Fault;
 use dunlincleat_duties::{Fence, Input};
 
-/// The safety properties hold on every seed. Once the faults are over, the duty is held again within a bound and its periods
-/// go on.
+/// The safety properties hold on every seed. Once the faults are over, the duty is held again within a bound and its
+/// periods go on.
 #[test]
 fn random_faults_never_violate_the_properties_and_periods_resume() {
     for seed in 0..400 {
@@ -75,8 +75,8 @@
     }
 }
 
-/// After all voters lost their promises they vote again, with one holder at a time. Only the receiver of the effects still
-/// knows the highest fence, and the holder learns it from there.
+/// After all voters lost their promises they vote again, with one holder at a time. Only the receiver of the effects
+/// still knows the highest fence, and the holder learns it from there.
 #[test]
 fn after_total_memory_loss_the_fence_is_learnt_from_the_receiver() {
     for seed in 0..50 {
@@ -134,8 +134,8 @@
     FleetCost { messages_per_lease, takeover_us }
 }
 
-/// Every member is a candidate for the duty: the messages must not grow with the number of members, and neither must the time
-/// of a takeover.
+/// Every member is a candidate for the duty: the messages must not grow with the number of members, and neither must
+/// the time of a takeover.
 #[test]
 fn messages_and_takeover_time_do_not_grow_from_50_to_500_members() {
     let small = fleet_cost(50);
@@ -150,9 +150,9 @@
     assert!(large.takeover_us < 3 * LEASE, "{figures}");
 }
 
-/// Guards against a voter that promised a higher fence to a candidate that failed, and from then on never renewed the holder's
-/// lease: when one more voter was lost, the holder lost its lease although a majority was alive. The voter missed the first
-/// grant because it was down.
+/// Guards against a voter that promised a higher fence to a candidate that failed, and from then on never renewed the
+/// holder's lease: when one more voter was lost, the holder lost its lease although a majority was alive. The voter
+/// missed the first grant because it was down.
 #[test]
 fn a_failed_candidate_does_not_stop_voters_from_renewing_the_holder() {
     for seed in 0..40 {
--- a/crates/duties/tests/explore.rs
+++ b/crates/duties/tests/explore.rs
@@ -1,6 +1,7 @@
-//! Every execution of three voters, two of them candidates, that departs from the orderly one a bounded number of times:
-//! a message lost, doubled, or delivered later; a process that stands still, or dies and returns without its memory. Known
-//! as delay-bounded exploration (Emmi, Qadeer, Rakamaric, POPL 2011): complete for its bound, in discrete time.
+//! Exhaustive exploration of three voters, two of them candidates: every execution that deviates from the fault-free
+//! one at most a bounded number of times. A deviation is a lost, duplicated or delayed message, a paused process, or a
+//! process that restarts without its memory. This is delay-bounded exploration (Emmi, Qadeer, Rakamaric, POPL 2011):
+//! complete for its bound, in discrete time.
 
 use dunlincleat_duties::fault::Fault;
 use dunlincleat_duties::{
--- a/crates/dutyshell/src/lib.rs
+++ b/crates/dutyshell/src/lib.rs
@@ -1,9 +1,9 @@
-//! The shell of duties: one task that owns the datagram socket and the member's machine, wakes it, carries its messages, and
-//! has effects made as requests through the engine. It decides nothing. Without `[fleet]` in the operator's file none of it
-//! is started.
+//! The I/O driver of the duties' state machine: one task that owns the datagram socket and the [`Member`], wakes it,
+//! carries its messages, and sends effects as requests through the engine. It makes no decisions of its own, and is
+//! started only if the operator's file has a `[fleet]` section.
 //!
-//! Way not taken: a thread of its own. A holder whose serving thread stands still can't have its effects made either, and
-//! then ought not to hold.
+//! It has no thread of its own on purpose: if the serving thread of a holder stalls, its effects cannot be sent either,
+//! so the lease should expire with it.
 
 #![forbid(unsafe_code)]
 
@@ -55,7 +55,7 @@
     Moment(seconds * 1_000_000 + nanoseconds / 1000)
 }
 
-/// The shell, before it runs.
+/// The driver of one member.
 pub struct DutyDriver {
     socket: UdpSocket,
     member: Member,
@@ -76,11 +76,11 @@
 }
 
 impl DutyDriver {
-    /// Opens the socket of a member of this name.
+    /// Opens the socket of the member with this name.
     ///
     /// # Errors
     ///
-    /// The address can't be had.
+    /// The listen address cannot be bound.
     pub fn open(
         fleet: Arc<Fleet>,
         name: &str,
@@ -93,7 +93,7 @@
         let member = new_member(&fleet, name);
         let at = socket.local_addr()?;
         tracing::info!(
-            "fleet {}: member {name} heard at {at}, life {:016x}, {} voters",
+            "fleet {}: member {name} heard at {at}, incarnation {:016x}, {} voters",
             fleet.name,
             member.incarnation(),
             fleet.voters.len()
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Runs until it is told to end and has let go of all.
+    /// Runs until a shutdown is ordered and all duties are released.
     pub async fn run(mut self) {
         let mut bytes = vec![0; RECEIVE_BUFFER_BYTES];
         loop {
@@ -163,7 +163,7 @@
                 self.handle(input, Some(sender));
             }
             None => {
-                let line = format!("fleet: a datagram that is malformed or of another fleet, from {sender}");
+                let line = format!("fleet: rejected a malformed or foreign datagram from {sender}");
                 seldom!(self.rejected_log, warn, line);
             }
         }
@@ -215,7 +215,7 @@
             match effect_request(&permit, &call.path, &request_id, remaining_us, &in_force) {
                 Ok(request) => request,
                 Err(error) => {
-                    tracing::warn!("duty {}: its call can't be made: {error:#}", permit.duty);
+                    tracing::warn!("duty {}: cannot build the request of its effect: {error:#}", permit.duty);
                     return report(EffectOutcome::NotStarted);
                 }
             };
@@ -274,7 +274,8 @@
         .collect();
     let voters = fleet.voters.iter().map(|(name, _)| name.clone()).collect();
     let config = LeaseConfig { lease_us: fleet.lease.0, drift_ppm: fleet.drift, voters };
-    // Random, so that each start has a new incarnation whatever the configuration says; never 0, which means "not a reply".
+    // Random, so that each start has a new incarnation whatever the configuration says; never 0, which means "not a
+    // reply".
     let incarnation = RandomState::new().build_hasher().finish() | 1;
     let member = Member::new(name, incarnation, config, &duties, now(), false);
     #[cfg(feature = "plant")]
@@ -291,8 +292,9 @@
     in_force: &InForce,
 ) -> Result<(Request, Rc<Errand>)> {
     let mut head = RequestHead::default();
-    head.uri = path.parse().context("its path")?;
-    let class = class_of(head.uri.path(), &in_force.site).context("its path names no class any more")?;
+    head.uri = path.parse().with_context(|| format!("invalid path '{path}'"))?;
+    let class = class_of(head.uri.path(), &in_force.site)
+        .with_context(|| format!("path '{path}' no longer matches any class"))?;
     let safe = in_force.site.settings.classes[class].effect == dunlincleat::api::Effect::Safe;
     head.method = if safe { Method::GET } else { Method::POST };
     let mut set = |name: &'static str, value: String| -> Result<()> {
@@ -318,7 +320,7 @@
 fn log(notice: &Notice) {
     match notice {
         Notice::Acquired { duty, fence, unproven } => {
-            let proved = if *unproven { ", not proved: too many voters had lost their memory" } else { "" };
+            let proved = if *unproven { ", not proved: too many voters have lost their memory" } else { "" };
             tracing::info!("duty {duty}: held here, fence {}{proved}", fence.0);
         }
         Notice::Released { duty, fence, reason } => {
@@ -326,11 +328,11 @@
         }
         Notice::OutcomeUnknown { duty, period } => {
             tracing::warn!(
-                "duty {duty}: period {period} was begun by the holder before and is perhaps done: not run again"
+                "duty {duty}: the previous holder started period {period} and its outcome is unknown; not run again"
             );
         }
         Notice::PeriodsSkipped { duty, count } => {
-            tracing::warn!("duty {duty}: {count} periods were missed and are left out");
+            tracing::warn!("duty {duty}: {count} periods were missed and are skipped");
         }
     }
 }
