--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -24,11 +24,16 @@
 
 #![forbid(unsafe_code)]
 
+mod duty;
 #[cfg(feature = "plant")]
 pub mod fault;
+pub mod interface;
 pub mod member;
 pub mod protocol;
 pub mod voter;
 
-pub use member::{Destination, DutySpec, EffectOutcome, Input, Member, Notice, Output, Schedule};
+pub use interface::{
+    Destination, DutySpec, DutyStatus, EffectOutcome, EffectPermit, Input, Notice, Output, Schedule,
+};
+pub use member::Member;
 pub use protocol::{Datagram, Fence, LeaseConfig, Message, Moment, Progress};
--- a/crates/duties/src/member.rs
+++ b/crates/duties/src/member.rs
@@ -2,8 +2,12 @@
 //! all of this state. An I/O adapter delivers messages, wakes it when [`Member::wake_at`] is reached, and carries out
 //! effects under the [`EffectPermit`] of each [`Output::RunEffect`].
 
+use crate::duty::{Duty, KnownHolder, Role, Round, RunningEffect};
 #[cfg(feature = "plant")]
 use crate::fault::Fault;
+use crate::interface::{
+    Destination, DutySpec, DutyStatus, EffectOutcome, EffectPermit, Input, Notice, Output,
+};
 use crate::protocol::{
     CurrentHolder, Fence, Grant, LeaseConfig, LeaseRequest, Message, Moment, Progress, Refusal, Release,
 };
@@ -12,8 +16,6 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-/// The largest number of missed periods that are caught up on.
-const MAX_CATCH_UP_PERIODS: u64 = 100;
 /// How many times the receiver of a handover retries at once, as the previous holder's release may reach voters later
 /// than its request.
 const HANDOVER_RETRIES: u8 = 8;
@@ -22,233 +24,6 @@
 /// The longest interval for spreading requests that is accepted from a voter, in leases.
 const MAX_ACCEPTED_SPREAD_LEASES: u64 = 64;
 
-/// The schedule of a duty's effect.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Schedule {
-    /// The interval between effects, in microseconds.
-    pub period_us: u64,
-    /// Run missed periods late; otherwise they are reported and skipped.
-    pub catch_up: bool,
-}
-
-/// A duty that a member is a candidate for.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DutySpec {
-    /// The name of the duty.
-    pub name: String,
-    /// The schedule of its effect; none if the duty has no effect of its own.
-    pub schedule: Option<Schedule>,
-}
-
-/// Permission to carry out one effect until a deadline, to be checked at the effect itself.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct EffectPermit {
-    /// The duty.
-    pub duty: String,
-    /// The fence to send with the effect.
-    pub fence: Fence,
-    /// The number of the period.
-    pub period: u64,
-    until: Moment,
-}
-
-impl EffectPermit {
-    /// Whether the effect may start at this moment.
-    #[must_use]
-    pub fn is_valid_at(&self, now: Moment) -> bool {
-        now < self.until
-    }
-
-    /// The deadline for starting the effect.
-    #[must_use]
-    pub fn valid_until(&self) -> Moment {
-        self.until
-    }
-}
-
-/// The outcome of an effect.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum EffectOutcome {
-    /// It is done.
-    Done,
-    /// It may have been done, or may still be.
-    Unknown,
-    /// It never started and may be retried.
-    NotStarted,
-    /// Its receiver refused the fence.
-    Fenced {
-        /// The higher fence that the receiver has seen.
-        highest: Fence,
-        /// The latest period that the receiver has seen; 0 if it did not report one.
-        period: u64,
-    },
-}
-
-/// An input of the state machine.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Input {
-    /// Time has passed.
-    Tick,
-    /// A message from another member was received.
-    Received {
-        /// The sender.
-        from: String,
-        /// The incarnation of the sender.
-        incarnation: u64,
-        /// The incarnation of this member that the message replies to; 0 if it is not a reply.
-        in_reply_to: u64,
-        /// The message.
-        message: Message,
-    },
-    /// An effect finished.
-    EffectFinished {
-        /// The duty.
-        duty: String,
-        /// The fence it was started under.
-        fence: Fence,
-        /// The number of the period.
-        period: u64,
-        /// Its outcome.
-        outcome: EffectOutcome,
-    },
-    /// Release a duty, to a named successor if given, and do not request it again for a while.
-    HandOver {
-        /// The duty.
-        duty: String,
-        /// The next holder.
-        to: Option<String>,
-    },
-    /// The process shuts down: release all duties.
-    Shutdown,
-}
-
-/// The destination of a message.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Destination {
-    /// A voter, by its position in the configured list.
-    Voter(usize),
-    /// The sender of the message that is replied to.
-    Sender,
-}
-
-/// An output of the state machine.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Output {
-    /// Send a message.
-    Send {
-        /// The destination.
-        to: Destination,
-        /// The incarnation of the receiver that the message replies to, or 0.
-        in_reply_to: u64,
-        /// The message.
-        message: Message,
-    },
-    /// Carry out an effect if its permit is still valid when it starts, and report the outcome.
-    RunEffect(EffectPermit),
-    /// An event for the log and the operator's view.
-    Notify(Notice),
-}
-
-/// A change of a duty's state.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Notice {
-    /// This member acquired the duty.
-    Acquired {
-        /// The duty.
-        duty: String,
-        /// The fence of the grant.
-        fence: Fence,
-        /// So many voters may have lost their memory that the fence is not proven to be the highest.
-        unproven: bool,
-    },
-    /// This member no longer holds the duty.
-    Released {
-        /// The duty.
-        duty: String,
-        /// The fence it was held under.
-        fence: Fence,
-        /// Why it was released.
-        reason: &'static str,
-    },
-    /// The previous holder started this period and its outcome is unknown; it is not run again.
-    OutcomeUnknown {
-        /// The duty.
-        duty: String,
-        /// The number of the period.
-        period: u64,
-    },
-    /// Periods passed without a holder and are skipped.
-    PeriodsSkipped {
-        /// The duty.
-        duty: String,
-        /// The number of periods skipped.
-        count: u64,
-    },
-}
-
-/// One round of requests to all voters.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Round {
-    number: u64,
-    fence: Fence,
-    started: Moment,
-    progress: Progress,
-    granted: BTreeSet<usize>,
-    refused: BTreeSet<usize>,
-}
-
-/// The role of this member in a duty.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Role {
-    /// Neither holder nor candidate until this moment.
-    Idle { request_at: Moment },
-    /// Requesting the lease under this fence.
-    Candidate { fence: Fence, round: Round },
-    /// Holding the lease; a round that renews it may be in flight.
-    Holder { fence: Fence, until: Moment, renew_at: Moment, round: Option<Round> },
-}
-
-/// An effect in flight.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct RunningEffect {
-    fence: Fence,
-    period: u64,
-}
-
-/// A holder reported by the voters.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct KnownHolder {
-    name: String,
-    /// When its lease expires, by the clock of this member.
-    until: Moment,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Duty {
-    role: Role,
-    schedule: Option<Schedule>,
-    /// The highest fence known.
-    highest: Fence,
-    /// The progress of the schedule as far as known.
-    progress: Progress,
-    /// The latest moment at which the period in `progress` may have started.
-    period_started: Moment,
-    running: Option<RunningEffect>,
-    /// Rounds started in this incarnation.
-    rounds: u64,
-    /// Consecutive failed rounds as candidate, which set the backoff.
-    failed_rounds: u64,
-    /// The interval over which a voter last asked to spread requests.
-    spread_us: u64,
-    /// Immediate retries left after a handover to this member.
-    handover_retries: u8,
-    known_holder: Option<KnownHolder>,
-    unproven: bool,
-    /// Why the duty last changed hands here, and when.
-    reason: &'static str,
-    changed_at: Moment,
-}
-
 /// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
@@ -266,27 +41,6 @@
     fault: Fault,
 }
 
-/// The state of a duty as shown to operators.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DutyStatus<'a> {
-    /// The duty.
-    pub duty: &'a str,
-    /// The holder, if this member knows one.
-    pub holder: Option<&'a str>,
-    /// The highest fence this member knows.
-    pub fence: Fence,
-    /// The time until the lease expires, in microseconds.
-    pub remaining_us: u64,
-    /// The time since the last change of hands at this member, in microseconds.
-    pub since_us: u64,
-    /// Why it last changed hands here.
-    pub reason: &'a str,
-    /// The progress of the schedule.
-    pub progress: Progress,
-    /// The fence is not proven to be the highest.
-    pub unproven: bool,
-}
-
 impl Member {
     /// A member whose process starts now, as a candidate for these duties. `first_start` says that no promise was ever
     /// made in the fleet, which only a simulation can know.
@@ -952,55 +706,3 @@
         }
     }
 }
-
-impl Duty {
-    /// Whether the holder is to start a period now.
-    fn period_is_due(&self, now: Moment, schedule: Schedule) -> bool {
-        let previous_over = self.progress.done && now >= self.period_started.after(schedule.period_us);
-        self.running.is_none() && (self.progress.period == 0 || previous_over)
-    }
-
-    /// Advances the progress to the next period. Returns the number of periods skipped.
-    fn start_period(&mut self, now: Moment, schedule: Schedule) -> u64 {
-        let is_first = self.progress.period == 0;
-        let elapsed = if is_first { 1 } else { now.since(self.period_started) / schedule.period_us.max(1) };
-        let elapsed = elapsed.max(1);
-        // Missed periods are caught up on one by one, except those too far back.
-        let skipped =
-            if schedule.catch_up { elapsed.saturating_sub(MAX_CATCH_UP_PERIODS) } else { elapsed - 1 };
-        // The schedule keeps its own pace, so that one late period does not delay all later ones.
-        self.period_started =
-            if is_first { now } else { self.period_started.after(schedule.period_us * (skipped + 1)) };
-        self.progress = Progress { period: self.progress.period + skipped + 1, done: false };
-        skipped
-    }
-
-    /// The next moment at which something is to be done for this duty.
-    fn next_event(&self, shutting_down: bool, round_timeout: u64) -> Option<Moment> {
-        match &self.role {
-            Role::Idle { .. } if shutting_down => None,
-            Role::Idle { request_at } => Some(*request_at),
-            Role::Candidate { round, .. } => Some(round.started.after(round_timeout + 1)),
-            Role::Holder { until, renew_at, round, .. } => {
-                let mut next = (*until).min(*renew_at);
-                if let (Some(schedule), None) = (self.schedule, self.running) {
-                    if self.progress.period == 0 {
-                        next = self.changed_at;
-                    } else if self.progress.done {
-                        next = next.min(self.period_started.after(schedule.period_us));
-                    }
-                }
-                Some(match round {
-                    Some(round) => next.max(round.started.after(round_timeout + 1)).min(*until),
-                    None => next,
-                })
-            }
-        }
-    }
-}
-
-impl Round {
-    fn new(number: u64, fence: Fence, started: Moment, progress: Progress) -> Round {
-        Round { number, fence, started, progress, granted: BTreeSet::new(), refused: BTreeSet::new() }
-    }
-}
--- a/crates/duties/tests/common/mod.rs
+++ b/crates/duties/tests/common/mod.rs
@@ -3,10 +3,9 @@
 //! run checks the properties.
 
 use dunlincleat_duties::fault::Fault;
-use dunlincleat_duties::member::EffectPermit;
 use dunlincleat_duties::{
-    Datagram, Destination, DutySpec, EffectOutcome, Fence, Input, LeaseConfig, Member, Moment, Notice,
-    Output, Schedule,
+    Datagram, Destination, DutySpec, EffectOutcome, EffectPermit, Fence, Input, LeaseConfig, Member, Moment,
+    Notice, Output, Schedule,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/dutyshell/src/lib.rs
+++ b/crates/dutyshell/src/lib.rs
@@ -11,10 +11,9 @@
 use actix_http::{Method, RequestHead};
 use anyhow::{Context, Result};
 use dunlincleat::api::RequestId;
-use dunlincleat_duties::member::{DutyStatus, EffectPermit};
 use dunlincleat_duties::{
-    Datagram, Destination, DutySpec, EffectOutcome, Fence, Input, LeaseConfig, Member, Moment, Notice,
-    Output, Schedule,
+    Datagram, Destination, DutySpec, DutyStatus, EffectOutcome, EffectPermit, Fence, Input, LeaseConfig,
+    Member, Moment, Notice, Output, Schedule,
 };
 use dunlincleat_engine::Answer;
 use dunlincleat_http::Handle;
