--- a/crates/limits/src/fleet.rs
+++ b/crates/limits/src/fleet.rs
@@ -1,7 +1,9 @@
 //! Validates the sections `[fleet]` and `[[duty]]` of the operator's file. Without `[fleet]` there is no fleet.
 
 use crate::codes::Code;
-use crate::file::{At, DutySection, Faults, File, format_duration};
+use crate::duration::format_duration;
+use crate::fault::Faults;
+use crate::file::{DutySection, FleetSection, LimitsFile, Located, VoterSection};
 use dunlincleat::api::{Effect, Span};
 use dunlincleat_settings::InstanceSettings;
 use std::net::SocketAddr;
@@ -37,7 +39,7 @@
 pub struct Duty {
     /// Its name.
     pub name: String,
-    /// The path that is called each period; nothing for one without an effect of its own.
+    /// The call that the holder makes in each period; `None` for a duty that is only held.
     pub call: Option<Call>,
 }
 
@@ -52,204 +54,230 @@
     pub catch_up: bool,
 }
 
-/// The default duration of a lease, and its bounds.
-const LEASE: Span = Span(1_500_000);
-const LEASES: (Span, Span) = (Span(100_000), Span(60_000_000));
+const DEFAULT_LEASE: Span = Span(1_500_000);
+const MIN_LEASE: Span = Span(100_000);
+const MAX_LEASE: Span = Span(60_000_000);
 /// The default tolerated clock drift, as a fraction.
-const DRIFT: f64 = 0.01;
+const DEFAULT_DRIFT: f64 = 0.01;
+/// The highest tolerated clock drift, as a fraction: more leaves less than half of a lease.
+const MAX_DRIFT: f64 = 0.25;
 /// The longest name of a member or duty, in bytes: names must fit a datagram.
-const NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
+/// The numbers of voters that a fleet may have. Even numbers tolerate no more failures than one voter fewer.
+const VOTER_COUNTS: [usize; 3] = [3, 5, 7];
+/// The shortest period of a call, in leases: after a holder dies, the next one takes over within a lease plus the time to
+/// acquire it. In a shorter period there could be no holder at all.
+const MIN_PERIOD_LEASES: f64 = 2.0;
 
 /// Validates the fleet and the duties of a file. Returns no fleet if the file has none, or its own address is invalid.
-pub(crate) fn prove(file: &File, site: Option<&InstanceSettings>, faults: &mut Faults<'_>) -> Option<Fleet> {
+pub(crate) fn validate(
+    file: &LimitsFile,
+    instance: Option<&InstanceSettings>,
+    faults: &mut Faults<'_>,
+) -> Option<Fleet> {
     let Some(section) = &file.fleet else {
-        if let Some(duty) = file.duties.first() {
-            faults.error(
-                Code::DutyAlone,
-                &duty.name,
-                "the file has no [fleet]",
-                "add a [fleet] with its voters, or remove each [[duty]]",
-            );
-        }
+        report_duty_without_fleet(file, faults);
         return None;
     };
-    long(&section.name, faults);
-    let lease = section.lease.as_ref().map_or(LEASE, |at| at.value);
-    if let Some(at) = section.lease.as_ref().filter(|at| at.value < LEASES.0 || at.value > LEASES.1) {
-        let allowed = format!("from {} to {}", format_duration(LEASES.0), format_duration(LEASES.1));
-        faults.error(
-            Code::Lease,
-            at,
-            format!("a lease of {} is out of range", format_duration(at.value)),
-            allowed,
-        );
+    check_name_length(&section.name, faults);
+    let lease = lease(section, faults);
+    let drift_ppm = drift_ppm(section, faults);
+    let listen = listen_address(section, faults);
+    let voters = voters(section, faults);
+    let duties = duties(&file.duties, lease, instance, faults);
+    Some(Fleet { name: section.name.value.clone(), listen: listen?, lease, drift_ppm, voters, duties })
+}
+
+fn report_duty_without_fleet(file: &LimitsFile, faults: &mut Faults<'_>) {
+    if let Some(duty) = file.duties.first() {
+        let allowed = "add a [fleet] with its voters, or remove each [[duty]]";
+        faults.error(Code::DutyWithoutFleet, &duty.name, "the file has no [fleet]", allowed);
+    }
+}
+
+fn check_name_length(name: &Located<String>, faults: &mut Faults<'_>) {
+    let length = name.value.len();
+    if length > MAX_NAME_BYTES {
+        let reason = format!("the name has {length} bytes");
+        faults.error(Code::InvalidMember, name, reason, format!("at most {MAX_NAME_BYTES} bytes"));
     }
-    let drift = section.drift.as_ref().map_or(DRIFT, |at| at.value);
-    if let Some(at) = section.drift.as_ref().filter(|at| at.value > 0.25) {
-        let reason = format!("a clock drift of {} leaves less than half of a lease", at.value);
-        faults.error(Code::Lease, at, reason, "at most 0.25");
+}
+
+fn lease(section: &FleetSection, faults: &mut Faults<'_>) -> Span {
+    let Some(lease) = &section.lease else { return DEFAULT_LEASE };
+    if !(MIN_LEASE..=MAX_LEASE).contains(&lease.value) {
+        let reason = format!("a lease of {} is out of range", format_duration(lease.value));
+        let allowed = format!("from {} to {}", format_duration(MIN_LEASE), format_duration(MAX_LEASE));
+        faults.error(Code::InvalidLease, lease, reason, allowed);
     }
-    let listen = match &section.listen {
-        Some(at) => address(at, faults),
-        None => {
-            let at = &section.name;
-            faults.error(
-                Code::Member,
-                at,
-                "the address of this member is missing",
-                "listen = \"10.0.0.4:7400\"",
-            );
-            None
-        }
+    lease.value
+}
+
+fn drift_ppm(section: &FleetSection, faults: &mut Faults<'_>) -> u64 {
+    let drift = section.drift.as_ref().map_or(DEFAULT_DRIFT, |at| at.value);
+    if let Some(at) = &section.drift
+        && drift > MAX_DRIFT
+    {
+        let reason = format!("a clock drift of {drift} leaves less than half of a lease");
+        faults.error(Code::InvalidLease, at, reason, format!("at most {MAX_DRIFT}"));
+    }
+    (drift * 1e6) as u64
+}
+
+fn listen_address(section: &FleetSection, faults: &mut Faults<'_>) -> Option<SocketAddr> {
+    let Some(listen) = &section.listen else {
+        let reason = "the address of this member is missing";
+        faults.error(Code::InvalidMember, &section.name, reason, "listen = \"10.0.0.4:7400\"");
+        return None;
     };
+    member_address(listen, faults)
+}
+
+/// Validates the voters. A voter without a valid address is left out of the result.
+fn voters(section: &FleetSection, faults: &mut Faults<'_>) -> Vec<Voter> {
     let mut voters: Vec<Voter> = Vec::new();
-    for (name, at) in &section.voters {
-        long(name, faults);
+    for VoterSection { name, address } in &section.voters {
+        check_name_length(name, faults);
         if !name.value.is_empty() && voters.iter().any(|other| other.name == name.value) {
-            faults.error(
-                Code::Voters,
-                name,
-                format!("voter '{}' is listed twice", name.value),
-                "each voter once",
-            );
+            let reason = format!("voter '{}' is listed twice", name.value);
+            faults.error(Code::InvalidVoters, name, reason, "each voter once");
         }
-        match at {
-            Some(at) => {
-                voters.extend(address(at, faults).map(|address| Voter { name: name.value.clone(), address }))
-            }
-            None => faults.error(
-                Code::Member,
-                name,
-                "the address of the voter is missing",
-                "at = \"10.0.0.5:7400\"",
-            ),
+        let Some(address) = address else {
+            let reason = "the address of the voter is missing";
+            faults.error(Code::InvalidMember, name, reason, "at = \"10.0.0.5:7400\"");
+            continue;
+        };
+        if let Some(address) = member_address(address, faults) {
+            voters.push(Voter { name: name.value.clone(), address });
         }
     }
-    if ![3, 5, 7].contains(&section.voters.len()) {
-        let reason = format!("the fleet has {} voters", section.voters.len());
-        faults.error(Code::Voters, &section.name, reason, "3, 5 or 7 sections [[fleet.voter]]");
+    let count = section.voters.len();
+    if !VOTER_COUNTS.contains(&count) {
+        let reason = format!("the fleet has {count} voters");
+        faults.error(Code::InvalidVoters, &section.name, reason, "3, 5 or 7 sections [[fleet.voter]]");
+    }
+    voters
+}
+
+/// Parses the address of a member. Only loopback and private addresses are accepted, since members do not authenticate
+/// each other.
+fn member_address(at: &Located<String>, faults: &mut Faults<'_>) -> Option<SocketAddr> {
+    let Ok(address) = at.value.parse::<SocketAddr>() else {
+        let reason = format!("'{}' is not an address and port", at.value);
+        faults.error(Code::InvalidMember, at, reason, "for example 10.0.0.4:7400");
+        return None;
+    };
+    let is_local = match address {
+        SocketAddr::V4(address) => address.ip().is_loopback() || address.ip().is_private(),
+        SocketAddr::V6(address) => address.ip().is_loopback() || address.ip().is_unique_local(),
+    };
+    if !is_local {
+        let reason = format!(
+            "'{address}' can be reached from other networks, and members do not authenticate each other"
+        );
+        faults.error(Code::InvalidMember, at, reason, "a loopback address or one of a private range");
+        return None;
     }
-    let duties = file.duties.iter().enumerate().map(|(n, duty)| {
-        let name = &duty.name;
-        long(name, faults);
-        if !name.value.is_empty() && file.duties[..n].iter().any(|other| other.name.value == name.value) {
-            faults.error(
-                Code::SameName,
-                name,
-                format!("an earlier duty has the name '{}'", name.value),
-                "a unique name",
-            );
+    Some(address)
+}
+
+fn duties(
+    sections: &[DutySection],
+    lease: Span,
+    instance: Option<&InstanceSettings>,
+    faults: &mut Faults<'_>,
+) -> Vec<Duty> {
+    let mut duties = Vec::new();
+    for (n, section) in sections.iter().enumerate() {
+        let name = &section.name;
+        check_name_length(name, faults);
+        if !name.value.is_empty() && sections[..n].iter().any(|other| other.name.value == name.value) {
+            let reason = format!("an earlier duty has the name '{}'", name.value);
+            faults.error(Code::DuplicateName, name, reason, "a unique name");
         }
-        let call = call(duty, lease, site, faults);
-        Duty { name: name.value.clone(), call }
-    });
-    let duties = duties.collect();
-    let drift_ppm = (drift * 1e6) as u64;
-    Some(Fleet { name: section.name.value.clone(), listen: listen?, lease, drift_ppm, voters, duties })
+        let call = call(section, lease, instance, faults);
+        duties.push(Duty { name: name.value.clone(), call });
+    }
+    duties
 }
 
 /// Validates the call of a duty; `None` if the duty has no call or an incomplete one.
 fn call(
     duty: &DutySection,
     lease: Span,
-    site: Option<&InstanceSettings>,
+    instance: Option<&InstanceSettings>,
     faults: &mut Faults<'_>,
 ) -> Option<Call> {
-    let catch_up = match duty.missed.as_ref().map(|at| (at, at.value.as_str())) {
-        None | Some((_, "tell")) => false,
-        Some((_, "catch up")) => true,
-        Some((at, other)) => {
-            let reason = format!("'{other}' is not a way to treat missed periods");
-            faults.error(Code::DutyCall, at, reason, "\"tell\" or \"catch up\"");
-            false
-        }
-    };
+    let catch_up = catches_up(duty, faults);
     let (path, period) = match (&duty.path, &duty.period) {
         (Some(path), Some(period)) => (path, period),
         (None, None) => return None,
         (Some(_), None) | (None, Some(_)) => {
+            let reason = "a call needs both path and period";
             let allowed = "both keys, or neither for a duty without a call";
-            faults.error(Code::DutyCall, &duty.name, "a call needs both path and period", allowed);
+            faults.error(Code::InvalidDutyCall, &duty.name, reason, allowed);
             return None;
         }
     };
-    // After a holder dies, the next one takes over within a lease plus the time to acquire it. In a shorter period there
-    // could be no holder at all.
-    let least = lease.times(2.0);
-    if period.value < least {
-        let reason = format!(
-            "it can take up to {} until another member takes over from a dead holder",
-            format_duration(least)
-        );
-        faults.error(Code::DutyCall, period, reason, format!("at least {}", format_duration(least)));
-    }
-    let first = path.value.strip_prefix('/').map(|rest| rest.split(['/', '?']).next().unwrap_or_default());
-    let Some(first) = first else {
-        faults.error(
-            Code::DutyCall,
-            path,
-            format!("'{}' is not a path", path.value),
-            "for example /settle/daily",
-        );
-        return None;
-    };
-    if let Some(site) = site {
-        match site.classes.iter().position(|class| class == first) {
-            None => {
-                let reason = format!("the settings have no class '{first}'");
-                faults.error(Code::UnknownClass, path, reason, format!("one of {}", site.classes.join(", ")));
-            }
-            Some(class) if site.settings.classes[class].effect == Effect::Safe => {
-                let reason = format!(
-                    "requests of class '{first}' may be repeated: the call of one period could run twice"
-                );
-                faults.error(
-                    Code::DutyCall,
-                    path,
-                    reason,
-                    "a class of which requests carry a key or must not run twice",
-                );
-            }
-            Some(_) => {}
+    check_period(period, lease, faults);
+    check_path(path, instance, faults)?;
+    Some(Call { path: path.value.clone(), period: period.value, catch_up })
+}
+
+/// Whether calls of missed periods are made late.
+fn catches_up(duty: &DutySection, faults: &mut Faults<'_>) -> bool {
+    let Some(missed) = &duty.missed else { return false };
+    match missed.value.as_str() {
+        "tell" => false,
+        "catch up" => true,
+        other => {
+            let reason = format!("'{other}' is not a way to treat missed periods");
+            faults.error(Code::InvalidDutyCall, missed, reason, "\"tell\" or \"catch up\"");
+            false
         }
     }
-    Some(Call { path: path.value.clone(), period: period.value, catch_up })
 }
 
-fn long(name: &At<String>, faults: &mut Faults<'_>) {
-    if name.value.len() > NAME {
-        faults.error(
-            Code::Member,
-            name,
-            format!("the name has {} bytes", name.value.len()),
-            format!("at most {NAME} bytes"),
-        );
+fn check_period(period: &Located<Span>, lease: Span, faults: &mut Faults<'_>) {
+    let shortest = lease.times(MIN_PERIOD_LEASES);
+    if period.value < shortest {
+        let shortest = format_duration(shortest);
+        let reason =
+            format!("it can take up to {shortest} until another member takes over from a dead holder");
+        faults.error(Code::InvalidDutyCall, period, reason, format!("at least {shortest}"));
     }
 }
 
-/// Parses the address of a member. Only loopback and private addresses are accepted, since members do not authenticate
-/// each other.
-fn address(at: &At<String>, faults: &mut Faults<'_>) -> Option<SocketAddr> {
-    let read: Option<SocketAddr> = at.value.parse().ok();
-    let Some(read) = read else {
-        faults.error(
-            Code::Member,
-            at,
-            format!("'{}' is not an address and port", at.value),
-            "for example 10.0.0.4:7400",
-        );
+/// Validates the path of a call; `None` if it is not a path at all.
+fn check_path(
+    path: &Located<String>,
+    instance: Option<&InstanceSettings>,
+    faults: &mut Faults<'_>,
+) -> Option<()> {
+    let Some(relative) = path.value.strip_prefix('/') else {
+        let reason = format!("'{}' is not a path", path.value);
+        faults.error(Code::InvalidDutyCall, path, reason, "for example /settle/daily");
         return None;
     };
-    let near = match read {
-        SocketAddr::V4(read) => read.ip().is_loopback() || read.ip().is_private(),
-        SocketAddr::V6(read) => read.ip().is_loopback() || read.ip().is_unique_local(),
+    if let Some(instance) = instance {
+        let class = relative.split(['/', '?']).next().unwrap_or_default();
+        check_class(path, class, instance, faults);
+    }
+    Some(())
+}
+
+/// Validates the class of a call, which is the first segment of its path.
+fn check_class(path: &Located<String>, class: &str, instance: &InstanceSettings, faults: &mut Faults<'_>) {
+    let Some(number) = instance.classes.iter().position(|name| name == class) else {
+        let reason = format!("the settings have no class '{class}'");
+        let allowed = format!("one of {}", instance.classes.join(", "));
+        faults.error(Code::UnknownClass, path, reason, allowed);
+        return;
     };
-    if !near {
-        let reason = format!(
-            "'{read}' can be reached from other networks, and members do not authenticate each other"
-        );
-        faults.error(Code::Member, at, reason, "a loopback address or one of a private range");
-        return None;
+    if instance.settings.classes[number].effect == Effect::Safe {
+        let reason =
+            format!("requests of class '{class}' may be repeated: the call of one period could run twice");
+        let allowed = "a class of which requests carry a key or must not run twice";
+        faults.error(Code::InvalidDutyCall, path, reason, allowed);
     }
-    Some(read)
 }
--- a/crates/limits/tests/files.rs
+++ b/crates/limits/tests/files.rs
@@ -24,54 +24,54 @@
 
 /// Invalid files, each with the code and the line of the expected error.
 const BAD: &[(Code, usize, &str)] = &[
-    (Code::DutyAlone, 2, "[[duty]]\nname = 'd'"),
+    (Code::DutyWithoutFleet, 2, "[[duty]]\nname = 'd'"),
     (
         Code::UnknownKey,
         4,
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\nvoters = []\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n",
     ),
     (
-        Code::Voters,
+        Code::InvalidVoters,
         2,
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:1'",
     ),
     (
-        Code::Voters,
+        Code::InvalidVoters,
         11,
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7402'\n",
     ),
     (
-        Code::Lease,
+        Code::InvalidLease,
         4,
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\nlease = '50ms'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n",
     ),
     (
-        Code::Lease,
+        Code::InvalidLease,
         4,
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\ndrift = 0.3\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n",
     ),
     (
-        Code::Member,
+        Code::InvalidMember,
         3,
         "[fleet]\nname='f'\nlisten='8.8.8.8:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n",
     ),
     (
-        Code::Member,
+        Code::InvalidMember,
         3,
         "[fleet]\nname='f'\nlisten='here'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n",
     ),
     (
-        Code::DutyCall,
+        Code::InvalidDutyCall,
         16,
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n[[duty]]\nname='d'\npath='/move/x'\nperiod='1s'",
     ),
     (
-        Code::DutyCall,
+        Code::InvalidDutyCall,
         14,
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n[[duty]]\nname='d'\npath='/move/x'",
     ),
     (
-        Code::DutyCall,
+        Code::InvalidDutyCall,
         15,
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n[[duty]]\nname='d'\npath='/read/x'\nperiod='9s'",
     ),
@@ -81,15 +81,15 @@
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n[[duty]]\nname='d'\npath='/none'\nperiod='9s'",
     ),
     (
-        Code::DutyCall,
+        Code::InvalidDutyCall,
         17,
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n[[duty]]\nname='d'\npath='/move'\nperiod='9s'\nmissed='no'",
     ),
     (Code::Syntax, 1, "version ="),
     (Code::Syntax, 2, "version = 1\n[[route]\nname = 'x'"),
     (Code::Syntax, 2, "version = 1\nversion = 1"),
-    (Code::UnknownVersion, 1, "version = 2"),
-    (Code::UnknownVersion, 1, "version = 0"),
+    (Code::UnsupportedVersion, 1, "version = 2"),
+    (Code::UnsupportedVersion, 1, "version = 0"),
     (Code::WrongType, 1, "version = 'one'"),
     (Code::UnknownKey, 1, "routes = []"),
     (Code::UnknownKey, 2, "[defaults]\ntime_out = '1s'"),
@@ -112,11 +112,11 @@
     (Code::WrongType, 3, "[[route]]\nname = 'x'\nmatch = { header = { X-A = 1 } }"),
     (Code::WrongType, 3, "[[pool]]\nname = 'p'\nzones = 'a'"),
     (Code::WrongType, 3, "[[pool]]\nname = 'p'\ncells = ['1']"),
-    (Code::BadDuration, 2, "[defaults]\ntimeout = '300'"),
-    (Code::BadDuration, 2, "[defaults]\ntimeout = '-1s'"),
-    (Code::BadDuration, 2, "[defaults]\ntimeout = '0ms'"),
-    (Code::BadDuration, 2, "[defaults]\nattempt_timeout = '5 sec'"),
-    (Code::BadDuration, 2, "[defaults]\ntimeout = '25h'"),
+    (Code::InvalidDuration, 2, "[defaults]\ntimeout = '300'"),
+    (Code::InvalidDuration, 2, "[defaults]\ntimeout = '-1s'"),
+    (Code::InvalidDuration, 2, "[defaults]\ntimeout = '0ms'"),
+    (Code::InvalidDuration, 2, "[defaults]\nattempt_timeout = '5 sec'"),
+    (Code::InvalidDuration, 2, "[defaults]\ntimeout = '25h'"),
     (Code::OutOfRange, 2, "[defaults]\nattempts = 0"),
     (Code::OutOfRange, 2, "[defaults]\nattempts = -1"),
     (Code::OutOfRange, 2, "[defaults]\npriority = 10"),
@@ -125,66 +125,70 @@
     (Code::OutOfRange, 2, "[defaults]\nsecond_copy = { after_quantile = 1.0 }"),
     (Code::OutOfRange, 3, "[[pool]]\nname = 'p'\nleast_healthy = 1.5"),
     (Code::OutOfRange, 3, "[[pool]]\nname = 'p'\ncells = [-1]"),
-    (Code::NoName, 1, "[[route]]\nattempts = 1"),
-    (Code::NoName, 1, "[[route]]\nname = ' '\nattempts = 1"),
-    (Code::NoName, 1, "[[pool]]\nzones = ['a']"),
-    (Code::SameName, 5, "[[route]]\nname = 'x'\nmatch = { class = 'read' }\n[[route]]\nname = 'x'"),
-    (Code::SameName, 4, "[[pool]]\nname = 'p'\n[[pool]]\nname = 'p'"),
+    (Code::MissingName, 1, "[[route]]\nattempts = 1"),
+    (Code::MissingName, 1, "[[route]]\nname = ' '\nattempts = 1"),
+    (Code::MissingName, 1, "[[pool]]\nzones = ['a']"),
+    (Code::DuplicateName, 5, "[[route]]\nname = 'x'\nmatch = { class = 'read' }\n[[route]]\nname = 'x'"),
+    (Code::DuplicateName, 4, "[[pool]]\nname = 'p'\n[[pool]]\nname = 'p'"),
     (Code::UnknownClass, 3, "[[route]]\nname = 'x'\nmatch = { class = 'reed' }"),
     (Code::UnknownTenant, 3, "[[route]]\nname = 'x'\nmatch = { tenant = 'as-klub' }"),
-    (Code::BadMethod, 3, "[[route]]\nname = 'x'\nmatch = { method = 'PUT' }"),
-    (Code::BadMethod, 3, "[[route]]\nname = 'x'\nmatch = { class = 'read', method = 'POST' }"),
-    (Code::BadPath, 3, "[[route]]\nname = 'x'\nmatch = { path = 'read' }"),
-    (Code::BadPath, 3, "[[route]]\nname = 'x'\nmatch = { path = '/read/**/x' }"),
-    (Code::BadPath, 3, "[[route]]\nname = 'x'\nmatch = { path = '/read/a*' }"),
-    (Code::BadHeader, 3, "[[route]]\nname = 'x'\nmatch = { header = { 'X A' = 'b' } }"),
+    (Code::InvalidMethod, 3, "[[route]]\nname = 'x'\nmatch = { method = 'PUT' }"),
+    (Code::InvalidMethod, 3, "[[route]]\nname = 'x'\nmatch = { class = 'read', method = 'POST' }"),
+    (Code::InvalidPath, 3, "[[route]]\nname = 'x'\nmatch = { path = 'read' }"),
+    (Code::InvalidPath, 3, "[[route]]\nname = 'x'\nmatch = { path = '/read/**/x' }"),
+    (Code::InvalidPath, 3, "[[route]]\nname = 'x'\nmatch = { path = '/read/a*' }"),
+    (Code::InvalidHeader, 3, "[[route]]\nname = 'x'\nmatch = { header = { 'X A' = 'b' } }"),
     (Code::NeverMatches, 3, "[[route]]\nname = 'x'\nmatch = { class = 'read', path = '/pay/*' }"),
     (Code::NeverMatches, 3, "[[route]]\nname = 'x'\nmatch = { path = '/nothing/**' }"),
-    (Code::Shadowed, 4, "[[route]]\nname = 'all'\n[[route]]\nname = 'x'\nmatch = { class = 'read' }"),
+    (Code::UnreachableRoute, 4, "[[route]]\nname = 'all'\n[[route]]\nname = 'x'\nmatch = { class = 'read' }"),
     (
-        Code::Shadowed,
+        Code::UnreachableRoute,
         5,
         "[[route]]\nname = 'w'\nmatch = { path = '/read/**' }\n[[route]]\nname = 'x'\nmatch = { path = '/read/*/y' }",
     ),
     (
-        Code::Shadowed,
+        Code::UnreachableRoute,
         5,
         "[[route]]\nname = 'w'\nmatch = { class = 'pay' }\n[[route]]\nname = 'x'\nmatch = { class = 'pay', tenant = 'dama' }",
     ),
-    (Code::NoRoutePool, 2, "[defaults]\npool = 'near'"),
-    (Code::NoRoutePool, 3, "[[pool]]\nname = 'p'\nfall_back = ['q']"),
+    (Code::UnknownPool, 2, "[defaults]\npool = 'near'"),
+    (Code::UnknownPool, 3, "[[pool]]\nname = 'p'\nfall_back = ['q']"),
     (Code::UnknownZone, 3, "[[pool]]\nname = 'p'\nzones = ['c']"),
     (Code::EmptyPool, 3, "[[pool]]\nname = 'p'\nzones = []"),
     (Code::EmptyPool, 3, "[[pool]]\nname = 'p'\nmodels = []"),
     (Code::EmptyPool, 3, "[[pool]]\nname = 'p'\nweight = { least = 2.0, most = 1.0 }"),
-    (Code::FallBackLoop, 3, "[[pool]]\nname = 'p'\nfall_back = ['p']"),
-    (Code::FallBackLoop, 3, "[[pool]]\nname = 'p'\nfall_back = ['q', 'q']\n[[pool]]\nname = 'q'"),
-    (Code::Attempts, 2, "[defaults]\nattempts = 5"),
+    (Code::FallBackCycle, 3, "[[pool]]\nname = 'p'\nfall_back = ['p']"),
+    (Code::FallBackCycle, 3, "[[pool]]\nname = 'p'\nfall_back = ['q', 'q']\n[[pool]]\nname = 'q'"),
+    (Code::TooManyAttempts, 2, "[defaults]\nattempts = 5"),
     (
-        Code::CopyNotAllowed,
+        Code::HedgeNotAllowed,
         3,
         "[[route]]\nname = 'x'\nsecond_copy = { after = '50ms' }\nmatch = { class = 'read' }",
     ),
     (
-        Code::CopyUnsafe,
+        Code::HedgeUnsafe,
         3,
         "[[route]]\nname = 'x'\nsecond_copy = { after = '50ms' }\nmatch = { class = 'move' }",
     ),
     // Legal in the defaults, unsafe for a class that inherits it.
     (
-        Code::CopyUnsafe,
+        Code::HedgeUnsafe,
         2,
         "[defaults]\nsecond_copy = { after_quantile = 0.95 }\n[[route]]\nname = 'x'\nmatch = { class = 'move' }",
     ),
-    (Code::CopyAlone, 3, "[defaults]\nattempts = 1\nsecond_copy = { after = '50ms' }"),
-    (Code::AttemptOverWhole, 2, "[defaults]\nattempt_timeout = '400ms'\ntimeout = '300ms'"),
+    (Code::HedgeWithoutRetry, 3, "[defaults]\nattempts = 1\nsecond_copy = { after = '50ms' }"),
+    (Code::AttemptOverTimeout, 2, "[defaults]\nattempt_timeout = '400ms'\ntimeout = '300ms'"),
     (
-        Code::AttemptOverWhole,
+        Code::AttemptOverTimeout,
         2,
         "[defaults]\nattempt_timeout = '400ms'\n[[route]]\nname = 'x'\ntimeout = '200ms'",
     ),
-    (Code::PastGiveUp, 2, "[defaults]\ntimeout = '800ms'"),
-    (Code::PastGiveUp, 3, "[[route]]\nname = 'x'\nattempt_timeout = '741ms'\nmatch = { class = 'read' }"),
+    (Code::TimeoutOverDeadline, 2, "[defaults]\ntimeout = '800ms'"),
+    (
+        Code::TimeoutOverDeadline,
+        3,
+        "[[route]]\nname = 'x'\nattempt_timeout = '741ms'\nmatch = { class = 'read' }",
+    ),
     (Code::ConnectOverAttempt, 2, "[defaults]\nconnect_timeout = '50ms'\nattempt_timeout = '50ms'"),
     (
         Code::ConnectOverAttempt,
@@ -193,22 +197,22 @@
     ),
     // With attempts of 200 ms and waits of 9 ms, the third attempt may be sent after 418 ms and the fourth after 627 ms.
     (
-        Code::KeyForgotten,
+        Code::RetryAfterKeyExpiry,
         3,
         "[[route]]\nname = 'x'\nattempts = 4\nattempt_timeout = '200ms'\nmatch = { class = 'pay' }",
     ),
-    (Code::KeyForgotten, 2, "[defaults]\nattempt_timeout = '300ms'"),
-    (Code::BudgetNothing, 2, "[defaults]\nretry_budget = {}"),
-    (Code::BudgetNothing, 2, "[defaults]\nretry_budget = { part = 0.0, least_per_s = 0 }"),
-    (Code::AdmitsNothing, 2, "[defaults]\nmax_in_hand = 0"),
-    (Code::AdmitsNothing, 2, "[defaults]\nmax_waiting = 0"),
+    (Code::RetryAfterKeyExpiry, 2, "[defaults]\nattempt_timeout = '300ms'"),
+    (Code::EmptyBudget, 2, "[defaults]\nretry_budget = {}"),
+    (Code::EmptyBudget, 2, "[defaults]\nretry_budget = { part = 0.0, least_per_s = 0 }"),
+    (Code::ZeroLimit, 2, "[defaults]\nmax_in_hand = 0"),
+    (Code::ZeroLimit, 2, "[defaults]\nmax_waiting = 0"),
 ];
 
 #[test]
 fn each_bad_file_is_refused_with_its_code_at_its_line() {
     assert!(BAD.len() >= 60);
     for (code, line, text) in BAD {
-        let copies = !matches!(code, Code::CopyNotAllowed);
+        let copies = !matches!(code, Code::HedgeNotAllowed);
         let Checked { faults, rules } = check(text, &site(copies));
         assert!(rules.is_none(), "accepted: {text}");
         let found = faults.iter().any(|f| (f.code, f.line, f.severity) == (*code, *line, Severity::Error));
@@ -224,13 +228,20 @@
     let codes: Vec<Code> = check(text, &site(false)).faults.iter().map(|f| f.code).collect();
     assert_eq!(
         codes,
-        [Code::Attempts, Code::KeyForgotten, Code::BadDuration, Code::UnknownClass, Code::UnknownKey]
+        [
+            Code::TooManyAttempts,
+            Code::RetryAfterKeyExpiry,
+            Code::InvalidDuration,
+            Code::UnknownClass,
+            Code::UnknownKey
+        ]
     );
     let text = "[defaults]\nattempts = 1\nretry_budget = { part = 0.1 }\nmax_in_hand = 500\nmax_waiting = 600\n\
                 [[pool]]\nname = 'p'\nleast_healthy = 0.5";
     let Checked { faults, rules } = check(text, &site(false));
     let codes: Vec<Code> = faults.iter().map(|f| f.code).collect();
-    let wanted = [Code::BudgetUnused, Code::OverInstance, Code::WaitingOverHand, Code::HealthyUnused];
+    let wanted =
+        [Code::UnusedBudget, Code::LimitOverInstance, Code::WaitingOverInHand, Code::UnusedLeastHealthy];
     assert_eq!(codes, wanted);
     assert!(rules.is_some());
     // Without settings, only faults that need none are reported.
