--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,114 +3,16 @@
 
 #![forbid(unsafe_code)]
 
-use anyhow::{Context, Result, anyhow, bail};
-use dunlincleat::api::{
-    Class, Discovery, Effect, Field, Group, Limits, Prices, Reports, Safety, Settings, Span, Tail, Tenant,
-    Weights,
-};
-use serde::Deserialize;
-use serde_json::{Map, Value};
-
-#[derive(Deserialize)]
-struct Env {
-    #[serde(default = "one")]
-    balancers: u32,
-    #[serde(default)]
-    me: u32,
-    #[serde(default)]
-    locality: u32,
-    classes: Vec<EnvClass>,
-    #[serde(default)]
-    tenants: Vec<EnvTenant>,
-    #[serde(default)]
-    over_share_worth: Option<f64>,
-    #[serde(default)]
-    discovery: Option<String>,
-    #[serde(default)]
-    stats: EnvStats,
-    #[serde(default)]
-    limits: EnvLimits,
-    #[serde(default)]
-    zones: Vec<String>,
-    #[serde(default)]
-    deductions: Map<String, Value>,
-    safety: EnvSafety,
-    #[serde(default)]
-    weight_source: Option<Value>,
-    #[serde(default)]
-    family_info: Map<String, Value>,
-    #[serde(default)]
-    objective_mix: Map<String, Value>,
-    #[serde(default)]
-    tick: u64,
-}
-
-#[derive(Deserialize)]
-struct EnvClass {
-    #[serde(default)]
-    name: String,
-    aim: u64,
-    deadline: u64,
-    #[serde(default)]
-    gain: f64,
-    #[serde(default)]
-    late_worth: f64,
-    semantics: String,
-    #[serde(default)]
-    group: Option<String>,
-    #[serde(default)]
-    window: Option<u64>,
-    #[serde(default)]
-    stream: bool,
-}
-
-#[derive(Deserialize)]
-struct EnvTenant {
-    #[serde(default)]
-    name: String,
-    #[serde(default)]
-    share: f64,
-    #[serde(default)]
-    quota_per_s: f64,
-}
-
-#[derive(Deserialize, Default)]
-struct EnvStats {
-    #[serde(default)]
-    fields: Vec<String>,
-    #[serde(default)]
-    how: Option<String>,
-}
+mod class_numbering;
+mod convert;
+mod missing_key;
+mod raw;
 
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct EnvLimits {
-    try_limit: Option<u32>,
-    parallel_tries: bool,
-    retry_after: bool,
-    max_retry_after: u64,
-    probes: bool,
-    cancel: bool,
-    peers: bool,
-    connect_timeout: u64,
-    conn_idle: Option<u64>,
-    max_open: Option<u64>,
-}
+pub use class_numbering::{ClassNumbering, Transition};
+pub use missing_key::first_missing_key;
 
-#[derive(Deserialize)]
-struct EnvSafety {
-    #[serde(default)]
-    ask_within: Option<u64>,
-    #[serde(default)]
-    cold_from: Option<f64>,
-    #[serde(default)]
-    cold: u64,
-    #[serde(default)]
-    drain_grace: Option<u64>,
-}
-
-mod class_numbering;
-pub use class_numbering::{ClassNumbering, Transition, first_missing_key};
+use anyhow::{Context, Result, anyhow};
+use dunlincleat::api::{Settings, Span};
 
 /// The settings of one instance: those of the decision module, and what only its host needs.
 #[derive(Clone, Debug)]
@@ -133,10 +35,6 @@
     pub drain_grace: Option<Span>,
 }
 
-fn one() -> u32 {
-    1
-}
-
 /// Parses the settings of one instance from JSON text.
 ///
 /// # Errors
@@ -152,182 +50,15 @@
 ///
 /// A value is missing or invalid; the message names the key.
 pub fn read_value(value: serde_json::Value) -> Result<InstanceSettings> {
-    site(serde_path_to_error::deserialize(value).map_err(|error| anyhow!("settings: {error}"))?)
-}
-
-/// The longest aim or deadline of a class, in microseconds: one day. A larger value indicates a wrong unit.
-const LONGEST: u64 = 86_400_000_000;
-/// The highest accepted number of attempts per request.
-const ATTEMPTS: u32 = 1000;
-
-/// Checks the values that decide how long requests live and how often they are sent.
-fn prove(env: &Env) -> Result<()> {
-    for (n, class) in env.classes.iter().enumerate() {
-        for (key, value) in [("aim", class.aim), ("deadline", class.deadline)] {
-            if !(1..=LONGEST).contains(&value) {
-                bail!(
-                    "settings: classes[{n}].{key}: {value} is no number of microseconds from 1 to {LONGEST}"
-                );
-            }
-        }
-        if !class.name.is_empty() && env.classes[..n].iter().any(|other| other.name == class.name) {
-            bail!(
-                "settings: classes[{n}].name: '{}' stands there twice; each class has one entry",
-                class.name
-            );
-        }
-    }
-    match env.limits.try_limit {
-        Some(most) if !(1..=ATTEMPTS).contains(&most) => {
-            bail!("settings: limits.try_limit: {most} is no number of attempts from 1 to {ATTEMPTS}")
-        }
-        Some(_) | None => Ok(()),
-    }
-}
-
-fn site(env: Env) -> Result<InstanceSettings> {
-    prove(&env)?;
-    let names = |names: &[EnvClass]| names.iter().map(|c| c.name.clone()).collect();
-    Ok(InstanceSettings {
-        classes: names(&env.classes),
-        tenants: env.tenants.iter().map(|t| t.name.clone()).collect(),
-        zones: env.zones.clone(),
-        fields: env.stats.fields.clone(),
-        conn_idle: env.limits.conn_idle.map(Span),
-        max_open: env.limits.max_open,
-        drain_grace: env.safety.drain_grace.map(Span),
-        settings: settings(&env)?,
-    })
-}
-
-fn settings(env: &Env) -> Result<Settings> {
-    // A missing price is 0. A negative price would make the decision module seek the cost instead of avoiding it.
-    let price = |key: &str| match env.deductions.get(key).map_or(Some(0.0), Value::as_f64) {
-        Some(price) if price >= 0.0 => Ok(price),
-        Some(price) => bail!("settings: deductions.{key}: {price} is negative"),
-        None => bail!("settings: deductions.{key}: {} is not a number", env.deductions[key]),
-    };
-    Ok(Settings {
-        instance_count: env.balancers,
-        instance_index: env.me,
-        zone: env.locality,
-        classes: env.classes.iter().map(class).collect::<Result<_>>()?,
-        tenants: env.tenants.iter().map(|t| Tenant { share: t.share, quota_per_s: t.quota_per_s }).collect(),
-        over_share_worth: env.over_share_worth.unwrap_or(1.0),
-        discovery: match env.discovery.as_deref() {
-            Some("on_request") => Discovery::OnRequest,
-            Some("pushed") | None => Discovery::Pushed,
-            Some(other) => bail!("settings: unknown discovery '{other}'; expected 'pushed' or 'on_request'"),
-        },
-        reports: match env.stats.how.as_deref() {
-            Some("inline") => Reports::InAnswers,
-            Some("on_probe") => Reports::InProbes,
-            Some("off") | None => Reports::Off,
-            Some(other) => {
-                bail!("settings: unknown stats.how '{other}'; expected 'inline', 'on_probe' or 'off'")
-            }
-        },
-        fields: env.stats.fields.iter().map(|f| field(f)).collect(),
-        limits: Limits {
-            max_attempts: env.limits.try_limit.unwrap_or(1).max(1),
-            hedging: env.limits.parallel_tries,
-            retry_after: env.limits.retry_after.then_some(Span(env.limits.max_retry_after)),
-            probes: env.limits.probes,
-            cancellation: env.limits.cancel,
-            peer_messages: env.limits.peers,
-            connect_timeout: Span(env.limits.connect_timeout),
-            conn_idle: Span(env.limits.conn_idle.unwrap_or(5_000_000)),
-        },
-        prices: Prices {
-            cross_zone: price("cross_zone")?,
-            probe: price("probe")?,
-            waste: price("waste")?,
-            peer: price("peer")?,
-            connection: price("connection")?,
-            handshake: price("handshake")?,
-        },
-        safety: Safety {
-            ask_within: Span(env.safety.ask_within.unwrap_or(10_000_000)),
-            cold_from: env.safety.cold_from.unwrap_or(1.0),
-            cold: Span(env.safety.cold),
-        },
-        weights: weights(env.weight_source.as_ref())?,
-        key_affinity: match env.family_info.get("warm_keys") {
-            None | Some(Value::Null) => false,
-            Some(Value::Bool(warm)) => *warm,
-            Some(other) => bail!("settings: family_info.warm_keys: {other} is neither true nor false"),
-        },
-        tail: Tail {
-            share: part(&env.objective_mix, "objective_mix", "tail_part")?,
-            allowed_misses: part(&env.objective_mix, "objective_mix", "borne_misses")?,
-        },
-        tick: Span(env.tick),
-    })
-}
-
-fn class(c: &EnvClass) -> Result<Class> {
-    let effect = match c.semantics.as_str() {
-        "retryable" => Effect::Safe,
-        "fragile" => Effect::Unsafe,
-        "dedup" => Effect::Keyed {
-            group: match c.group.as_deref() {
-                Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                Some("cell") => Group::Cell,
-                other => bail!(
-                    "settings: unknown group {other:?} of a keyed class; expected 'all', 'zone' or 'cell'"
-                ),
-            },
-            window: Span(c.window.unwrap_or(0)),
-        },
-        other => bail!("settings: unknown semantics '{other}'; expected 'retryable', 'dedup' or 'fragile'"),
-    };
-    Ok(Class {
-        aim: Span(c.aim),
-        deadline: Span(c.deadline),
-        worth: c.gain,
-        late_worth: c.late_worth,
-        effect,
-        stream: c.stream,
-        retired: false,
-    })
-}
-
-fn weights(source: Option<&Value>) -> Result<Weights> {
-    Ok(match source {
-        None | Some(Value::Null) => Weights::Off,
-        Some(Value::String(word)) if word == "off" => Weights::Off,
-        Some(Value::String(word)) if matches!(word.as_str(), "nominal" | "rough") => Weights::Size,
-        Some(Value::String(word)) if word == "live" => Weights::Live,
-        Some(other) => {
-            bail!("settings: weight_source: {other} is none of \"off\", \"nominal\", \"rough\", \"live\"")
-        }
-    })
-}
-
-/// Reads a fraction from 0 to 1 from the keys of an object; 0 if the key is missing.
-fn part(keys: &Map<String, Value>, object: &str, key: &str) -> Result<f64> {
-    match keys.get(key) {
-        None => Ok(0.0),
-        Some(value) => match value.as_f64() {
-            Some(part) if (0.0..=1.0).contains(&part) => Ok(part),
-            _ => bail!("settings: {object}.{key}: {value} is no number from 0 to 1"),
-        },
-    }
-}
-
-fn field(name: &str) -> Field {
-    match name {
-        "inflight" => Field::Inflight,
-        "queue" => Field::Queue,
-        "util" => Field::Util,
-        _ => Field::Other,
-    }
+    let raw = serde_path_to_error::deserialize(value).map_err(|error| anyhow!("settings: {error}"))?;
+    convert::instance_settings(raw)
 }
 
 /// Hashes a name to a number that is the same in every instance (FNV-1a).
 pub fn global_id(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
 }
 
 #[cfg(test)]
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,6 +1,7 @@
-//! Tests of `lib.rs`.
+//! Tests of the parser.
 
 use super::*;
+use dunlincleat::api::{Effect, Field, Group, Tail, Weights};
 
 const EXAMPLE: &str = r#"{"balancers":2,"me":1,"locality":1,"zones":["a","b"],"new":1,
     "classes":[{"name":"pay","aim":300000,"deadline":740000,"gain":10.0,"semantics":"dedup","group":"all",
@@ -11,28 +12,28 @@
     "safety":{"drain_grace":1000000,"cold":8600000}}"#;
 
 #[test]
-fn names_and_limits_for_the_host_stand_beside_the_modules_settings() -> Result<()> {
-    for site in [read(EXAMPLE)?, read_value(serde_json::from_str(EXAMPLE)?)?] {
-        assert_eq!((site.classes, site.tenants), (vec!["pay".to_owned()], vec!["acme".to_owned()]));
-        assert_eq!((site.zones.len(), site.fields.len()), (2, 2));
-        assert_eq!((site.conn_idle, site.max_open), (Some(Span(5_000_000)), Some(40_000)));
-        assert_eq!(site.drain_grace, Some(Span(1_000_000)));
-        assert_eq!((site.settings.instance_index, site.settings.zone), (1, 1));
-        assert_eq!(site.settings.fields, [Field::Inflight, Field::Other]);
+fn module_settings_and_host_values_are_read() -> Result<()> {
+    for instance in [read(EXAMPLE)?, read_value(serde_json::from_str(EXAMPLE)?)?] {
+        assert_eq!((instance.classes, instance.tenants), (vec!["pay".to_owned()], vec!["acme".to_owned()]));
+        assert_eq!((instance.zones.len(), instance.fields.len()), (2, 2));
+        assert_eq!((instance.conn_idle, instance.max_open), (Some(Span(5_000_000)), Some(40_000)));
+        assert_eq!(instance.drain_grace, Some(Span(1_000_000)));
+        assert_eq!((instance.settings.instance_index, instance.settings.zone), (1, 1));
+        assert_eq!(instance.settings.fields, [Field::Inflight, Field::Other]);
         let effect = Effect::Keyed { group: Group::All, window: Span(7_500_000) };
-        assert_eq!(site.settings.classes[0].effect, effect);
+        assert_eq!(instance.settings.classes[0].effect, effect);
     }
     Ok(())
 }
 
 #[test]
-fn a_fault_is_named() {
-    let fault = |from: &str, to: &str| format!("{:#}", read(&EXAMPLE.replace(from, to)).unwrap_err());
-    assert!(fault("dedup", "odd").contains("unknown semantics 'odd'"));
-    assert!(fault("\"all\"", "\"some\"").contains("unknown group Some(\"some\")"));
-    assert!(fault("inline", "aloud").contains("unknown stats.how 'aloud'"));
-    assert!(fault("\"aim\"", "\"goal\"").contains("missing field `aim`"));
-    for (text, told) in [
+fn invalid_values_are_reported_with_their_keys() {
+    let error = |from: &str, to: &str| format!("{:#}", read(&EXAMPLE.replace(from, to)).unwrap_err());
+    assert!(error("dedup", "odd").contains("unknown semantics 'odd'"));
+    assert!(error("\"all\"", "\"some\"").contains("unknown group Some(\"some\")"));
+    assert!(error("inline", "aloud").contains("unknown stats.how 'aloud'"));
+    assert!(error("\"aim\"", "\"goal\"").contains("missing field `aim`"));
+    for (text, expected) in [
         (r#""weight_source":"odd""#, r#"weight_source: "odd" is none of "off", "nominal""#),
         (r#""weight_source":3"#, "weight_source: 3 is none of"),
         (r#""family_info":{"warm_keys":1}"#, "family_info.warm_keys: 1 is neither true nor false"),
@@ -40,20 +41,20 @@
         (r#""objective_mix":{"borne_misses":1.5}"#, "objective_mix.borne_misses: 1.5 is no number"),
         (r#""objective_mix":{"borne_misses":"few"}"#, r#"objective_mix.borne_misses: "few" is no number"#),
     ] {
-        let said = fault("\"me\":1", &format!("\"me\":1,{text}"));
-        assert!(said.contains(told), "{said}");
+        let message = error("\"me\":1", &format!("\"me\":1,{text}"));
+        assert!(message.contains(expected), "{message}");
     }
-    let told = r#""me":1,"weight_source":"live","family_info":{"warm_keys":true},
+    let text = r#""me":1,"weight_source":"live","family_info":{"warm_keys":true},
         "objective_mix":{"tail_part":0.3,"borne_misses":0.01}"#;
-    let told = read(&EXAMPLE.replace("\"me\":1", told)).unwrap().settings;
-    assert_eq!((told.weights, told.key_affinity), (Weights::Live, true));
-    assert_eq!(told.tail, Tail { share: 0.3, allowed_misses: 0.01 });
-    let left_out = read(EXAMPLE).unwrap().settings;
-    assert_eq!((left_out.weights, left_out.key_affinity), (Weights::Off, false));
-    assert_eq!(left_out.tail, Tail::default());
-    let price = |text: &str| fault("\"me\":1", &format!("\"me\":1,\"deductions\":{{\"handshake\":{text}}}"));
+    let settings = read(&EXAMPLE.replace("\"me\":1", text)).unwrap().settings;
+    assert_eq!((settings.weights, settings.key_affinity), (Weights::Live, true));
+    assert_eq!(settings.tail, Tail { share: 0.3, allowed_misses: 0.01 });
+    let defaults = read(EXAMPLE).unwrap().settings;
+    assert_eq!((defaults.weights, defaults.key_affinity), (Weights::Off, false));
+    assert_eq!(defaults.tail, Tail::default());
+    let price = |text: &str| error("\"me\":1", &format!("\"me\":1,\"deductions\":{{\"handshake\":{text}}}"));
     assert!(price("-0.1").contains("deductions.handshake: -0.1 is negative"));
-    assert!(price("\"dear\"").contains("deductions.handshake: \"dear\" is not a number"));
+    assert!(price("\"high\"").contains("deductions.handshake: \"high\" is not a number"));
     assert!(price("null").contains("deductions.handshake: null is not a number"));
     assert_eq!(read(EXAMPLE).unwrap().settings.prices.handshake, 0.0);
 }
