--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -108,9 +108,10 @@
         Some("all") => Group::All,
         Some("zone") => Group::Zone,
         Some("cell") => Group::Cell,
-        other => {
-            bail!("settings: unknown group {other:?} of a keyed class; expected 'all', 'zone' or 'cell'")
+        Some(other) => {
+            bail!("settings: unknown group '{other}' of a keyed class; expected 'all', 'zone' or 'cell'")
         }
+        None => bail!("settings: missing group of a keyed class; expected 'all', 'zone' or 'cell'"),
     })
 }
 
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -4,6 +4,7 @@
 use serde_json::{Map, Value};
 
 #[derive(Deserialize)]
+#[serde(expecting = "a settings object")]
 pub(crate) struct RawSettings {
     #[serde(default = "default_balancers")]
     pub(crate) balancers: u32,
@@ -42,6 +43,7 @@
 }
 
 #[derive(Deserialize)]
+#[serde(expecting = "an object that describes a class")]
 pub(crate) struct RawClass {
     #[serde(default)]
     pub(crate) name: String,
@@ -61,6 +63,7 @@
 }
 
 #[derive(Deserialize)]
+#[serde(expecting = "an object that describes a tenant")]
 pub(crate) struct RawTenant {
     #[serde(default)]
     pub(crate) name: String,
@@ -71,6 +74,7 @@
 }
 
 #[derive(Deserialize, Default)]
+#[serde(expecting = "an object that describes load reports")]
 pub(crate) struct RawStats {
     #[serde(default)]
     pub(crate) fields: Vec<String>,
@@ -79,7 +83,7 @@
 }
 
 #[derive(Deserialize, Default)]
-#[serde(default)]
+#[serde(default, expecting = "an object of limits")]
 pub(crate) struct RawLimits {
     pub(crate) try_limit: Option<u32>,
     pub(crate) parallel_tries: bool,
@@ -94,6 +98,7 @@
 }
 
 #[derive(Deserialize)]
+#[serde(expecting = "an object of safety limits")]
 pub(crate) struct RawSafety {
     #[serde(default)]
     pub(crate) ask_within: Option<u64>,
