--- a/crates/limits/benches/matching.rs
+++ b/crates/limits/benches/matching.rs
@@ -8,7 +8,7 @@
 use dunlincleat_settings::{InstanceSettings, read};
 use std::hint::black_box;
 
-fn site() -> InstanceSettings {
+fn instance() -> InstanceSettings {
     let class =
         |n: usize| format!(r#"{{"name":"c{n}","aim":300000,"deadline":740000,"semantics":"retryable"}}"#);
     let classes: Vec<String> = (0..20).map(class).collect();
@@ -26,21 +26,23 @@
 }
 
 fn matching(c: &mut Criterion) {
-    let site = site();
+    let instance = instance();
     for routes in [1, 50, 1000] {
         let text = file(routes);
-        let rules = check(&text, &site).rules.expect("a valid file");
+        let rules = check(&text, &instance).rules.expect("a valid file");
         let header = |name: &str| (name == "x-venue").then_some("v");
         // The last route of its class, which is found after all others of the class were compared.
         let last = routes - 1;
         let path = format!("/c{}/part-{last}/7", last % 20);
         let class = (last % 20) as u32;
-        let facts = RequestAttributes { path: &path, method: "GET", class, tenant: 0, header: &header };
-        assert_eq!(rules.find(&facts).name, format!("r{last}"));
+        let request = RequestAttributes { path: &path, method: "GET", class, tenant: 0, header: &header };
+        assert_eq!(rules.find(&request).name, format!("r{last}"));
         c.bench_with_input(BenchmarkId::new("find", routes), &routes, |b, _| {
-            b.iter(|| black_box(rules.find(&facts)))
+            b.iter(|| black_box(rules.find(&request)))
+        });
+        c.bench_with_input(BenchmarkId::new("check", routes), &routes, |b, _| {
+            b.iter(|| check(&text, &instance))
         });
-        c.bench_with_input(BenchmarkId::new("check", routes), &routes, |b, _| b.iter(|| check(&text, &site)));
     }
 }
 
--- a/crates/limits/tests/files.rs
+++ b/crates/limits/tests/files.rs
@@ -9,10 +9,10 @@
 use proptest::prelude::*;
 
 /// Settings with one class of each kind. Servers keep the keys of `pay` for 500 ms, and its clients wait for 900 ms.
-fn site(second_copies: bool) -> InstanceSettings {
+fn instance(hedging: bool) -> InstanceSettings {
     read(&format!(
         r#"{{"zones":["a","b"],"tenants":[{{"name":"trojka"}},{{"name":"dama"}}],
-        "limits":{{"try_limit":4,"parallel_tries":{second_copies},"max_open":100}},
+        "limits":{{"try_limit":4,"parallel_tries":{hedging},"max_open":100}},
         "classes":[
           {{"name":"read","aim":300000,"deadline":740000,"semantics":"retryable"}},
           {{"name":"pay","aim":300000,"deadline":900000,"semantics":"dedup","group":"all","window":500000}},
@@ -22,68 +22,50 @@
     .unwrap()
 }
 
+/// A fleet without its voters.
+macro_rules! fleet {
+    () => {
+        "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n"
+    };
+}
+
+/// Three valid voters.
+macro_rules! voters {
+    () => {
+        "[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n"
+    };
+}
+
 /// Invalid files, each with the code and the line of the expected error.
-const BAD: &[(Code, usize, &str)] = &[
+const INVALID: &[(Code, usize, &str)] = &[
     (Code::DutyWithoutFleet, 2, "[[duty]]\nname = 'd'"),
-    (
-        Code::UnknownKey,
-        4,
-        "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\nvoters = []\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n",
-    ),
-    (
-        Code::InvalidVoters,
-        2,
-        "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:1'",
-    ),
+    (Code::UnknownKey, 4, concat!(fleet!(), "voters = []\n", voters!())),
+    (Code::InvalidVoters, 2, concat!(fleet!(), "[[fleet.voter]]\nname='a'\nat='127.0.0.1:1'")),
     (
         Code::InvalidVoters,
         11,
         "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7402'\n",
     ),
-    (
-        Code::InvalidLease,
-        4,
-        "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\nlease = '50ms'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n",
-    ),
-    (
-        Code::InvalidLease,
-        4,
-        "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\ndrift = 0.3\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n",
-    ),
-    (
-        Code::InvalidMember,
-        3,
-        "[fleet]\nname='f'\nlisten='8.8.8.8:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n",
-    ),
-    (
-        Code::InvalidMember,
-        3,
-        "[fleet]\nname='f'\nlisten='here'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n",
-    ),
+    (Code::InvalidLease, 4, concat!(fleet!(), "lease = '50ms'\n", voters!())),
+    (Code::InvalidLease, 4, concat!(fleet!(), "drift = 0.3\n", voters!())),
+    (Code::InvalidMember, 3, concat!("[fleet]\nname='f'\nlisten='8.8.8.8:7400'\n", voters!())),
+    (Code::InvalidMember, 3, concat!("[fleet]\nname='f'\nlisten='here'\n", voters!())),
     (
         Code::InvalidDutyCall,
         16,
-        "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n[[duty]]\nname='d'\npath='/move/x'\nperiod='1s'",
+        concat!(fleet!(), voters!(), "[[duty]]\nname='d'\npath='/move/x'\nperiod='1s'"),
     ),
+    (Code::InvalidDutyCall, 14, concat!(fleet!(), voters!(), "[[duty]]\nname='d'\npath='/move/x'")),
     (
         Code::InvalidDutyCall,
-        14,
-        "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n[[duty]]\nname='d'\npath='/move/x'",
-    ),
-    (
-        Code::InvalidDutyCall,
-        15,
-        "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n[[duty]]\nname='d'\npath='/read/x'\nperiod='9s'",
-    ),
-    (
-        Code::UnknownClass,
         15,
-        "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n[[duty]]\nname='d'\npath='/none'\nperiod='9s'",
+        concat!(fleet!(), voters!(), "[[duty]]\nname='d'\npath='/read/x'\nperiod='9s'"),
     ),
+    (Code::UnknownClass, 15, concat!(fleet!(), voters!(), "[[duty]]\nname='d'\npath='/none'\nperiod='9s'")),
     (
         Code::InvalidDutyCall,
         17,
-        "[fleet]\nname='f'\nlisten='127.0.0.1:7400'\n[[fleet.voter]]\nname='a'\nat='127.0.0.1:7400'\n[[fleet.voter]]\nname='b'\nat='127.0.0.1:7401'\n[[fleet.voter]]\nname='c'\nat='127.0.0.1:7402'\n[[duty]]\nname='d'\npath='/move'\nperiod='9s'\nmissed='no'",
+        concat!(fleet!(), voters!(), "[[duty]]\nname='d'\npath='/move'\nperiod='9s'\nmissed='no'"),
     ),
     (Code::Syntax, 1, "version ="),
     (Code::Syntax, 2, "version = 1\n[[route]\nname = 'x'"),
@@ -209,11 +191,11 @@
 ];
 
 #[test]
-fn each_bad_file_is_refused_with_its_code_at_its_line() {
-    assert!(BAD.len() >= 60);
-    for (code, line, text) in BAD {
-        let copies = !matches!(code, Code::HedgeNotAllowed);
-        let Checked { faults, rules } = check(text, &site(copies));
+fn invalid_files_are_rejected_with_code_and_line() {
+    assert!(INVALID.len() >= 60);
+    for (code, line, text) in INVALID {
+        let hedging = !matches!(code, Code::HedgeNotAllowed);
+        let Checked { faults, rules } = check(text, &instance(hedging));
         assert!(rules.is_none(), "accepted: {text}");
         let found = faults.iter().any(|f| (f.code, f.line, f.severity) == (*code, *line, Severity::Error));
         assert!(found, "{code} at line {line} is not reported:\n{text}\n{faults:#?}");
@@ -222,10 +204,10 @@
 }
 
 #[test]
-fn all_faults_of_a_file_are_told_and_warnings_refuse_none() {
+fn all_faults_are_reported_and_warnings_do_not_reject() {
     let text =
         "[defaults]\nattempts = 9\ntimeout = 'x'\n[[route]]\nname = 'y'\nmatch = { class = 'z' }\nbogus = 1";
-    let codes: Vec<Code> = check(text, &site(false)).faults.iter().map(|f| f.code).collect();
+    let codes: Vec<Code> = check(text, &instance(false)).faults.iter().map(|f| f.code).collect();
     assert_eq!(
         codes,
         [
@@ -238,30 +220,30 @@
     );
     let text = "[defaults]\nattempts = 1\nretry_budget = { part = 0.1 }\nmax_in_hand = 500\nmax_waiting = 600\n\
                 [[pool]]\nname = 'p'\nleast_healthy = 0.5";
-    let Checked { faults, rules } = check(text, &site(false));
+    let Checked { faults, rules } = check(text, &instance(false));
     let codes: Vec<Code> = faults.iter().map(|f| f.code).collect();
-    let wanted =
+    let expected =
         [Code::UnusedBudget, Code::LimitOverInstance, Code::WaitingOverInHand, Code::UnusedLeastHealthy];
-    assert_eq!(codes, wanted);
+    assert_eq!(codes, expected);
     assert!(rules.is_some());
     // Without settings, only faults that need none are reported.
     assert_eq!(check_without_settings(text), [faults[3].clone()]);
     assert!(
-        check("", &site(false)).rules.is_some_and(|rules| **rules.default_rule() == Rule::unrestricted())
+        check("", &instance(false)).rules.is_some_and(|rules| **rules.default_rule() == Rule::unrestricted())
     );
 }
 
 #[test]
-fn the_first_route_that_matches_counts_and_keeps_what_it_inherits() {
+fn first_matching_route_applies_with_inherited_defaults() {
     let text = "[defaults]\nattempts = 1\n[[route]]\nname = 'venue'\nattempts = 2\n\
                 match = { path = '/read/*/now', header = { X-Venue = 'lj' } }\n\
                 [[route]]\nname = 'reads'\ntimeout = '300ms'\nmatch = { class = 'read' }";
-    let Checked { faults, rules } = check(text, &site(false));
+    let Checked { faults, rules } = check(text, &instance(false));
     let rules = rules.unwrap_or_else(|| panic!("{faults:?}"));
     let find = |path: &str, class: u32, venue: Option<&'static str>| {
         let header = move |name: &str| venue.filter(|_| name == "x-venue");
-        let facts = RequestAttributes { path, method: "GET", class, tenant: 0, header: &header };
-        let rule = rules.find(&facts);
+        let request = RequestAttributes { path, method: "GET", class, tenant: 0, header: &header };
+        let rule = rules.find(&request);
         (rule.name.clone(), rule.attempts, rule.line)
     };
     assert_eq!(find("/read/7/now", 0, Some("lj")), ("venue".into(), Some(2), Some(4)));
@@ -271,31 +253,33 @@
 }
 
 #[test]
-fn the_example_under_deploy_has_no_fault() {
+fn example_file_in_deploy_is_valid() {
     assert_eq!(check_without_settings(include_str!("../../../deploy/limits.example.toml")), []);
 }
 
 /// Why a rule is unsafe for a class, if it is. Computed independently of the code under test.
-fn unsafe_for(rule: &Rule, class: usize, site: &InstanceSettings) -> Option<String> {
-    let settings = &site.settings.classes[class];
-    let whole = rule.timeout.unwrap_or(settings.deadline);
-    if whole > settings.deadline || rule.attempt_timeout.is_some_and(|a| a > whole) {
-        return Some(format!("{rule:?} exceeds the deadline of {}", site.classes[class]));
+fn unsafe_reason(rule: &Rule, class: usize, instance: &InstanceSettings) -> Option<String> {
+    let limits = &instance.settings.limits;
+    let settings = &instance.settings.classes[class];
+    let timeout = rule.timeout.unwrap_or(settings.deadline);
+    if timeout > settings.deadline || rule.attempt_timeout.is_some_and(|attempt| attempt > timeout) {
+        return Some(format!("{rule:?} exceeds the deadline of {}", instance.classes[class]));
     }
-    let attempts = rule.attempts.unwrap_or(site.settings.limits.max_attempts);
-    if attempts > site.settings.limits.max_attempts {
+    let attempts = rule.attempts.unwrap_or(limits.max_attempts);
+    if attempts > limits.max_attempts {
         return Some("more attempts than allowed".into());
     }
-    if rule.hedge_delay.is_some() && (!site.settings.limits.hedging || settings.effect == Effect::Unsafe) {
+    if rule.hedge_delay.is_some() && (!limits.hedging || settings.effect == Effect::Unsafe) {
         return Some("a hedged request of a class that must not run twice".into());
     }
     let narrows = rule.attempts.is_some() || rule.attempt_timeout.is_some() || rule.timeout.is_some();
     if let (Effect::Keyed { window, .. }, true) = (settings.effect, narrows) {
         // Simulates the sends of all attempts, with each attempt and wait at a part of its longest, until the timeout.
-        let longest = rule.attempt_timeout.unwrap_or(whole).0 + settings.aim.0 * 3 / 100;
+        let longest_us = rule.attempt_timeout.unwrap_or(timeout).0 + settings.aim.0 * 3 / 100;
         for part in 1..=50 {
-            let sends = (1..u64::from(attempts)).map(|n| n * longest * part / 50).filter(|at| *at < whole.0);
-            if sends.max().is_some_and(|last| last >= window.0) {
+            let sends = (1..u64::from(attempts)).map(|n| n * longest_us * part / 50);
+            let last_send = sends.filter(|at| *at < timeout.0).max();
+            if last_send.is_some_and(|last| last >= window.0) {
                 return Some(format!("{rule:?}: a retry is sent after the key is forgotten"));
             }
         }
@@ -303,7 +287,7 @@
     None
 }
 
-fn knob() -> impl Strategy<Value = String> {
+fn option() -> impl Strategy<Value = String> {
     prop_oneof![
         (1_u32..1000).prop_map(|n| format!("timeout = '{n}ms'")),
         (1_u32..1000).prop_map(|n| format!("attempt_timeout = '{n}ms'")),
@@ -316,71 +300,77 @@
     ]
 }
 
+/// The text of options. TOML forbids duplicate keys, so only the last value of each key is kept.
+fn options_text(options: &[String]) -> String {
+    let key = |option: &str| option.split(' ').next().unwrap_or_default().to_owned();
+    let is_last = |n: usize| options[n + 1..].iter().all(|later| key(later) != key(&options[n]));
+    let kept = options.iter().enumerate().filter(|(n, _)| is_last(*n));
+    kept.map(|(_, option)| format!("{option}\n")).collect()
+}
+
 fn file() -> impl Strategy<Value = String> {
     let class = prop_oneof![Just("read"), Just("pay"), Just("move"), Just("")];
-    let knobs = || proptest::collection::vec(knob(), 0..4);
-    let route = (class, knobs()).prop_map(|(class, knobs)| (class.to_owned(), knobs));
-    (knobs(), proptest::collection::vec(route, 0..4)).prop_map(|(defaults, routes)| {
-        // TOML forbids duplicate keys: only the last of each is kept.
-        let text = |knobs: &[String]| {
-            let key = |knob: &str| knob.split(' ').next().unwrap_or_default().to_owned();
-            let last =
-                knobs.iter().enumerate().filter(|(n, k)| !knobs[n + 1..].iter().any(|o| key(o) == key(k)));
-            last.map(|(_, knob)| format!("{knob}\n")).collect::<String>()
-        };
-        let mut file = format!("[defaults]\n{}", text(&defaults));
-        for (n, (class, knobs)) in routes.iter().enumerate() {
-            let on =
-                if class.is_empty() { String::new() } else { format!("match = {{ class = '{class}' }}\n") };
-            file += &format!("[[route]]\nname = 'r{n}'\n{on}{}", text(knobs));
+    let options = || proptest::collection::vec(option(), 0..4);
+    let route = (class, options()).prop_map(|(class, options)| (class.to_owned(), options));
+    (options(), proptest::collection::vec(route, 0..4)).prop_map(|(defaults, routes)| {
+        let mut file = format!("[defaults]\n{}", options_text(&defaults));
+        for (n, (class, options)) in routes.iter().enumerate() {
+            file += &format!("[[route]]\nname = 'r{n}'\n");
+            if !class.is_empty() {
+                file += &format!("match = {{ class = '{class}' }}\n");
+            }
+            file += &options_text(options);
         }
         file
     })
 }
 
-fn each_class(rules: &RuleSet, site: &InstanceSettings) -> Vec<(usize, Rule)> {
-    let of = |class: usize| {
-        let none = |_: &str| None;
-        let path = format!("/{}", site.classes[class]);
-        let method = if site.settings.classes[class].effect == Effect::Safe { "GET" } else { "POST" };
-        let facts = RequestAttributes { path: &path, method, class: class as u32, tenant: 0, header: &none };
-        (class, (**rules.find(&facts)).clone())
+/// The rule that applies to a plain request of each class, with the number of the class.
+fn rule_of_each_class(rules: &RuleSet, instance: &InstanceSettings) -> Vec<(usize, Rule)> {
+    let rule_of = |class: usize| {
+        let no_header = |_: &str| None;
+        let path = format!("/{}", instance.classes[class]);
+        let is_safe = instance.settings.classes[class].effect == Effect::Safe;
+        let method = if is_safe { "GET" } else { "POST" };
+        let request =
+            RequestAttributes { path: &path, method, class: class as u32, tenant: 0, header: &no_header };
+        (class, (**rules.find(&request)).clone())
     };
-    (0..site.classes.len()).map(of).collect()
+    (0..instance.classes.len()).map(rule_of).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 4000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_accepted_is_safe(text in file(), copies: bool) {
-        let site = site(copies);
-        if let Some(rules) = check(&text, &site).rules {
-            for (class, rule) in each_class(&rules, &site) {
-                prop_assert_eq!(unsafe_for(&rule, class, &site), None, "{}", text);
+    fn accepted_files_are_safe(text in file(), hedging: bool) {
+        let instance = instance(hedging);
+        if let Some(rules) = check(&text, &instance).rules {
+            for (class, rule) in rule_of_each_class(&rules, &instance) {
+                prop_assert_eq!(unsafe_reason(&rule, class, &instance), None, "{}", text);
             }
         }
     }
 
     #[test]
-    fn no_text_breaks_the_reader(text in "[\\[\\]a-z_='\"{}0-9.,\\n ]{0,200}") {
-        let Checked { faults, rules } = check(&text, &site(true));
+    fn arbitrary_text_is_parsed_without_panic(text in "[\\[\\]a-z_='\"{}0-9.,\\n ]{0,200}") {
+        let Checked { faults, rules } = check(&text, &instance(true));
         prop_assert_eq!(rules.is_none(), faults.iter().any(|f| f.severity == Severity::Error));
     }
 }
 
 #[test]
-fn the_oracle_finds_a_checker_that_lets_one_through() {
-    let site = site(true);
-    let whole = |class: usize| site.settings.classes[class].deadline;
-    let planted: [(usize, Rule); 5] = [
-        (0, Rule { timeout: Some(Span(whole(0).0 + 1)), ..Rule::unrestricted() }),
+fn oracle_rejects_unsafe_rules() {
+    let instance = instance(true);
+    let deadline = |class: usize| instance.settings.classes[class].deadline;
+    let unsafe_rules: [(usize, Rule); 5] = [
+        (0, Rule { timeout: Some(Span(deadline(0).0 + 1)), ..Rule::unrestricted() }),
         (0, Rule { attempts: Some(5), ..Rule::unrestricted() }),
         (2, Rule { hedge_delay: Some(HedgeDelay::Fixed(Span(1))), ..Rule::unrestricted() }),
         (1, Rule { attempts: Some(4), attempt_timeout: Some(Span(200_000)), ..Rule::unrestricted() }),
         (1, Rule { attempts: Some(2), attempt_timeout: Some(Span(600_000)), ..Rule::unrestricted() }),
     ];
-    for (class, rule) in planted {
-        assert!(unsafe_for(&rule, class, &site).is_some(), "{rule:?}");
+    for (class, rule) in unsafe_rules {
+        assert!(unsafe_reason(&rule, class, &instance).is_some(), "{rule:?}");
     }
 }
