--- a/crates/limits/src/check/pools.rs
+++ b/crates/limits/src/check/pools.rs
@@ -4,11 +4,13 @@
 use crate::codes::Code;
 use crate::fault::Faults;
 use crate::file::{LimitsFile, Located, PoolSection};
+use crate::names::check_unique;
 use dunlincleat_settings::InstanceSettings;
 
 pub(super) fn check(file: &LimitsFile, instance: Option<&InstanceSettings>, faults: &mut Faults<'_>) {
     for (n, pool) in file.pools.iter().enumerate() {
-        check_name(pool, &file.pools[..n], faults);
+        let earlier = file.pools[..n].iter().map(|other| &other.name);
+        check_unique("pool", &pool.name, earlier, faults);
         if let Some(instance) = instance {
             check_zones(pool, &instance.zones, faults);
         }
@@ -17,14 +19,6 @@
     }
 }
 
-fn check_name(pool: &PoolSection, earlier: &[PoolSection], faults: &mut Faults<'_>) {
-    let name = &pool.name.value;
-    if !name.is_empty() && earlier.iter().any(|other| other.name.value == *name) {
-        let reason = format!("an earlier pool has the name '{name}'");
-        faults.error(Code::DuplicateName, &pool.name, reason, "a unique name");
-    }
-}
-
 fn check_zones(pool: &PoolSection, known: &[String], faults: &mut Faults<'_>) {
     let Some(zones) = &pool.zones else { return };
     for zone in zones.value.iter().filter(|zone| !known.contains(zone)) {
--- a/crates/limits/src/check/routes.rs
+++ b/crates/limits/src/check/routes.rs
@@ -4,6 +4,7 @@
 use crate::codes::Code;
 use crate::fault::Faults;
 use crate::file::{LimitsFile, Located, RouteMatch, RouteOptions, RouteSection};
+use crate::names::{check_unique, report_unknown_class};
 use crate::path::PathPattern;
 use dunlincleat::api::Effect;
 use dunlincleat_settings::InstanceSettings;
@@ -16,10 +17,7 @@
     for (n, route) in file.routes.iter().enumerate() {
         let name = &route.name.value;
         let earlier = &file.routes[..n];
-        if !name.is_empty() && earlier.iter().any(|other| other.name.value == *name) {
-            let reason = format!("an earlier route has the name '{name}'");
-            faults.error(Code::DuplicateName, &route.name, reason, "a unique name");
-        }
+        check_unique("route", &route.name, earlier.iter().map(|other| &other.name), faults);
         let covering = earlier.iter().zip(&conditions).find(|(_, other)| other.cover(&conditions[n]));
         if let Some((other, _)) = covering {
             let reason =
@@ -136,9 +134,7 @@
 ) {
     classes.retain(|n| instance.classes[*n] == class.value);
     if classes.is_empty() {
-        let reason = format!("the settings have no class '{}'", class.value);
-        let allowed = format!("one of {}", instance.classes.join(", "));
-        faults.error(Code::UnknownClass, class, reason, allowed);
+        report_unknown_class(class, &class.value, instance, faults);
     }
 }
 
--- a/crates/limits/src/fleet.rs
+++ b/crates/limits/src/fleet.rs
@@ -4,6 +4,7 @@
 use crate::duration::format_duration;
 use crate::fault::Faults;
 use crate::file::{DutySection, FleetSection, LimitsFile, Located, VoterSection};
+use crate::names::{check_unique, report_unknown_class};
 use dunlincleat::api::{Effect, Span};
 use dunlincleat_settings::InstanceSettings;
 use std::net::SocketAddr;
@@ -191,10 +192,7 @@
     for (n, section) in sections.iter().enumerate() {
         let name = &section.name;
         check_name_length(name, faults);
-        if !name.value.is_empty() && sections[..n].iter().any(|other| other.name.value == name.value) {
-            let reason = format!("an earlier duty has the name '{}'", name.value);
-            faults.error(Code::DuplicateName, name, reason, "a unique name");
-        }
+        check_unique("duty", name, sections[..n].iter().map(|other| &other.name), faults);
         let call = call(section, lease, instance, faults);
         duties.push(Duty { name: name.value.clone(), call });
     }
@@ -269,9 +267,7 @@
 /// Validates the class of a call, which is the first segment of its path.
 fn check_class(path: &Located<String>, class: &str, instance: &InstanceSettings, faults: &mut Faults<'_>) {
     let Some(number) = instance.classes.iter().position(|name| name == class) else {
-        let reason = format!("the settings have no class '{class}'");
-        let allowed = format!("one of {}", instance.classes.join(", "));
-        faults.error(Code::UnknownClass, path, reason, allowed);
+        report_unknown_class(path, class, instance, faults);
         return;
     };
     if instance.settings.classes[number].effect == Effect::Safe {
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod file;
 pub mod fleet;
 pub mod gate;
+mod names;
 pub mod path;
 pub mod reader;
 pub mod routes;
