--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -31,7 +31,8 @@
     pub conn_idle: Option<Span>,
     /// The number of requests that the instance may have in progress, if limited.
     pub max_open: Option<u64>,
-    /// The grace period of a drain, if stated. Hosts derive the timers of the discovery watch from it.
+    /// The grace period of a drain, if stated. No new attempt is sent to a draining server, whatever is left of the
+    /// period; hosts derive the timers of the discovery watch from it.
     pub drain_grace: Option<Span>,
 }
 
