--- a/crates/limits/src/check/routes.rs
+++ b/crates/limits/src/check/routes.rs
@@ -11,7 +11,7 @@
 
 /// Reports duplicate names, and routes that an earlier route makes unreachable.
 pub(super) fn check_order(file: &LimitsFile, faults: &mut Faults<'_>) {
-    // Paths are parsed once, as each route is compared with all earlier ones.
+    // Paths are parsed once: a file may have a thousand routes, and each is compared with all earlier ones.
     let conditions: Vec<Conditions<'_>> =
         file.routes.iter().map(|route| Conditions::new(&route.conditions)).collect();
     for (n, route) in file.routes.iter().enumerate() {
