--- a/crates/engine/src/core.rs
+++ b/crates/engine/src/core.rs
@@ -5,14 +5,14 @@
 //! It makes no decisions of its own: the decision module chooses servers, retries and refusals, within what the
 //! operator's limits allow. Each pool of servers has its own decision module; without a limits file there is one pool.
 
-use crate::pools::{PoolId, Pools};
+use crate::pools::{PoolId, PoolMembers, Pools};
 use crate::server_table::ServerTable;
 use crate::shadow::{Shadow, ShadowCounts};
 use crate::timers::Timers;
 use dunlincleat::api::{
     Action, Attempt, Effect, Event, ListKind, RequestId, ServerId, Settings, Span, State, Status, Time, Token,
 };
-use dunlincleat_directory::Delivery;
+use dunlincleat_directory::{Delivery, Entry};
 use dunlincleat_limits::gate::Stand;
 use dunlincleat_limits::{Gate, Rule, RuleSet};
 use dunlincleat_settings::Site;
@@ -279,6 +279,16 @@
     key_window: Option<Span>,
 }
 
+impl<P> OpenRequest<P> {
+    /// Returns when the servers forget the key of the first attempt that may have run, if the request has a key and
+    /// such an attempt.
+    fn key_expiry(&self) -> Option<Time> {
+        let window = self.key_window?;
+        let ran = self.attempts.iter().find(|record| !record.status.is_some_and(Status::never_ran))?;
+        Some(ran.started + window)
+    }
+}
+
 /// An attempt that the engine started.
 #[derive(Clone, Copy, Debug)]
 struct AttemptRecord {
@@ -429,83 +439,19 @@
     fn process(&mut self, now: Time, input: Input<P, B>, outputs: &mut Vec<Output<P, B>>) {
         match input {
             Input::Request { id, info, received, payload } => {
-                self.counters.received += 1;
-                let RequestInfo { class, tenant, wait, hint, key, repeat, rule } = info;
-                let mut route_state = Stand::default();
-                let mut pool = PoolId::ALL;
-                let mut wait = wait;
-                if let Some(rule) = &rule {
-                    match self.gate.admit(now, rule) {
-                        Ok(admitted) => route_state = admitted,
-                        Err(_) => {
-                            // Nothing of it has run, and the decision module is never notified of it.
-                            (self.counters.refused, self.counters.limited) =
-                                (self.counters.refused + 1, self.counters.limited + 1);
-                            let answer = Answer::Refused { retry_after: None };
-                            return outputs.push(Output::Answer { id, answer });
-                        }
-                    }
-                    pool = self.pools.pool_for(now, rule, &self.servers);
-                    wait = rule.timeout.map_or(wait, |timeout| wait.min(timeout));
-                }
-                let left = Span(wait.0.saturating_sub((now - received).0));
-                let (answered, attempts) = (false, Vec::new());
-                let max_attempts = self.max_attempts;
-                let entry = OpenRequest {
-                    payload,
-                    wait,
-                    pool,
-                    rule,
-                    max_attempts,
-                    route_state,
-                    answered,
-                    attempts,
-                    in_flight: 0,
-                    streaming: None,
-                    key_window: self.key_windows.get(class as usize).copied().flatten(),
-                };
-                self.requests.insert(id, entry);
-                self.notify_module(
-                    now,
-                    pool,
-                    Event::Request { id, left, class, tenant, hint, key, repeat },
-                    outputs,
-                );
-            }
-            Input::ClientLeft(id) => {
-                if let Some(pool) = self.mark_answered(id) {
-                    self.counters.client_left += 1;
-                    // Without this, an attempt that waited for a connection was sent long after its client had left.
-                    self.push_for_unfinished(id, outputs, |id, attempt, server| Output::Withdraw {
-                        id,
-                        attempt,
-                        server,
-                    });
-                    self.notify_module(now, pool, Event::ClientLeft { id }, outputs);
-                }
-                self.remove_if_finished(id);
+                self.receive_request(now, id, info, received, payload, outputs);
             }
+            Input::ClientLeft(id) => self.client_left(now, id, outputs),
             Input::ResponseStarted { id, attempt, server, completion } => {
-                let Some(entry) = self.requests.get_mut(&id) else { return };
-                // For the decision module the attempt ends with the first bytes, because the rest of the stream says
-                // nothing about the service time of the server. In this table it stays in flight until its transport
-                // has finished, and its own answer does not cancel it.
-                entry.streaming = Some(attempt);
-                entry.in_flight += 1;
-                self.attempt_ended(now, id, attempt, server, completion, outputs);
+                self.response_started(now, id, attempt, server, completion, outputs);
             }
             Input::Upload { id, server, finished } => {
-                if let Some(pool) = self.requests.get(&id).map(|entry| entry.pool) {
+                if let Some(pool) = self.requests.get(&id).map(|request| request.pool) {
                     self.notify_module(now, pool, Event::Upload { id, server, finished }, outputs);
                 }
             }
             Input::AttemptEnded { id, attempt, server, completion } => {
-                self.servers.record_end(now, server, completion.status);
-                if let Some(entry) = self.requests.get_mut(&id).filter(|e| e.streaming == Some(attempt)) {
-                    entry.in_flight = entry.in_flight.saturating_sub(1);
-                    return self.remove_if_finished(id);
-                }
-                self.attempt_ended(now, id, attempt, server, completion, outputs);
+                self.transport_finished(now, id, attempt, server, completion, outputs);
             }
             Input::ProbeEnded { server, pool, completion } => {
                 self.servers.record_end(now, server, completion.status);
@@ -528,32 +474,101 @@
                     );
                 }
             }
-            Input::Settings { site, shadow } => {
-                self.max_attempts = site.settings.limits.max_attempts;
-                self.cancel_allowed = site.settings.limits.cancellation;
-                self.key_windows = key_windows(&site);
-                // An open request may still have the longer deadline of earlier settings.
-                self.id_retention = self.id_retention.max(longest_deadline(&site));
-                for pool in self.pools.set_settings(&site, self.id_retention) {
-                    self.notify_module(now, pool, Event::Settings { set: &site.settings }, outputs);
-                }
-                if let (Some(shadow), Some(settings)) = (&mut self.shadow, &shadow) {
-                    shadow.set_settings(now, settings);
-                }
-            }
-            Input::Rules(rules) => {
-                self.gate.keep(rules.rules().map(|rule| rule.name.as_str()));
-                for (pool, members) in self.pools.set_rules(now, &rules) {
-                    let entries = &members;
-                    self.notify_module(
-                        now,
-                        pool,
-                        Event::Members { kind: ListKind::Cached, entries },
-                        outputs,
-                    );
-                }
-            }
+            Input::Settings { site, shadow } => self.set_settings(now, &site, shadow.as_ref(), outputs),
+            Input::Rules(rules) => self.set_rules(now, &rules, outputs),
+        }
+    }
+
+    /// Admits a new request under the limits of its route and passes it to the decision module of its pool.
+    fn receive_request(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        info: RequestInfo,
+        received: Time,
+        payload: P,
+        outputs: &mut Vec<Output<P, B>>,
+    ) {
+        self.counters.received += 1;
+        let RequestInfo { class, tenant, mut wait, hint, key, repeat, rule } = info;
+        let mut route_state = Stand::default();
+        let mut pool = PoolId::ALL;
+        if let Some(rule) = &rule {
+            let Ok(admitted) = self.gate.admit(now, rule) else {
+                // Nothing of it has run, and the decision module is never notified of it.
+                self.counters.refused += 1;
+                self.counters.limited += 1;
+                outputs.push(Output::Answer { id, answer: Answer::Refused { retry_after: None } });
+                return;
+            };
+            route_state = admitted;
+            pool = self.pools.pool_for(now, rule, &self.servers);
+            wait = rule.timeout.map_or(wait, |timeout| wait.min(timeout));
+        }
+        let left = Span(wait.0.saturating_sub((now - received).0));
+        let request = OpenRequest {
+            payload,
+            wait,
+            pool,
+            rule,
+            max_attempts: self.max_attempts,
+            route_state,
+            answered: false,
+            attempts: Vec::new(),
+            in_flight: 0,
+            streaming: None,
+            key_window: self.key_windows.get(class as usize).copied().flatten(),
+        };
+        self.requests.insert(id, request);
+        self.notify_module(now, pool, Event::Request { id, left, class, tenant, hint, key, repeat }, outputs);
+    }
+
+    fn client_left(&mut self, now: Time, id: RequestId, outputs: &mut Vec<Output<P, B>>) {
+        if let Some(pool) = self.mark_answered(id) {
+            self.counters.client_left += 1;
+            // Without this, an attempt that waited for a connection was sent long after its client had left.
+            self.push_for_unfinished(id, outputs, |attempt, server| Output::Withdraw { id, attempt, server });
+            self.notify_module(now, pool, Event::ClientLeft { id }, outputs);
+        }
+        self.remove_if_finished(id);
+    }
+
+    fn response_started(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        attempt: Attempt,
+        server: ServerId,
+        completion: Completion<B>,
+        outputs: &mut Vec<Output<P, B>>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        // For the decision module the attempt ends with the first bytes, because the rest of the stream says nothing
+        // about the service time of the server. In this table it stays in flight until its transport has finished, and
+        // its own answer does not cancel it.
+        request.streaming = Some(attempt);
+        request.in_flight += 1;
+        self.attempt_ended(now, id, attempt, server, completion, outputs);
+    }
+
+    /// The transport reports the end of an attempt. For the decision module a streamed attempt has ended before.
+    fn transport_finished(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        attempt: Attempt,
+        server: ServerId,
+        completion: Completion<B>,
+        outputs: &mut Vec<Output<P, B>>,
+    ) {
+        self.servers.record_end(now, server, completion.status);
+        let streamed = self.requests.get_mut(&id).filter(|request| request.streaming == Some(attempt));
+        if let Some(request) = streamed {
+            request.in_flight = request.in_flight.saturating_sub(1);
+            self.remove_if_finished(id);
+            return;
         }
+        self.attempt_ended(now, id, attempt, server, completion, outputs);
     }
 
     fn attempt_ended(
@@ -566,33 +581,29 @@
         outputs: &mut Vec<Output<P, B>>,
     ) {
         let Completion { status, latency, load, body } = completion;
-        let (mut closed, mut again, mut pool) = (true, true, PoolId::ALL);
-        if let Some(entry) = self.requests.get_mut(&id) {
-            entry.in_flight = entry.in_flight.saturating_sub(1);
-            if let Some(record) = entry.attempts.get_mut(attempt.0 as usize) {
+        let mut request_closed = true;
+        let mut pool = PoolId::ALL;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.in_flight = request.in_flight.saturating_sub(1);
+            if let Some(record) = request.attempts.get_mut(attempt.0 as usize) {
                 record.status = Some(status);
             }
-            if let Some(rule) = entry.rule.as_ref().filter(|_| status == Status::Ok) {
+            if let Some(rule) = request.rule.as_ref().filter(|_| status == Status::Ok) {
                 self.gate.took(rule, latency);
             }
-            pool = entry.pool;
+            pool = request.pool;
             match (status, body) {
                 (Status::Ok, Some(body)) => self.answer(id, Answer::Served(body), outputs),
-                _ => closed = entry.answered,
+                _ => request_closed = request.answered,
             }
         }
-        if let Some(entry) = self.requests.get_mut(&id).filter(|e| !e.answered && e.in_flight == 0)
-            && let Some(rule) = &entry.rule
-        {
-            self.gate.waits_again(rule, &mut entry.route_state);
-            again = self.gate.repeat(now, rule, &mut entry.route_state, entry.attempts.len() as u32);
-        }
+        let retry_allowed = self.retry_allowed(now, id);
         let outcome = Event::AttemptFinished {
             id,
             attempt,
             status,
-            request_closed: closed,
-            retry_allowed: again,
+            request_closed,
+            retry_allowed,
             latency,
             server,
             load: &load,
@@ -601,53 +612,103 @@
         self.remove_if_finished(id);
     }
 
+    /// Whether the limits of its route allow another attempt of an open request without attempts in flight. True for
+    /// all other requests.
+    fn retry_allowed(&mut self, now: Time, id: RequestId) -> bool {
+        let open = self.requests.get_mut(&id).filter(|request| !request.answered && request.in_flight == 0);
+        let Some(request) = open else { return true };
+        let Some(rule) = &request.rule else { return true };
+        self.gate.waits_again(rule, &mut request.route_state);
+        self.gate.repeat(now, rule, &mut request.route_state, request.attempts.len() as u32)
+    }
+
     /// Removes a request from the table if it has been answered and no attempt is in flight.
     fn remove_if_finished(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|entry| entry.answered && entry.in_flight == 0) {
+        if self.requests.get(&id).is_some_and(|request| request.answered && request.in_flight == 0) {
             self.requests.remove(&id);
         }
     }
 
+    fn set_settings(
+        &mut self,
+        now: Time,
+        site: &Site,
+        shadow_settings: Option<&Settings>,
+        outputs: &mut Vec<Output<P, B>>,
+    ) {
+        self.max_attempts = site.settings.limits.max_attempts;
+        self.cancel_allowed = site.settings.limits.cancellation;
+        self.key_windows = key_windows(site);
+        // An open request may still have the longer deadline of earlier settings.
+        self.id_retention = self.id_retention.max(longest_deadline(site));
+        for pool in self.pools.set_settings(site, self.id_retention) {
+            self.notify_module(now, pool, Event::Settings { set: &site.settings }, outputs);
+        }
+        if let (Some(shadow), Some(settings)) = (&mut self.shadow, shadow_settings) {
+            shadow.set_settings(now, settings);
+        }
+    }
+
+    fn set_rules(&mut self, now: Time, rules: &RuleSet, outputs: &mut Vec<Output<P, B>>) {
+        self.gate.keep(rules.rules().map(|rule| rule.name.as_str()));
+        for PoolMembers { pool, members } in self.pools.set_rules(now, rules) {
+            let entries = &members;
+            self.notify_module(now, pool, Event::Members { kind: ListKind::Cached, entries }, outputs);
+        }
+    }
+
     fn update_servers(&mut self, now: Time, delivery: &Delivery, outputs: &mut Vec<Output<P, B>>) {
         let kind = delivery.kind;
         let released = self.servers.release_removed(now, self.id_retention);
         outputs.extend(released.into_iter().map(|server| Output::Close { server }));
-        let mut ids = Vec::with_capacity(delivery.entries.len());
-        for entry in &delivery.entries {
+        let ids = self.update_transports(now, &delivery.entries, outputs);
+        if kind == ListKind::Full {
+            self.remove_missing(now, &ids, outputs);
+        }
+        for PoolMembers { pool, members } in self.pools.update_servers(now, kind, &delivery.entries, &ids) {
+            self.notify_module(now, pool, Event::Members { kind, entries: &members }, outputs);
+        }
+    }
+
+    /// Opens or updates the transport of each listed server, and returns the ids of the servers in list order.
+    fn update_transports(
+        &mut self,
+        now: Time,
+        entries: &[Entry],
+        outputs: &mut Vec<Output<P, B>>,
+    ) -> Vec<ServerId> {
+        let mut ids = Vec::with_capacity(entries.len());
+        for entry in entries {
             let server = self.servers.id_or_assign(&entry.uid);
             let Some(record) = self.servers.get_mut(server) else { continue };
             let state = entry.state;
             record.removed_at = (state == State::Removed).then(|| record.removed_at.unwrap_or(now));
             let endpoint = entry.endpoint.map(|address| Endpoint { address, boot_ms: entry.boot_ms });
-            match endpoint {
-                endpoint if record.transport_open => {
-                    outputs.push(Output::UpdateServer { server, endpoint, state });
-                }
-                Some(endpoint) if state != State::Removed => {
-                    record.transport_open = true;
-                    outputs.push(Output::Open { server, endpoint });
-                    // It may be draining when it is first listed.
-                    outputs.push(Output::UpdateServer { server, endpoint: Some(endpoint), state });
-                }
-                Some(_) | None => {}
+            if record.transport_open {
+                outputs.push(Output::UpdateServer { server, endpoint, state });
+            } else if let Some(endpoint) = endpoint.filter(|_| state != State::Removed) {
+                record.transport_open = true;
+                outputs.push(Output::Open { server, endpoint });
+                // It may be draining when it is first listed.
+                outputs.push(Output::UpdateServer { server, endpoint: Some(endpoint), state });
             }
             ids.push(server);
         }
-        if kind == ListKind::Full {
-            // Servers that are missing from a whole list are gone, although no entry says so.
-            let listed: FxHashSet<ServerId> = ids.iter().copied().collect();
-            let missing = self.servers.assigned().map(|(server, _)| server).filter(|s| !listed.contains(s));
-            for server in missing.collect::<Vec<_>>() {
-                let Some(record) = self.servers.get_mut(server) else { continue };
-                record.removed_at = record.removed_at.or(Some(now));
-                if record.transport_open {
-                    outputs.push(Output::UpdateServer { server, endpoint: None, state: State::Removed });
-                }
+        ids
+    }
+
+    /// Marks the servers that are missing from a whole list as removed, although no entry says so.
+    fn remove_missing(&mut self, now: Time, ids: &[ServerId], outputs: &mut Vec<Output<P, B>>) {
+        let listed: FxHashSet<ServerId> = ids.iter().copied().collect();
+        let assigned = self.servers.assigned().map(|(server, _)| server);
+        let missing: Vec<ServerId> = assigned.filter(|server| !listed.contains(server)).collect();
+        for server in missing {
+            let Some(record) = self.servers.get_mut(server) else { continue };
+            record.removed_at = record.removed_at.or(Some(now));
+            if record.transport_open {
+                outputs.push(Output::UpdateServer { server, endpoint: None, state: State::Removed });
             }
         }
-        for (pool, members) in self.pools.update_servers(now, kind, &delivery.entries, &ids) {
-            self.notify_module(now, pool, Event::Members { kind, entries: &members }, outputs);
-        }
     }
 
     /// Passes an event to the decision module of a pool and carries out the resulting actions.
@@ -675,21 +736,14 @@
                 self.remove_if_finished(id);
             }
             Action::Cancel { id, attempt } => {
-                let entry = self.requests.get(&id);
-                if let Some(record) = entry.and_then(|e| e.attempts.get(attempt.0 as usize)) {
+                let request = self.requests.get(&id);
+                if let Some(record) = request.and_then(|request| request.attempts.get(attempt.0 as usize)) {
                     outputs.push(Output::Cancel { id, attempt, server: record.server });
                 }
             }
-            Action::Probe { server } => {
-                if self.servers.record_start(server) {
-                    outputs.push(Output::Probe { server, pool });
-                } else {
-                    let completion = Completion::without_response(Status::ConnectFailed);
-                    self.internal_inputs.push_back(Input::ProbeEnded { server, pool, completion });
-                }
-            }
+            Action::Probe { server } => self.start_probe(server, pool, outputs),
             Action::Timer { token, delay } => {
-                self.timers.set(now + delay, TimerKind::DecisionModule(pool, token))
+                self.timers.set(now + delay, TimerKind::DecisionModule(pool, token));
             }
             Action::WatchServers => outputs.push(Output::Watch),
             // Messages between instances have no protocol yet, and the settings do not allow the decision module to
@@ -699,15 +753,25 @@
         }
     }
 
+    fn start_probe(&mut self, server: ServerId, pool: PoolId, outputs: &mut Vec<Output<P, B>>) {
+        if self.servers.record_start(server) {
+            outputs.push(Output::Probe { server, pool });
+        } else {
+            let completion = Completion::without_response(Status::ConnectFailed);
+            self.internal_inputs.push_back(Input::ProbeEnded { server, pool, completion });
+        }
+    }
+
     /// Handles a due hedge. If the first attempt is still the only one, is in flight, and the retry budget of the rule
     /// allows one more, the decision module chooses whether and where to send the hedged request.
     fn hedge(&mut self, now: Time, id: RequestId, outputs: &mut Vec<Output<P, B>>) {
-        let Some(entry) = self.requests.get_mut(&id) else { return };
-        let Some(rule) = entry.rule.as_ref().filter(|_| !entry.answered && entry.in_flight == 1) else {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if request.answered || request.in_flight != 1 || request.attempts.len() != 1 {
             return;
-        };
-        if entry.attempts.len() == 1 && self.gate.repeat(now, rule, &mut entry.route_state, 1) {
-            let pool = entry.pool;
+        }
+        let Some(rule) = &request.rule else { return };
+        if self.gate.repeat(now, rule, &mut request.route_state, 1) {
+            let pool = request.pool;
             self.charged_hedge = Some(id);
             self.notify_module(now, pool, Event::HedgeDue { id }, outputs);
             self.charged_hedge = None;
@@ -722,49 +786,44 @@
         until: Option<Time>,
         outputs: &mut Vec<Output<P, B>>,
     ) {
-        let Some(entry) = self.requests.get_mut(&id) else { return };
-        let attempt = Attempt(entry.attempts.len() as u32);
-        // A repeat must start before the servers forget the key of the first attempt that may have run. Without this,
-        // a repeat that waited for a connection started after that.
-        let ran = entry.attempts.iter().find(|record| !record.status.is_some_and(Status::never_ran));
-        let key_expiry = entry.key_window.zip(ran).map(|(window, first)| first.started + window);
-        entry.attempts.push(AttemptRecord { server, started: now, status: None });
-        entry.in_flight += 1;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let attempt = Attempt(request.attempts.len() as u32);
+        let key_expiry = request.key_expiry();
+        request.attempts.push(AttemptRecord { server, started: now, status: None });
+        request.in_flight += 1;
         self.counters.attempts += 1;
-        let mut rejected = entry.answered || attempt.0 >= entry.max_attempts;
+        let mut rejected = request.answered || attempt.0 >= request.max_attempts;
         // A hedge that the decision module chose itself is sent only if the rule of its route allows one more attempt.
-        if let Some(rule) =
-            entry.rule.as_ref().filter(|_| entry.in_flight > 1 && self.charged_hedge != Some(id))
-        {
-            rejected |= !self.gate.repeat(now, rule, &mut entry.route_state, attempt.0);
+        let uncharged_hedge = request.in_flight > 1 && self.charged_hedge != Some(id);
+        if let Some(rule) = request.rule.as_ref().filter(|_| uncharged_hedge) {
+            rejected |= !self.gate.repeat(now, rule, &mut request.route_state, attempt.0);
         }
         // An attempt without its own time limit lasts until the client gives up, which ends it as a client that left.
-        let mut until = until.unwrap_or(now + entry.wait);
+        let mut until = until.unwrap_or(now + request.wait);
         let mut connect_timeout = None;
-        if let Some(rule) = &entry.rule {
-            self.gate.goes_out(rule, &mut entry.route_state);
+        if let Some(rule) = &request.rule {
+            self.gate.goes_out(rule, &mut request.route_state);
             until = rule.attempt_timeout.map_or(until, |timeout| until.min(now + timeout));
             connect_timeout = rule.connect_timeout;
-            if let Some(after) = self.gate.copy_after(rule).filter(|_| attempt.0 == 0) {
-                self.timers.set(now + after, TimerKind::Hedge(id));
+            if let Some(delay) = self.gate.copy_after(rule).filter(|_| attempt.0 == 0) {
+                self.timers.set(now + delay, TimerKind::Hedge(id));
             }
         }
+        // A repeat must start before the servers forget the key of the first attempt that may have run. Without this,
+        // a repeat that waited for a connection started after that.
         if let Some(key_expiry) = key_expiry {
             let left = key_expiry - now;
             connect_timeout = Some(connect_timeout.map_or(left, |timeout| timeout.min(left)));
         }
-        let payload = entry.payload.clone();
+        let payload = request.payload.clone();
         let transport_open = self.servers.record_start(server);
         if transport_open && !rejected {
-            return outputs.push(Output::Attempt { id, attempt, server, payload, until, connect_timeout });
+            outputs.push(Output::Attempt { id, attempt, server, payload, until, connect_timeout });
+            return;
         }
         let status = if rejected { Status::NotSent } else { Status::ConnectFailed };
-        self.internal_inputs.push_back(Input::AttemptEnded {
-            id,
-            attempt,
-            server,
-            completion: Completion::without_response(status),
-        });
+        let completion = Completion::without_response(status);
+        self.internal_inputs.push_back(Input::AttemptEnded { id, attempt, server, completion });
     }
 
     /// Gives a request its final answer, unless it already has one.
@@ -780,9 +839,12 @@
         outputs.push(Output::Answer { id, answer });
         // The response to the losing hedge or first attempt is not needed any more.
         let cancel = self.cancel_allowed;
-        self.push_for_unfinished(id, outputs, |id, attempt, server| match cancel {
-            true => Output::Cancel { id, attempt, server },
-            false => Output::Withdraw { id, attempt, server },
+        self.push_for_unfinished(id, outputs, |attempt, server| {
+            if cancel {
+                Output::Cancel { id, attempt, server }
+            } else {
+                Output::Withdraw { id, attempt, server }
+            }
         });
     }
 
@@ -791,21 +853,22 @@
         &self,
         id: RequestId,
         outputs: &mut Vec<Output<P, B>>,
-        output: impl Fn(RequestId, Attempt, ServerId) -> Output<P, B>,
+        output: impl Fn(Attempt, ServerId) -> Output<P, B>,
     ) {
-        let Some(entry) = self.requests.get(&id) else { return };
-        let unfinished = entry.attempts.iter().enumerate().filter(|(_, record)| record.status.is_none());
-        outputs.extend(unfinished.map(|(n, record)| output(id, Attempt(n as u32), record.server)));
+        let Some(request) = self.requests.get(&id) else { return };
+        let numbered = request.attempts.iter().enumerate();
+        let unfinished = numbered.filter(|(_, record)| record.status.is_none());
+        outputs.extend(unfinished.map(|(number, record)| output(Attempt(number as u32), record.server)));
     }
 
     /// Marks a request as answered. Its share of the route's limits is released here and nowhere else. Returns the
     /// pool of the request, or none if it was already answered.
     fn mark_answered(&mut self, id: RequestId) -> Option<PoolId> {
-        let entry = self.requests.get_mut(&id).filter(|entry| !entry.answered)?;
-        entry.answered = true;
-        if let Some(rule) = &entry.rule {
-            self.gate.over(rule, std::mem::take(&mut entry.route_state));
+        let request = self.requests.get_mut(&id).filter(|request| !request.answered)?;
+        request.answered = true;
+        if let Some(rule) = &request.rule {
+            self.gate.over(rule, std::mem::take(&mut request.route_state));
         }
-        Some(entry.pool)
+        Some(request.pool)
     }
 }
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -37,6 +37,28 @@
     model: String,
 }
 
+impl ListedServer {
+    /// Whether a pool with this rule has the server; the pool without a rule has all servers.
+    fn selected_by(&self, rule: Option<&PoolRule>) -> bool {
+        let Member { cell, weight, .. } = self.member;
+        rule.is_none_or(|rule| rule.selects(&self.zone, &self.model, cell, weight))
+    }
+}
+
+/// A changed entry of the list, and the server as it was listed before.
+struct MemberUpdate {
+    member: Member,
+    previous: Option<ListedServer>,
+}
+
+/// Members to report to the decision module of a pool.
+pub struct PoolMembers {
+    /// The pool.
+    pub pool: PoolId,
+    /// The members.
+    pub members: Vec<Member>,
+}
+
 /// All pools of one engine.
 pub struct Pools {
     settings: Settings,
@@ -45,12 +67,8 @@
     longest_deadline: Span,
     pools: BTreeMap<PoolId, Pool>,
     next_id: u32,
-    servers: BTreeMap<u32, ListedServer>,
-}
-
-fn selects(rule: Option<&PoolRule>, known: &ListedServer) -> bool {
-    let Member { cell, weight, .. } = known.member;
-    rule.is_none_or(|rule| rule.selects(&known.zone, &known.model, cell, weight))
+    /// Listed servers by id.
+    listed: BTreeMap<u32, ListedServer>,
 }
 
 impl Pools {
@@ -67,7 +85,7 @@
             longest_deadline,
             pools,
             next_id: 1,
-            servers: BTreeMap::new(),
+            listed: BTreeMap::new(),
         }
     }
 
@@ -100,10 +118,10 @@
         };
         let health = |name: &str| {
             let Some((_, pool)) = find(name) else { return (0, 0) };
-            let ready = self.servers.values().filter(|known| known.member.state == State::Ready);
-            let members = ready.filter(|known| selects(pool.rule.as_ref(), known));
-            members.fold((0, 0), |(total, healthy), known| {
-                let is_healthy = servers.get(known.member.server).is_some_and(|record| record.healthy(now));
+            let ready = self.listed.values().filter(|server| server.member.state == State::Ready);
+            let members = ready.filter(|server| server.selected_by(pool.rule.as_ref()));
+            members.fold((0, 0), |(total, healthy), server| {
+                let is_healthy = servers.get(server.member.server).is_some_and(|record| record.healthy(now));
                 (total + 1, healthy + usize::from(is_healthy))
             })
         };
@@ -118,15 +136,29 @@
         kind: ListKind,
         entries: &[Entry],
         ids: &[ServerId],
-    ) -> Vec<(PoolId, Vec<Member>)> {
+    ) -> Vec<PoolMembers> {
         let retention = Span(self.longest_deadline.0.saturating_add(MAX_SUBMIT_DELAY.0));
         self.pools.retain(|_, pool| pool.dropped_at.is_none_or(|dropped_at| now - dropped_at <= retention));
-        let mut updates = Vec::with_capacity(entries.len());
         if kind != ListKind::Changes {
-            self.servers.clear();
+            self.listed.clear();
         }
+        let updates = self.update_listed(entries, ids);
+        let pools = self.pools.iter();
+        let members_by_pool = pools
+            .map(|(id, pool)| PoolMembers {
+                pool: *id,
+                members: self.members_of(pool.rule.as_ref(), &updates),
+            })
+            .collect();
+        self.listed.retain(|_, server| server.member.state != State::Removed);
+        members_by_pool
+    }
+
+    /// Stores the listed entries, and returns each with the server as it was listed before.
+    fn update_listed(&mut self, entries: &[Entry], ids: &[ServerId]) -> Vec<MemberUpdate> {
+        let mut updates = Vec::with_capacity(entries.len());
         for (entry, server) in entries.iter().zip(ids) {
-            let zone = self.zones.iter().position(|z| *z == entry.zone);
+            let zone = self.zones.iter().position(|zone| *zone == entry.zone);
             let member = Member {
                 server: *server,
                 started_at: Time(entry.boot_ms.saturating_mul(1000)),
@@ -136,35 +168,37 @@
                 state: entry.state,
                 global_id: common_name(&entry.uid),
             };
-            let known = ListedServer { member, zone: entry.zone.clone(), model: entry.model.clone() };
-            updates.push((member, self.servers.insert(server.0, known)));
+            let listed = ListedServer { member, zone: entry.zone.clone(), model: entry.model.clone() };
+            let previous = self.listed.insert(server.0, listed);
+            updates.push(MemberUpdate { member, previous });
         }
-        let members_of = |rule: Option<&PoolRule>| -> Vec<Member> {
-            let members = updates.iter().filter_map(|(member, before)| {
-                let selected = self.servers.get(&member.server.0).is_some_and(|known| selects(rule, known));
-                let was_selected = before.as_ref().is_some_and(|known| selects(rule, known));
-                // A server that the pool no longer selects is removed from the pool. An entry of a server that is
-                // draining or gone may lack its zone and cell, so it goes to the pool of all servers in any case.
-                let state = if selected { member.state } else { State::Removed };
-                (selected || was_selected || member.state != State::Ready && rule.is_none())
-                    .then_some(Member { state, ..*member })
-            });
-            members.collect()
-        };
-        let members_by_pool =
-            self.pools.iter().map(|(id, pool)| (*id, members_of(pool.rule.as_ref()))).collect();
-        self.servers.retain(|_, known| known.member.state != State::Removed);
-        members_by_pool
+        updates
+    }
+
+    /// Returns the members to report to the decision module of the pool with this rule.
+    fn members_of(&self, rule: Option<&PoolRule>, updates: &[MemberUpdate]) -> Vec<Member> {
+        let members = updates.iter().filter_map(|MemberUpdate { member, previous }| {
+            let current = self.listed.get(&member.server.0);
+            let selected = current.is_some_and(|server| server.selected_by(rule));
+            let was_selected = previous.as_ref().is_some_and(|server| server.selected_by(rule));
+            // A server that the pool no longer selects is removed from the pool. An entry of a server that is draining
+            // or gone may lack its zone and cell, so it goes to the pool of all servers in any case.
+            let state = if selected { member.state } else { State::Removed };
+            let leaving = member.state != State::Ready && rule.is_none();
+            (selected || was_selected || leaving).then_some(Member { state, ..*member })
+        });
+        members.collect()
     }
 
     /// Applies new settings to pools created later; returns the existing pools, which must be notified.
     pub fn set_settings(&mut self, site: &Site, longest_deadline: Span) -> Vec<PoolId> {
-        (self.settings, self.longest_deadline) = (site.settings.clone(), longest_deadline);
+        self.settings = site.settings.clone();
+        self.longest_deadline = longest_deadline;
         self.ids()
     }
 
     /// Applies the pools of a new limits file; returns each new pool with its servers.
-    pub fn set_rules(&mut self, now: Time, rules: &RuleSet) -> Vec<(PoolId, Vec<Member>)> {
+    pub fn set_rules(&mut self, now: Time, rules: &RuleSet) -> Vec<PoolMembers> {
         for pool in self.pools.values_mut().filter(|pool| pool.rule.is_some()) {
             let kept = rules.pools().iter().any(|rule| pool.rule.as_ref() == Some(rule));
             pool.dropped_at = if kept { None } else { pool.dropped_at.or(Some(now)) };
@@ -180,8 +214,9 @@
             let seed = self.seed ^ u64::from(id.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let balancer = Balancer::new(self.settings.clone(), seed);
             self.pools.insert(id, Pool { rule: Some(rule.clone()), balancer, dropped_at: None });
-            let members = self.servers.values().filter(|known| selects(Some(rule), known));
-            new.push((id, members.map(|known| known.member).collect()));
+            let selected = self.listed.values().filter(|server| server.selected_by(Some(rule)));
+            let members = selected.map(|server| server.member).collect();
+            new.push(PoolMembers { pool: id, members });
         }
         new
     }
--- a/crates/engine/src/shadow.rs
+++ b/crates/engine/src/shadow.rs
@@ -36,6 +36,20 @@
     pub would_probe: u64,
 }
 
+/// A real attempt, by its index in [`ShadowRequest::own_attempts`].
+#[derive(Debug)]
+struct RealAttempt {
+    index: usize,
+    server: ServerId,
+}
+
+/// An attempt of the shadow module.
+#[derive(Debug)]
+struct OwnAttempt {
+    attempt: Attempt,
+    server: ServerId,
+}
+
 /// The real attempts of a request, and the attempts of the shadow module for it.
 #[derive(Debug, Default)]
 struct ShadowRequest {
@@ -43,10 +57,10 @@
     own_attempts: Vec<Option<Attempt>>,
     /// Number of attempts that the shadow module made.
     attempt_count: u32,
-    /// Real attempts that the shadow module has not made yet, by index, with their servers.
-    unmatched_real: VecDeque<(usize, ServerId)>,
+    /// Real attempts that the shadow module has not made yet.
+    unmatched_real: VecDeque<RealAttempt>,
     /// Attempts of the shadow module without a real counterpart so far.
-    unmatched_own: VecDeque<(Attempt, ServerId)>,
+    unmatched_own: VecDeque<OwnAttempt>,
     /// The shadow module refused or failed the request, perhaps while the real request still waited.
     rejected: bool,
 }
@@ -133,8 +147,8 @@
                 Action::Probe { server } => {
                     self.counts.would_probe += 1;
                     let (status, latency) = (Status::NotSent, Span(0));
-                    let unsent = Event::ProbeFinished { server, status, latency, load: &[] };
-                    self.balancer.on_event(now, unsent, actions);
+                    let not_sent = Event::ProbeFinished { server, status, latency, load: &[] };
+                    self.balancer.on_event(now, not_sent, actions);
                 }
                 Action::Send { id, server, .. } => self.own_attempt(id, server),
                 Action::Refuse { id, .. } | Action::Fail { id } => {
@@ -158,34 +172,21 @@
                 id,
                 attempt,
                 status,
-                request_closed: closed,
-                retry_allowed: again,
+                request_closed,
+                retry_allowed,
                 latency,
                 server,
                 load,
             } => {
-                let request = self.requests.get(&id);
-                let own_attempt = request
-                    .and_then(|request| request.own_attempts.get(attempt.0 as usize).copied().flatten());
-                let attempt = own_attempt.unwrap_or(Attempt(u32::MAX));
-                let load: Vec<f64> = if load.is_empty() {
-                    Vec::new()
-                } else {
-                    self.report_positions
-                        .iter()
-                        .map(|at| load.get(*at).copied().unwrap_or(f64::NAN))
-                        .collect()
-                };
-                let load = &load;
                 let outcome = Event::AttemptFinished {
                     id,
-                    attempt,
+                    attempt: self.own_number(id, attempt),
                     status,
-                    request_closed: closed,
-                    retry_allowed: again,
+                    request_closed,
+                    retry_allowed,
                     latency,
                     server,
-                    load,
+                    load: &self.own_report(load),
                 };
                 self.balancer.on_event(now, outcome, actions);
             }
@@ -210,6 +211,22 @@
         }
     }
 
+    /// Returns the shadow module's number of a real attempt, or an unused number if it made no such attempt.
+    fn own_number(&self, id: RequestId, attempt: Attempt) -> Attempt {
+        let own_attempts = self.requests.get(&id).map(|request| &request.own_attempts);
+        let own_attempt = own_attempts.and_then(|own| own.get(attempt.0 as usize).copied().flatten());
+        own_attempt.unwrap_or(Attempt(u32::MAX))
+    }
+
+    /// Converts a load report to the fields of the shadow settings; missing fields become NaN.
+    fn own_report(&self, load: &[f64]) -> Vec<f64> {
+        if load.is_empty() {
+            return Vec::new();
+        }
+        let positions = self.report_positions.iter();
+        positions.map(|position| load.get(*position).copied().unwrap_or(f64::NAN)).collect()
+    }
+
     /// The shadow module made an attempt.
     fn own_attempt(&mut self, id: RequestId, server: ServerId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -217,11 +234,11 @@
         request.attempt_count += 1;
         match request.unmatched_real.pop_front() {
             // The real attempt was sent while the shadow module waited.
-            Some((real, at)) => {
-                request.own_attempts[real] = Some(attempt);
-                self.balancer.follow(id, at);
+            Some(real) => {
+                request.own_attempts[real.index] = Some(attempt);
+                self.balancer.follow(id, real.server);
             }
-            None => request.unmatched_own.push_back((attempt, server)),
+            None => request.unmatched_own.push_back(OwnAttempt { attempt, server }),
         }
     }
 
@@ -229,29 +246,30 @@
     fn real_attempt(&mut self, now: Time, id: RequestId, server: ServerId, actions: &mut Vec<Action>) {
         let zone = |server: ServerId| self.zones.get(&server);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let real = request.own_attempts.len();
-        if let Some((attempt, chosen)) = request.unmatched_own.pop_front() {
-            request.own_attempts.push(Some(attempt));
-            if chosen == server {
+        let index = request.own_attempts.len();
+        if let Some(own) = request.unmatched_own.pop_front() {
+            request.own_attempts.push(Some(own.attempt));
+            if own.server == server {
                 self.counts.same_server += 1;
-            } else if zone(chosen) == zone(server) {
+            } else if zone(own.server) == zone(server) {
                 self.counts.other_server += 1;
             } else {
                 self.counts.other_zone += 1;
             }
             // The balancer follows the last attempt that it made, so hedged requests beside it are undone first.
-            while let Some((attempt, server)) = request.unmatched_own.pop_front() {
+            while let Some(hedge) = request.unmatched_own.pop_front() {
                 self.counts.would_hedge += 1;
-                self.balancer.on_event(now, never_sent(id, attempt, server, false), actions);
+                self.balancer.on_event(now, never_sent(id, &hedge, false), actions);
             }
-            return self.balancer.follow(id, server);
+            self.balancer.follow(id, server);
+            return;
         }
         request.own_attempts.push(None);
         if request.rejected {
             self.counts.would_refuse += 1;
         } else {
             self.counts.would_wait += 1;
-            request.unmatched_real.push_back((real, server));
+            request.unmatched_real.push_back(RealAttempt { index, server });
         }
     }
 
@@ -259,35 +277,34 @@
     fn request_rejected(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         self.counts.would_send += u64::from(!request.unmatched_own.is_empty());
-        for (attempt, server) in request.unmatched_own.drain(..) {
-            self.balancer.on_event(now, never_sent(id, attempt, server, true), actions);
+        for own in request.unmatched_own.drain(..) {
+            self.balancer.on_event(now, never_sent(id, &own, true), actions);
         }
         self.balancer.on_event(now, Event::ClientLeft { id }, actions);
     }
 
     /// Undoes and counts the hedged requests that the shadow module made beside a real attempt.
     fn undo_hedges(&mut self, now: Time, actions: &mut Vec<Action>) {
-        for (id, request) in self.requests.iter_mut().filter(|(_, request)| !request.own_attempts.is_empty())
-        {
-            while let Some((attempt, server)) = request.unmatched_own.pop_front() {
+        let sent = self.requests.iter_mut().filter(|(_, request)| !request.own_attempts.is_empty());
+        for (id, request) in sent {
+            while let Some(hedge) = request.unmatched_own.pop_front() {
                 self.counts.would_hedge += 1;
-                self.balancer.on_event(now, never_sent(*id, attempt, server, false), actions);
+                self.balancer.on_event(now, never_sent(*id, &hedge, false), actions);
             }
         }
     }
 }
 
 /// Outcome of an attempt that was never sent.
-fn never_sent(id: RequestId, attempt: Attempt, server: ServerId, closed: bool) -> Event<'static> {
-    let (status, latency) = (Status::NotSent, Span(0));
+fn never_sent(id: RequestId, own: &OwnAttempt, request_closed: bool) -> Event<'static> {
     Event::AttemptFinished {
         id,
-        attempt,
-        status,
-        request_closed: closed,
+        attempt: own.attempt,
+        status: Status::NotSent,
+        request_closed,
         retry_allowed: false,
-        latency,
-        server,
+        latency: Span(0),
+        server: own.server,
         load: &[],
     }
 }
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -5,7 +5,7 @@
 use crate::core::{Answer, Completion, Counters, Endpoint, Engine, Input, Output, RequestInfo};
 use crate::pools::PoolId;
 use crate::shadow::ShadowCounts;
-use dunlincleat::api::{Attempt, RequestId, ServerId, Settings, State, Status, Time};
+use dunlincleat::api::{Attempt, ListKind, RequestId, ServerId, Settings, State, Status, Time};
 use dunlincleat_directory::{Cause, Delivery, Health};
 use dunlincleat_limits::RuleSet;
 use dunlincleat_settings::Site;
@@ -71,11 +71,14 @@
     ListHealth(Health),
 }
 
-type Mail<P, B> = (Instant, Message<P, B>);
+struct Envelope<P, B> {
+    sent_at: Instant,
+    message: Message<P, B>,
+}
 
 /// Sender of the actor's mailbox. The mailbox needs no bound of its own: the fronts bound the number of open requests,
 /// each of which has at most a few attempts, and each server has at most one probe in flight.
-pub struct Handle<P, B>(mpsc::UnboundedSender<Mail<P, B>>);
+pub struct Handle<P, B>(mpsc::UnboundedSender<Envelope<P, B>>);
 
 impl<P, B> Clone for Handle<P, B> {
     fn clone(&self) -> Self {
@@ -84,7 +87,7 @@
 }
 
 /// Receiver of the actor's mailbox.
-pub struct Mailbox<P, B>(mpsc::UnboundedReceiver<Mail<P, B>>);
+pub struct Mailbox<P, B>(mpsc::UnboundedReceiver<Envelope<P, B>>);
 
 /// Creates a mailbox.
 #[must_use]
@@ -96,7 +99,7 @@
 impl<P, B> Handle<P, B> {
     fn send(&self, message: Message<P, B>) {
         // The actor lives as long as the process.
-        let _ = self.0.send((Instant::now(), message));
+        let _ = self.0.send(Envelope { sent_at: Instant::now(), message });
     }
 
     /// Submits a request that was received at `received`; its answer is sent to `reply`.
@@ -211,19 +214,16 @@
         directory: D,
         gauges: Gauges,
     ) -> Self {
-        let (replies, outputs) = (FxHashMap::default(), Vec::new());
-        let (longest_mailbox_wait, health, health_at_summary) =
-            (Duration::ZERO, Health::default(), Health::default());
         Actor {
             engine,
             clock,
             transports,
             directory,
-            replies,
-            outputs,
-            longest_mailbox_wait,
-            health,
-            health_at_summary,
+            replies: FxHashMap::default(),
+            outputs: Vec::new(),
+            longest_mailbox_wait: Duration::ZERO,
+            health: Health::default(),
+            health_at_summary: Health::default(),
             gauges,
         }
     }
@@ -242,8 +242,8 @@
                     self.engine.wake(self.clock.now(), &mut self.outputs);
                     self.carry_out();
                 }
-                mail = mailbox.0.recv() => match mail {
-                    Some((sent_at, message)) => {
+                envelope = mailbox.0.recv() => match envelope {
+                    Some(Envelope { sent_at, message }) => {
                         self.longest_mailbox_wait = self.longest_mailbox_wait.max(sent_at.elapsed());
                         self.handle(message);
                     }
@@ -279,7 +279,17 @@
     }
 
     fn process(&mut self, input: Input<T::Payload, T::Body>) {
-        match &input {
+        self.log_input(&input);
+        let listed = matches!(input, Input::ServerList(_));
+        self.engine.input(self.clock.now(), input, &mut self.outputs);
+        if listed {
+            self.gauges.metrics.known.set(self.engine.listed_servers());
+        }
+        self.carry_out();
+    }
+
+    fn log_input(&self, input: &Input<T::Payload, T::Body>) {
+        match input {
             Input::ResponseStarted { id, attempt, server, completion }
             | Input::AttemptEnded { id, attempt, server, completion } => {
                 tracing::debug!(
@@ -297,10 +307,10 @@
                 tracing::info!(
                     "list {} revision {}: {} up, {} draining, {} removed",
                     match delivery.kind {
-                        dunlincleat::api::ListKind::Cached => "as last held",
-                        dunlincleat::api::ListKind::Full => "in whole",
-                        dunlincleat::api::ListKind::Changes => "changes",
-                        dunlincleat::api::ListKind::Failed => "failed",
+                        ListKind::Cached => "as last held",
+                        ListKind::Full => "in whole",
+                        ListKind::Changes => "changes",
+                        ListKind::Failed => "failed",
                     },
                     delivery.rev,
                     count(State::Ready),
@@ -316,12 +326,6 @@
             | Input::Settings { .. }
             | Input::Rules(_) => {}
         }
-        let listed = matches!(input, Input::ServerList(_));
-        self.engine.input(self.clock.now(), input, &mut self.outputs);
-        if listed {
-            self.gauges.metrics.known.set(self.engine.listed_servers());
-        }
-        self.carry_out();
     }
 
     fn carry_out(&mut self) {
@@ -359,6 +363,12 @@
     }
 
     fn log_summary(&mut self) {
+        self.log_requests();
+        self.log_shadow();
+        self.log_list();
+    }
+
+    fn log_requests(&mut self) {
         let Counters { received, served, refused, limited, failed, client_left, attempts } =
             self.engine.take_counters();
         let longest_mailbox_wait = std::mem::take(&mut self.longest_mailbox_wait);
@@ -378,24 +388,34 @@
                 SUMMARY_INTERVAL.as_secs()
             );
         }
-        if let Some(counts) =
-            self.engine.take_shadow_counts().filter(|counts| *counts != ShadowCounts::default())
-        {
-            tracing::info!(
-                "watch: in {} s: {} alike, {} other server, {} other zone, {} would refuse, {} would send, {} would \
-                 wait, {} would copy, {} would probe",
-                SUMMARY_INTERVAL.as_secs(),
-                counts.same_server,
-                counts.other_server,
-                counts.other_zone,
-                counts.would_refuse,
-                counts.would_send,
-                counts.would_wait,
-                counts.would_hedge,
-                counts.would_probe
-            );
+    }
+
+    fn log_shadow(&mut self) {
+        let Some(counts) = self.engine.take_shadow_counts() else { return };
+        if counts == ShadowCounts::default() {
+            return;
+        }
+        tracing::info!(
+            "watch: in {} s: {} alike, {} other server, {} other zone, {} would refuse, {} would send, {} would \
+             wait, {} would copy, {} would probe",
+            SUMMARY_INTERVAL.as_secs(),
+            counts.same_server,
+            counts.other_server,
+            counts.other_zone,
+            counts.would_refuse,
+            counts.would_send,
+            counts.would_wait,
+            counts.would_hedge,
+            counts.would_probe
+        );
+    }
+
+    fn log_list(&mut self) {
+        let health = self.health;
+        let before = std::mem::replace(&mut self.health_at_summary, health);
+        if health.fresh_at == Time(0) {
+            return;
         }
-        let (health, before) = (self.health, std::mem::replace(&mut self.health_at_summary, self.health));
         // While discovery responds, its last message is at most one heartbeat interval old.
         let age = (self.clock.now() - health.fresh_at).0 / 1000;
         let ended = Cause::NAMES.iter().zip(health.ended.iter().zip(before.ended));
@@ -403,9 +423,6 @@
             .filter(|(_, (now, before))| **now > *before)
             .map(|(name, (now, before))| format!(", {name} {}", now - before))
             .collect();
-        if health.fresh_at == Time(0) {
-            return;
-        }
         tracing::info!(
             "list: revision {}, {} up, all told until {age} ms ago known, longest unheard {} ms; {} watches, {} \
              opened{ended}",
