--- a/crates/engine/tests/passing.rs
+++ b/crates/engine/tests/passing.rs
@@ -16,10 +16,17 @@
     dunlincleat_settings::read(&text).unwrap()
 }
 
+#[derive(Clone, Copy)]
+struct SentAttempt {
+    request: u64,
+    attempt: Attempt,
+    server: ServerId,
+}
+
 struct World {
     now: u64,
     engine: Engine<u64, u64>,
-    attempts: Vec<(u64, Attempt, ServerId)>,
+    attempts: Vec<SentAttempt>,
     answers: Vec<(u64, Answer<u64>)>,
     cancels: usize,
 }
@@ -27,8 +34,7 @@
 impl World {
     fn new() -> World {
         let engine = Engine::new(&site(3), 7, 100);
-        let (attempts, answers) = (Vec::new(), Vec::new());
-        let mut world = World { now: START, engine, attempts, answers, cancels: 0 };
+        let mut world = World { now: START, engine, attempts: Vec::new(), answers: Vec::new(), cancels: 0 };
         let entries = (1..=4).map(|n| Entry {
             uid: format!("s{n}"),
             endpoint: Some(([127, 0, 0, 1], n).into()),
@@ -50,7 +56,9 @@
         self.engine.input(Time(self.now), input, &mut outputs);
         for output in outputs {
             match output {
-                Output::Attempt { id, attempt, server, .. } => self.attempts.push((id.0, attempt, server)),
+                Output::Attempt { id, attempt, server, .. } => {
+                    self.attempts.push(SentAttempt { request: id.0, attempt, server });
+                }
                 Output::Answer { id, answer } => self.answers.push((id.0, answer)),
                 Output::Cancel { .. } => self.cancels += 1,
                 _ => {}
@@ -58,22 +66,20 @@
         }
     }
 
-    fn submit_request(&mut self, id: u64) -> (Attempt, ServerId) {
+    /// Submits a request and returns its first attempt.
+    fn submit_request(&mut self, id: u64) -> SentAttempt {
         let info = RequestInfo { wait: Span(740_000), ..RequestInfo::default() };
         let received = Time(self.now);
         self.input(Input::Request { id: RequestId(id), info, received, payload: id });
-        let (request, attempt, server) = *self.attempts.last().unwrap();
-        assert_eq!(request, id);
-        (attempt, server)
+        let sent = *self.attempts.last().unwrap();
+        assert_eq!(sent.request, id);
+        sent
     }
 
-    fn end_attempt(&mut self, id: u64, (attempt, server): (Attempt, ServerId), status: Status) {
-        self.input(Input::AttemptEnded {
-            id: RequestId(id),
-            attempt,
-            server,
-            completion: Completion::without_response(status),
-        });
+    fn end_attempt(&mut self, sent: SentAttempt, status: Status) {
+        let SentAttempt { request, attempt, server } = sent;
+        let completion = Completion::without_response(status);
+        self.input(Input::AttemptEnded { id: RequestId(request), attempt, server, completion });
     }
 }
 
@@ -84,7 +90,8 @@
     for end_status in [Status::Ok, Status::Reset, Status::Cancelled] {
         for client_left in [false, true] {
             let mut world = World::new();
-            let (attempt, server) = world.submit_request(1);
+            let sent = world.submit_request(1);
+            let SentAttempt { attempt, server, .. } = sent;
             let completion =
                 Completion { status: Status::Ok, latency: Span(900), load: Vec::new(), body: Some(1) };
             world.input(Input::ResponseStarted { id: RequestId(1), attempt, server, completion });
@@ -93,7 +100,7 @@
             if client_left {
                 world.input(Input::ClientLeft(RequestId(1)));
             }
-            world.end_attempt(1, (attempt, server), end_status);
+            world.end_attempt(sent, end_status);
             assert_eq!((world.answers.len(), world.attempts.len(), world.engine.open_requests()), (1, 1, 0));
             let counters = world.engine.take_counters();
             assert_eq!((counters.served, counters.client_left), (1, 0));
@@ -108,9 +115,9 @@
     let old_attempt = world.submit_request(1);
     world.input(Input::Settings { site: Arc::new(site(1)), shadow: None });
     let new_attempt = world.submit_request(2);
-    world.end_attempt(1, old_attempt, Status::Reset);
-    world.end_attempt(2, new_attempt, Status::Reset);
-    let attempts = |id| world.attempts.iter().filter(|(request, ..)| *request == id).count();
+    world.end_attempt(old_attempt, Status::Reset);
+    world.end_attempt(new_attempt, Status::Reset);
+    let attempts = |request| world.attempts.iter().filter(|sent| sent.request == request).count();
     assert_eq!((attempts(1), attempts(2)), (2, 1));
     assert_eq!(world.answers, [(2, Answer::Refused { retry_after: None })]);
 }
@@ -120,7 +127,7 @@
     let mut world = World::new();
     assert_eq!((world.engine.listed_servers(), world.engine.avoided(Time(world.now))), (4, 0));
     let attempt = world.submit_request(1);
-    world.end_attempt(1, attempt, Status::ConnectFailed);
+    world.end_attempt(attempt, Status::ConnectFailed);
     assert_eq!(world.engine.avoided(Time(world.now)), 1);
     assert_eq!(world.engine.avoided(Time(world.now + 60_000_000)), 0, "a question of the moment");
 }
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -50,6 +50,41 @@
     status: Status,
 }
 
+/// An attempt as the auditor saw it.
+struct AttemptRecord {
+    sent_at: u64,
+    /// Status at its end.
+    status: Option<Status>,
+}
+
+impl AttemptRecord {
+    /// The attempt may have run, or may still run.
+    fn may_have_run(&self) -> bool {
+        self.status.is_none_or(|status| !status.never_ran())
+    }
+}
+
+struct ProbeInFlight {
+    ends: u64,
+    server: ServerId,
+    pool: PoolId,
+}
+
+/// A server as last listed.
+struct ListedServer {
+    state: State,
+    booted_at: u64,
+}
+
+/// What a run showed.
+#[derive(Debug, PartialEq)]
+struct RunResult {
+    violations: Vec<String>,
+    served: usize,
+    requests: usize,
+    hedges: usize,
+}
+
 #[derive(Default)]
 struct RequestRecord {
     class: usize,
@@ -57,8 +92,7 @@
     rule: Option<Arc<Rule>>,
     answers: u32,
     gone: bool,
-    /// Server, time sent, and status at the end.
-    attempts: Vec<(ServerId, u64, Option<Status>)>,
+    attempts: Vec<AttemptRecord>,
 }
 
 struct World {
@@ -68,10 +102,10 @@
     rng: SmallRng,
     rules: Option<Arc<RuleSet>>,
     in_flight: Vec<InFlight>,
-    probes: Vec<(u64, ServerId, PoolId)>,
+    probes: Vec<ProbeInFlight>,
     requests: BTreeMap<u64, RequestRecord>,
-    /// State and boot time of each server, by name.
-    listed: BTreeMap<String, (State, u64)>,
+    /// Listed servers by name.
+    listed: BTreeMap<String, ListedServer>,
     open: BTreeMap<ServerId, bool>,
     leaving: BTreeSet<ServerId>,
     /// Attempts that the engine withdrew.
@@ -185,12 +219,10 @@
                     let request = &self.requests[&id.0];
                     let keyed =
                         matches!(self.site.settings.classes[request.class].effect, Effect::Keyed { .. });
-                    let may_have_run =
-                        request.attempts.iter().find(|(.., ended)| ended.is_none_or(|s| !s.never_ran()));
+                    let may_have_run = request.attempts.iter().find(|attempt| attempt.may_have_run());
                     let left = may_have_run
                         .filter(|_| keyed)
-                        .map(|(_, first, _)| *first)
-                        .map(|first| Span((first + 600 * MS).saturating_sub(self.now)));
+                        .map(|first| Span((first.sent_at + 600 * MS).saturating_sub(self.now)));
                     assert_eq!(connect_timeout, left);
                     self.check_attempt(id.0, attempt, server, until.0);
                 }
@@ -217,7 +249,7 @@
                 }
                 Output::Probe { server, pool } => {
                     let ends = self.now + self.rng.random_range(1..30) * MS;
-                    self.probes.push((ends, server, pool));
+                    self.probes.push(ProbeInFlight { ends, server, pool });
                 }
                 Output::Open { server, .. } => {
                     if self.open.insert(server, true) == Some(true) {
@@ -254,7 +286,7 @@
         if request.gone {
             violations.push("sent after its client left".to_owned());
         }
-        let others = request.attempts.iter().filter(|(.., ended)| ended.is_none()).count();
+        let others = request.attempts.iter().filter(|attempt| attempt.status.is_none()).count();
         if others > usize::from(site.settings.limits.hedging) {
             violations.push(format!("{} attempts at a time", others + 1));
         }
@@ -262,10 +294,10 @@
         if self.leaving.contains(&server) || !self.open.contains_key(&server) {
             violations.push("sent to a server that leaves".into());
         }
-        let may_have_run = request.attempts.iter().find(|(.., ended)| ended.is_none_or(|s| !s.never_ran()));
+        let may_have_run = request.attempts.iter().find(|attempt| attempt.may_have_run());
         match (site.settings.classes[request.class].effect, may_have_run) {
             (Effect::Unsafe, Some(_)) => violations.push("an effect twice".into()),
-            (Effect::Keyed { window, .. }, Some((_, first, _))) if now >= first + window.0 => {
+            (Effect::Keyed { window, .. }, Some(first)) if now >= first.sent_at + window.0 => {
                 violations.push("a repeat after its key is forgotten".into());
             }
             (Effect::Unsafe | Effect::Safe | Effect::Keyed { .. }, _) => {}
@@ -281,7 +313,7 @@
         if attempt_timeout.is_some_and(|timeout| until > now + timeout.0) {
             violations.push("an attempt over its time".into());
         }
-        request.attempts.push((server, now, None));
+        request.attempts.push(AttemptRecord { sent_at: now, status: None });
         let (takes, status) = match self.rng.random_range(0..20) {
             0 => (5, Status::Error),
             1 => (2, Status::Reset),
@@ -307,7 +339,7 @@
         if now > request.client_deadline {
             violations.push("answered after its client gave up");
         }
-        let may_have_run = request.attempts.iter().any(|(.., ended)| ended.is_none_or(|s| !s.never_ran()));
+        let may_have_run = request.attempts.iter().any(AttemptRecord::may_have_run);
         let effect = self.site.settings.classes[request.class].effect;
         if matches!(answer, Answer::Refused { .. }) && may_have_run && effect == Effect::Unsafe {
             violations.push("refused, though it may have run");
@@ -320,12 +352,12 @@
 
     fn send_list(&mut self, kind: ListKind, uids: &[String]) {
         let entries = uids.iter().map(|uid| {
-            let (state, boot) = self.listed[uid];
+            let ListedServer { state, booted_at } = self.listed[uid];
             let port = 1 + uid.len() as u16;
             let endpoint = (state != State::Removed).then(|| ([127, 0, 0, 1], port).into());
             let (zone, model) = (zone_of(uid).to_owned(), String::new());
             let (uid, weight) = (uid.clone(), 1.0);
-            Entry { uid, endpoint, zone, model, cell: 0, state, weight, boot_ms: boot / MS }
+            Entry { uid, endpoint, zone, model, cell: 0, state, weight, boot_ms: booted_at / MS }
         });
         let delivery = Delivery { kind, rev: 1, entries: entries.collect(), odd: Vec::new() };
         self.input(Input::ServerList(delivery));
@@ -380,8 +412,12 @@
     fn run_to(&mut self, end: u64) {
         loop {
             let due = self.engine.due().map_or(u64::MAX, |t| t.0);
-            let ends =
-                self.in_flight.iter().map(|flight| flight.ends).chain(self.probes.iter().map(|p| p.0)).min();
+            let ends = self
+                .in_flight
+                .iter()
+                .map(|flight| flight.ends)
+                .chain(self.probes.iter().map(|probe| probe.ends))
+                .min();
             let next = due.min(ends.unwrap_or(u64::MAX)).max(self.now);
             // A client leaves when it has waited long enough.
             let leaves = self
@@ -408,14 +444,15 @@
             if let Some(n) = self.in_flight.iter().position(|flight| flight.ends <= next) {
                 let InFlight { request: id, attempt, server, status, .. } = self.in_flight.remove(n);
                 let request = self.requests.get_mut(&id).unwrap();
-                request.attempts[attempt.0 as usize].2 = Some(status);
-                let latency = Span(next - request.attempts[attempt.0 as usize].1);
+                let record = &mut request.attempts[attempt.0 as usize];
+                record.status = Some(status);
+                let latency = Span(next - record.sent_at);
                 let body = (status == Status::Ok).then_some(id);
                 let completion = Completion { status, latency, load: vec![1.0], body };
                 self.input(Input::AttemptEnded { id: RequestId(id), attempt, server, completion });
             }
-            if let Some(n) = self.probes.iter().position(|p| p.0 <= next) {
-                let (_, server, pool) = self.probes.remove(n);
+            if let Some(n) = self.probes.iter().position(|probe| probe.ends <= next) {
+                let ProbeInFlight { server, pool, .. } = self.probes.remove(n);
                 let load = vec![f64::from(self.rng.random_range(0..4_u32))];
                 let completion = Completion { status: Status::Ok, latency: Span(MS), load, body: None };
                 self.input(Input::ProbeEnded { server, pool, completion });
@@ -429,18 +466,17 @@
             0 if !uids.is_empty() => {
                 let uid = uids[self.rng.random_range(0..uids.len())].clone();
                 let entry = self.listed.get_mut(&uid).unwrap();
-                entry.0 = match entry.0 {
+                entry.state = match entry.state {
                     State::Ready => State::Draining,
                     State::Draining | State::Removed => State::Removed,
                 };
                 self.send_list(ListKind::Changes, &[uid]);
-                let gone = |(_, (state, _)): &(&String, &(State, u64))| *state == State::Removed;
-                let gone: Vec<String> = self.listed.iter().filter(gone).map(|(uid, _)| uid.clone()).collect();
-                self.listed.retain(|uid, _| !gone.contains(uid));
+                self.listed.retain(|_, server| server.state != State::Removed);
             }
             1 | 2 if uids.len() < 8 => {
                 let uid = format!("s{}", "x".repeat(self.rng.random_range(1..400)));
-                self.listed.entry(uid.clone()).or_insert((State::Ready, self.now));
+                let new = ListedServer { state: State::Ready, booted_at: self.now };
+                self.listed.entry(uid.clone()).or_insert(new);
                 self.send_list(ListKind::Changes, &[uid]);
             }
             3 if !uids.is_empty() => self.send_list(ListKind::Full, &uids),
@@ -467,23 +503,24 @@
     }
 }
 
-fn run_seed(seed: u64) -> (Vec<String>, usize, usize, usize) {
+fn run_seed(seed: u64) -> RunResult {
     run(World::new(seed))
 }
 
-fn run(mut world: World) -> (Vec<String>, usize, usize, usize) {
+fn run(mut world: World) -> RunResult {
     run_scenario(&mut world);
     let served = world
         .requests
         .values()
-        .filter(|request| request.attempts.iter().any(|a| a.2 == Some(Status::Ok)))
+        .filter(|request| request.attempts.iter().any(|attempt| attempt.status == Some(Status::Ok)))
         .count();
-    (world.violations, served, world.requests.len(), world.hedges)
+    RunResult { violations: world.violations, served, requests: world.requests.len(), hedges: world.hedges }
 }
 
 fn run_scenario(world: &mut World) {
     for n in 0..5 {
-        world.listed.insert(format!("s{}", "x".repeat(n)), (State::Ready, 0));
+        let server = ListedServer { state: State::Ready, booted_at: 0 };
+        world.listed.insert(format!("s{}", "x".repeat(n)), server);
     }
     let uids: Vec<String> = world.listed.keys().cloned().collect();
     world.send_list(ListKind::Cached, &uids);
@@ -509,20 +546,24 @@
 
 #[test]
 fn random_runs_with_changing_limits_files_respect_safety_rules_and_limits() {
-    let (mut served, mut requests, mut hedged) = (0, 0, 0);
+    let mut served = 0;
+    let mut requests = 0;
+    let mut hedges = 0;
     for seed in 0..120 {
-        let (violations, run_served, run_requests, run_hedged) = run_seed(seed);
-        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
-        (served, requests, hedged) = (served + run_served, requests + run_requests, hedged + run_hedged);
+        let result = run_seed(seed);
+        assert!(result.violations.is_empty(), "seed {seed}: {:#?}", result.violations);
+        served += result.served;
+        requests += result.requests;
+        hedges += result.hedges;
     }
-    assert!(hedged > 100, "only {hedged} second copies went out");
+    assert!(hedges > 100, "only {hedges} second copies went out");
     assert!(served * 3 > requests, "only {served} of {requests} were served: the days show nothing");
 }
 
 #[test]
 fn auditor_detects_engine_without_limits() {
     let without_limits = |seed| World { hide_limits: true, ..World::new(seed) };
-    let violations: Vec<String> = (0..20).flat_map(|seed| run(without_limits(seed)).0).collect();
+    let violations: Vec<String> = (0..20).flat_map(|seed| run(without_limits(seed)).violations).collect();
     for what in ["over its cap", "an attempt over its time", "attempt 2 of 1"] {
         assert!(violations.iter().any(|violation| violation.contains(what)), "'{what}' is not found");
     }
@@ -556,7 +597,7 @@
 fn auditor_detects_engine_that_is_not_notified_of_departures() {
     let without_departures =
         |seed| World { clients_leave_often: true, hide_departures: true, ..World::new(seed) };
-    let violations: Vec<String> = (0..20).flat_map(|seed| run(without_departures(seed)).0).collect();
+    let violations: Vec<String> = (0..20).flat_map(|seed| run(without_departures(seed)).violations).collect();
     for what in ["sent after its client left", "goes on without its client"] {
         assert!(violations.iter().any(|violation| violation.contains(what)), "'{what}' is not found");
     }
--- a/crates/engine/tests/watch.rs
+++ b/crates/engine/tests/watch.rs
@@ -1,6 +1,6 @@
 //! Tests of the shadow decision module: it does not affect the active one, and counts differences by kind.
 
-use dunlincleat::api::{Attempt, RequestId, ServerId, Span, State, Status, Time};
+use dunlincleat::api::{Attempt, ListKind, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Delivery, Entry};
 use dunlincleat_engine::shadow::ShadowCounts;
 use dunlincleat_engine::{Completion, Engine, Input, Output, RequestInfo, Shadow};
@@ -31,24 +31,35 @@
     }
 }
 
-/// Runs requests under `settings`, with or without a shadow module. Returns all outputs as text, and its counts.
-fn run(shadow: Option<&Site>, settings: &Site) -> (Vec<String>, ShadowCounts) {
+struct InFlight {
+    /// Tick at which it ends.
+    ends: u64,
+    id: RequestId,
+    attempt: Attempt,
+    server: ServerId,
+}
+
+struct RunResult {
+    /// All outputs as text.
+    log: Vec<String>,
+    counts: ShadowCounts,
+}
+
+/// Runs requests under `settings`, with or without a shadow module.
+fn run(shadow: Option<&Site>, settings: &Site) -> RunResult {
     let mut engine: Engine<u64, u64> = Engine::new(settings, 7, 1_000);
     if let Some(shadow) = shadow {
         engine.set_shadow(Shadow::new(shadow.settings.clone(), &settings.settings.fields, 99));
     }
-    let (mut log, mut outputs, mut in_flight) =
-        (Vec::new(), Vec::new(), Vec::<(u64, RequestId, Attempt, ServerId)>::new());
+    let mut log = Vec::new();
+    let mut outputs = Vec::new();
+    let mut in_flight: Vec<InFlight> = Vec::new();
     for tick in 0..6_000_u64 {
         let now = Time(1_000_000_000 + tick * MS);
         if tick % 400 == 0 {
             // The list reports an ever higher load of server 0.
             let weight = |n: u32| if n == 0 { 1.0 / (1.0 + (tick / 400) as f64 * 4.0) } else { 1.0 };
-            let kind = if tick == 0 {
-                dunlincleat::api::ListKind::Full
-            } else {
-                dunlincleat::api::ListKind::Changes
-            };
+            let kind = if tick == 0 { ListKind::Full } else { ListKind::Changes };
             let entries = (0..8).map(|n| entry(n, weight(n))).collect();
             engine.input(
                 now,
@@ -73,9 +84,9 @@
                 &mut outputs,
             );
         }
-        let (due, later) = in_flight.into_iter().partition(|(at, ..)| *at <= tick);
+        let (due, later) = in_flight.into_iter().partition(|attempt| attempt.ends <= tick);
         in_flight = later;
-        for (_, id, attempt, server) in due {
+        for InFlight { id, attempt, server, .. } in due {
             let status = if id.0 % 11 == 0 { Status::Error } else { Status::Ok };
             let body = (status == Status::Ok).then_some(id.0);
             let completion = Completion { status, latency: Span(20 * MS), load: Vec::new(), body };
@@ -83,26 +94,25 @@
         }
         for output in outputs.drain(..) {
             if let Output::Attempt { id, attempt, server, .. } = &output {
-                in_flight.push((tick + 20 + id.0 % 30, *id, *attempt, *server));
+                let ends = tick + 20 + id.0 % 30;
+                in_flight.push(InFlight { ends, id: *id, attempt: *attempt, server: *server });
             }
             log.push(format!("{tick} {output:?}"));
         }
     }
-    (log, engine.take_shadow_counts().unwrap_or_default())
+    RunResult { log, counts: engine.take_shadow_counts().unwrap_or_default() }
 }
 
 /// The shadow module shares no random draws and no timers with the active module, so no output may differ.
 #[test]
 fn shadow_module_changes_no_output() {
     let (plain, other) = (site(""), site(r#""weight_source":"live","family_info":{"warm_keys":true},"#));
-    let (without_shadow, no_counts) = run(None, &plain);
-    let (with_shadow, counts) = run(Some(&other), &plain);
-    assert!(
-        without_shadow == with_shadow,
-        "first at {:?}",
-        without_shadow.iter().zip(&with_shadow).find(|(a, b)| a != b)
-    );
-    assert_eq!(no_counts, ShadowCounts::default());
+    let without_shadow = run(None, &plain);
+    let with_shadow = run(Some(&other), &plain);
+    let mut lines = without_shadow.log.iter().zip(&with_shadow.log);
+    assert!(without_shadow.log == with_shadow.log, "first at {:?}", lines.find(|(a, b)| a != b));
+    assert_eq!(without_shadow.counts, ShadowCounts::default());
+    let counts = with_shadow.counts;
     assert!(counts.same_server > 0 && counts.other_server + counts.other_zone > 100, "{counts:?}");
 }
 
@@ -111,7 +121,7 @@
 #[test]
 fn differences_are_counted_by_kind() {
     let plain = site("");
-    let counts = |extra: &str| run(Some(&site(extra)), &plain).1;
+    let counts = |extra: &str| run(Some(&site(extra)), &plain).counts;
     let same = counts("");
     assert_eq!((same.would_refuse, same.would_hedge, same.would_probe), (0, 0, 0), "{same:?}");
     let expensive_crossing = counts(r#""deductions":{"cross_zone":0.5},"#);
