--- a/crates/engine/benches/path.rs
+++ b/crates/engine/benches/path.rs
@@ -39,8 +39,8 @@
 
 impl RequestPath {
     fn new(servers: u16, limits: bool) -> RequestPath {
-        let site: Site = read(SETTINGS).expect("the settings are right");
-        let rules = check(LIMITS_FILE, &site).1.expect("the file is right");
+        let site: Site = read(SETTINGS).expect("valid settings");
+        let rules = check(LIMITS_FILE, &site).1.expect("valid limits file");
         let mut engine = Engine::new(&site, 7, 10_000);
         let entry = |n: u16| Entry {
             uid: format!("s{n}"),
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -374,8 +374,9 @@
         let longest_mailbox_wait = std::mem::take(&mut self.longest_mailbox_wait);
         if received + attempts > 0 {
             tracing::info!(
-                "in {} s: {received} taken, {served} served, {refused} refused, {failed} failed, {client_left} gone; \
-                 {attempts} attempts; {} in hand; {} connections to servers free; mailbox wait at most {} us",
+                "in {} s: {received} received, {served} served, {refused} refused, {failed} failed, {client_left} \
+                 left by their clients; {attempts} attempts; {} open; {} server connections free; longest mailbox \
+                 wait {} us",
                 SUMMARY_INTERVAL.as_secs(),
                 self.engine.open_requests(),
                 self.transports.free_connections(),
@@ -384,7 +385,7 @@
         }
         if limited > 0 {
             tracing::info!(
-                "in {} s: {limited} of the refused by limits of their routes",
+                "in {} s: {limited} of the refused requests exceeded limits of their routes",
                 SUMMARY_INTERVAL.as_secs()
             );
         }
@@ -396,8 +397,8 @@
             return;
         }
         tracing::info!(
-            "watch: in {} s: {} alike, {} other server, {} other zone, {} would refuse, {} would send, {} would \
-             wait, {} would copy, {} would probe",
+            "watch: in {} s: {} same server, {} other server, {} other zone, {} would refuse, {} would send, {} \
+             would wait, {} would hedge, {} would probe",
             SUMMARY_INTERVAL.as_secs(),
             counts.same_server,
             counts.other_server,
@@ -424,7 +425,7 @@
             .map(|(name, (now, before))| format!(", {name} {}", now - before))
             .collect();
         tracing::info!(
-            "list: revision {}, {} up, all told until {age} ms ago known, longest unheard {} ms; {} watches, {} \
+            "list: revision {}, {} up, up to date as of {age} ms ago, longest silence {} ms; {} watches, {} \
              opened{ended}",
             health.rev,
             health.ready,
--- a/crates/engine/tests/passing.rs
+++ b/crates/engine/tests/passing.rs
@@ -96,7 +96,11 @@
                 Completion { status: Status::Ok, latency: Span(900), load: Vec::new(), body: Some(1) };
             world.input(Input::ResponseStarted { id: RequestId(1), attempt, server, completion });
             assert_eq!(world.answers, [(1, Answer::Served(1))]);
-            assert_eq!((world.cancels, world.engine.open_requests()), (0, 1), "its transport is not done");
+            assert_eq!(
+                (world.cancels, world.engine.open_requests()),
+                (0, 1),
+                "its transport has not finished"
+            );
             if client_left {
                 world.input(Input::ClientLeft(RequestId(1)));
             }
@@ -129,5 +133,5 @@
     let attempt = world.submit_request(1);
     world.end_attempt(attempt, Status::ConnectFailed);
     assert_eq!(world.engine.avoided(Time(world.now)), 1);
-    assert_eq!(world.engine.avoided(Time(world.now + 60_000_000)), 0, "a question of the moment");
+    assert_eq!(world.engine.avoided(Time(world.now + 60_000_000)), 0, "the failure has expired");
 }
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -185,7 +185,7 @@
         }
         for attempt in in_flight {
             if !self.withdrawn.contains(&(id, attempt)) {
-                self.report(format!("request {id}: attempt {attempt} goes on without its client"));
+                self.report(format!("request {id}: attempt {attempt} continues without its client"));
             }
         }
     }
@@ -292,18 +292,18 @@
         }
         self.hedges += others;
         if self.leaving.contains(&server) || !self.open.contains_key(&server) {
-            violations.push("sent to a server that leaves".into());
+            violations.push("sent to a server that is draining or removed".into());
         }
         let may_have_run = request.attempts.iter().find(|attempt| attempt.may_have_run());
         match (site.settings.classes[request.class].effect, may_have_run) {
-            (Effect::Unsafe, Some(_)) => violations.push("an effect twice".into()),
+            (Effect::Unsafe, Some(_)) => violations.push("an unsafe request sent twice".into()),
             (Effect::Keyed { window, .. }, Some(first)) if now >= first.sent_at + window.0 => {
-                violations.push("a repeat after its key is forgotten".into());
+                violations.push("a retry after its key expired".into());
             }
             (Effect::Unsafe | Effect::Safe | Effect::Keyed { .. }, _) => {}
         }
         if until > request.client_deadline.max(now) {
-            violations.push("an attempt outlives its client".into());
+            violations.push("an attempt that may outlast its client".into());
         }
         let max_attempts = request.rule.as_ref().and_then(|r| r.attempts).unwrap_or(4).min(4) as usize;
         if request.attempts.len() >= max_attempts {
@@ -311,7 +311,7 @@
         }
         let attempt_timeout = request.rule.as_ref().and_then(|r| r.attempt_timeout);
         if attempt_timeout.is_some_and(|timeout| until > now + timeout.0) {
-            violations.push("an attempt over its time".into());
+            violations.push("an attempt above its timeout".into());
         }
         request.attempts.push(AttemptRecord { sent_at: now, status: None });
         let (takes, status) = match self.rng.random_range(0..20) {
@@ -536,11 +536,11 @@
     world.run_to(end);
     if world.engine.open_requests() > 0 {
         let open_requests = world.engine.open_requests();
-        world.report(format!("{open_requests} entries are never given back"));
+        world.report(format!("{open_requests} requests are never removed"));
     }
     let unanswered = world.requests.values().filter(|request| request.answers == 0 && !request.gone).count();
     if unanswered > 0 {
-        world.report(format!("{unanswered} requests wait for ever"));
+        world.report(format!("{unanswered} requests are never answered"));
     }
 }
 
@@ -556,16 +556,22 @@
         requests += result.requests;
         hedges += result.hedges;
     }
-    assert!(hedges > 100, "only {hedges} second copies went out");
-    assert!(served * 3 > requests, "only {served} of {requests} were served: the days show nothing");
+    assert!(hedges > 100, "only {hedges} hedged requests were sent");
+    assert!(
+        served * 3 > requests,
+        "only {served} of {requests} were served: too few for the runs to be meaningful"
+    );
 }
 
 #[test]
 fn auditor_detects_engine_without_limits() {
     let without_limits = |seed| World { hide_limits: true, ..World::new(seed) };
     let violations: Vec<String> = (0..20).flat_map(|seed| run(without_limits(seed)).violations).collect();
-    for what in ["over its cap", "an attempt over its time", "attempt 2 of 1"] {
-        assert!(violations.iter().any(|violation| violation.contains(what)), "'{what}' is not found");
+    for what in ["over its cap", "an attempt above its timeout", "attempt 2 of 1"] {
+        assert!(
+            violations.iter().any(|violation| violation.contains(what)),
+            "no violation '{what}' was reported"
+        );
     }
 }
 
@@ -598,7 +604,10 @@
     let without_departures =
         |seed| World { clients_leave_often: true, hide_departures: true, ..World::new(seed) };
     let violations: Vec<String> = (0..20).flat_map(|seed| run(without_departures(seed)).violations).collect();
-    for what in ["sent after its client left", "goes on without its client"] {
-        assert!(violations.iter().any(|violation| violation.contains(what)), "'{what}' is not found");
+    for what in ["sent after its client left", "continues without its client"] {
+        assert!(
+            violations.iter().any(|violation| violation.contains(what)),
+            "no violation '{what}' was reported"
+        );
     }
 }
--- a/crates/engine/tests/watch.rs
+++ b/crates/engine/tests/watch.rs
@@ -13,7 +13,7 @@
         r#"{{"balancers":2,"zones":["a","b"],"safety":{{}},"limits":{{"try_limit":3,"cancel":true}},{extra}
         "classes":[{{"name":"read","aim":200000,"deadline":600000,"gain":1,"semantics":"retryable"}}]}}"#
     );
-    read(&text).expect("settings of this test")
+    read(&text).expect("valid settings")
 }
 
 fn entry(n: u32, weight: f64) -> Entry {
