--- a/crates/engine/benches/path.rs
+++ b/crates/engine/benches/path.rs
@@ -80,7 +80,8 @@
     /// Runs one request, answered with a latency of 5 ms.
     fn decide(&mut self) {
         self.id += 1;
-        let (now, id) = (Time(self.now), RequestId(self.id));
+        let now = Time(self.now);
+        let id = RequestId(self.id);
         let info = RequestInfo { wait: Span(740_000), rule: self.rule.clone(), ..RequestInfo::default() };
         self.outputs.clear();
         self.engine.input(
@@ -131,7 +132,8 @@
         (0..3 * servers.max(200)).for_each(|_| path.request());
         group.bench_function(BenchmarkId::new("decision", servers), |b| {
             b.iter_custom(|iterations| {
-                let (mut elapsed, mut left) = (Duration::ZERO, iterations);
+                let mut elapsed = Duration::ZERO;
+                let mut left = iterations;
                 while left > 0 {
                     path.window_step();
                     let batch = left.min(REQUESTS_BETWEEN_STEPS);
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -91,10 +91,16 @@
     client_deadline: u64,
     rule: Option<Arc<Rule>>,
     answers: u32,
-    gone: bool,
+    client_left: bool,
     attempts: Vec<AttemptRecord>,
 }
 
+impl RequestRecord {
+    fn is_open(&self) -> bool {
+        self.answers == 0 && !self.client_left
+    }
+}
+
 struct World {
     now: u64,
     site: Site,
@@ -172,7 +178,7 @@
             .map(|flight| flight.attempt.0)
             .collect();
         let request = self.requests.get_mut(&id).unwrap();
-        request.gone = true;
+        request.client_left = true;
         let progress = match (request.attempts.len(), in_flight.len()) {
             (0, _) => "nothing",
             (1, _) => "its first attempt",
@@ -196,11 +202,13 @@
         if !self.clients_leave_often || !self.rng.random_bool(0.15) {
             return;
         }
-        let is_open = |s: &RequestRecord| s.answers == 0 && !s.gone;
-        let waiting: Vec<u64> = self.requests.iter().filter(|(_, s)| is_open(s)).map(|(id, _)| *id).collect();
+        let waiting: Vec<u64> =
+            self.requests.iter().filter(|(_, request)| request.is_open()).map(|(id, _)| *id).collect();
         let any = waiting.get(self.rng.random_range(0..waiting.len().max(1))).copied();
         let leaves = id.map_or(any, |id| waiting.contains(&id).then_some(id));
-        leaves.into_iter().for_each(|id| self.client_leaves(id));
+        if let Some(id) = leaves {
+            self.client_leaves(id);
+        }
     }
 
     fn wake(&mut self) {
@@ -209,6 +217,16 @@
         self.carry_out(outputs);
     }
 
+    /// Lets an attempt in flight end at the current time.
+    fn end_now(&mut self, request: u64, attempt: Attempt, status: Status) {
+        let mut in_flight = self.in_flight.iter_mut();
+        if let Some(flight) = in_flight.find(|flight| flight.request == request && flight.attempt == attempt)
+        {
+            flight.ends = self.now;
+            flight.status = status;
+        }
+    }
+
     fn carry_out(&mut self, outputs: Vec<Output<u64, u64>>) {
         for output in outputs {
             match output {
@@ -227,23 +245,13 @@
                     self.check_attempt(id.0, attempt, server, until.0);
                 }
                 Output::Cancel { id, attempt, .. } => {
-                    let flight = self
-                        .in_flight
-                        .iter_mut()
-                        .find(|flight| (flight.request, flight.attempt) == (id.0, attempt));
-                    flight
-                        .into_iter()
-                        .for_each(|flight| (flight.ends, flight.status) = (self.now, Status::Cancelled));
+                    self.end_now(id.0, attempt, Status::Cancelled);
                 }
                 // Half of the withdrawn attempts had not been written completely.
                 Output::Withdraw { id, attempt, .. } => {
                     let unwritten = self.rng.random_bool(0.5);
-                    let flight = self
-                        .in_flight
-                        .iter_mut()
-                        .find(|flight| (flight.request, flight.attempt) == (id.0, attempt));
-                    if let Some(flight) = flight.filter(|_| unwritten) {
-                        (flight.ends, flight.status) = (self.now, Status::NotSent);
+                    if unwritten {
+                        self.end_now(id.0, attempt, Status::NotSent);
                     }
                     self.withdrawn.insert((id.0, attempt.0));
                 }
@@ -277,13 +285,14 @@
     }
 
     fn check_attempt(&mut self, id: u64, attempt: Attempt, server: ServerId, until: u64) {
-        let (now, site) = (self.now, &self.site);
+        let now = self.now;
+        let site = &self.site;
         let mut violations = Vec::new();
         let request = self.requests.get_mut(&id).unwrap();
         if request.answers > 0 {
             violations.push("sent after its answer".to_owned());
         }
-        if request.gone {
+        if request.client_left {
             violations.push("sent after its client left".to_owned());
         }
         let others = request.attempts.iter().filter(|attempt| attempt.status.is_none()).count();
@@ -325,7 +334,9 @@
         let ends = now + takes * MS;
         let (ends, status) = if ends > until { (until, Status::Timeout) } else { (ends, status) };
         self.in_flight.push(InFlight { request: id, attempt, server, ends, status });
-        violations.into_iter().for_each(|violation| self.report(format!("request {id}: {violation}")));
+        for violation in violations {
+            self.report(format!("request {id}: {violation}"));
+        }
     }
 
     fn check_answer(&mut self, id: u64, answer: &Answer<u64>) {
@@ -333,7 +344,7 @@
         let request = self.requests.get_mut(&id).unwrap();
         request.answers += 1;
         let mut violations = Vec::new();
-        if request.answers > 1 || request.gone {
+        if request.answers > 1 || request.client_left {
             violations.push("answered twice, or after its client left");
         }
         if now > request.client_deadline {
@@ -347,7 +358,9 @@
         if matches!(answer, Answer::Served(body) if *body != id) {
             violations.push("another request's answer");
         }
-        violations.into_iter().for_each(|violation| self.report(format!("request {id}: {violation}")));
+        for violation in violations {
+            self.report(format!("request {id}: {violation}"));
+        }
     }
 
     fn send_list(&mut self, kind: ListKind, uids: &[String]) {
@@ -355,17 +368,25 @@
             let ListedServer { state, booted_at } = self.listed[uid];
             let port = 1 + uid.len() as u16;
             let endpoint = (state != State::Removed).then(|| ([127, 0, 0, 1], port).into());
-            let (zone, model) = (zone_of(uid).to_owned(), String::new());
-            let (uid, weight) = (uid.clone(), 1.0);
-            Entry { uid, endpoint, zone, model, cell: 0, state, weight, boot_ms: booted_at / MS }
+            Entry {
+                uid: uid.clone(),
+                endpoint,
+                zone: zone_of(uid).to_owned(),
+                model: String::new(),
+                cell: 0,
+                state,
+                weight: 1.0,
+                boot_ms: booted_at / MS,
+            }
         });
         let delivery = Delivery { kind, rev: 1, entries: entries.collect(), odd: Vec::new() };
         self.input(Input::ServerList(delivery));
     }
 
     fn submit_request(&mut self) {
-        let (id, class) = (self.next_id, self.rng.random_range(0..3_usize));
+        let id = self.next_id;
         self.next_id += 1;
+        let class = self.rng.random_range(0..3_usize);
         let path = format!("/{}", self.site.classes[class]);
         let method = if class == 0 { "GET" } else { "POST" };
         let none = |_: &str| None;
@@ -379,9 +400,9 @@
             ..RequestRecord::default()
         };
         self.requests.insert(id, request);
-        let (class, hint) = (class as u32, None);
         let rule = rule.filter(|_| !self.hide_limits);
-        let info = RequestInfo { class, tenant: 0, wait, hint, key: None, repeat: false, rule };
+        let class = class as u32;
+        let info = RequestInfo { class, tenant: 0, wait, hint: None, key: None, repeat: false, rule };
         self.input(Input::Request { id: RequestId(id), info, received: Time(self.now), payload: id });
         self.check_caps();
         self.may_leave(Some(id));
@@ -390,7 +411,7 @@
     /// Checks the number of open requests of each route, counted from answers alone, against its cap.
     fn check_caps(&mut self) {
         let mut hand: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
-        for request in self.requests.values().filter(|request| request.answers == 0 && !request.gone) {
+        for request in self.requests.values().filter(|request| request.is_open()) {
             let Some(rule) = &request.rule else { continue };
             let (count, most) = hand.entry(&rule.name).or_insert((0, u32::MAX));
             *count += 1;
@@ -406,7 +427,9 @@
             .filter(|(_, (count, most))| count > most)
             .map(|(name, c)| format!("{name}: {c:?}"))
             .collect();
-        over.into_iter().for_each(|over| self.report(format!("over its cap: {over}")));
+        for over in over {
+            self.report(format!("over its cap: {over}"));
+        }
     }
 
     fn run_to(&mut self, end: u64) {
@@ -423,7 +446,7 @@
             let leaves = self
                 .requests
                 .iter()
-                .filter(|(_, request)| request.answers == 0 && !request.gone)
+                .filter(|(_, request)| request.is_open())
                 .map(|(id, request)| (request.client_deadline, *id));
             let leaves = leaves.min().filter(|(at, _)| *at < next.min(end));
             if let Some((at, id)) = leaves {
@@ -439,8 +462,10 @@
             self.now = next;
             self.may_leave(None);
             self.wake();
-            let ends = self.in_flight.iter().find(|flight| flight.ends <= next).map(|flight| flight.request);
-            ends.into_iter().for_each(|id| self.may_leave(Some(id)));
+            let ending = self.in_flight.iter().find(|flight| flight.ends <= next);
+            if let Some(id) = ending.map(|flight| flight.request) {
+                self.may_leave(Some(id));
+            }
             if let Some(n) = self.in_flight.iter().position(|flight| flight.ends <= next) {
                 let InFlight { request: id, attempt, server, status, .. } = self.in_flight.remove(n);
                 let request = self.requests.get_mut(&id).unwrap();
@@ -489,11 +514,7 @@
                 }
             }
             5 => {
-                let open = self
-                    .requests
-                    .iter()
-                    .filter(|(_, request)| request.answers == 0 && !request.gone)
-                    .map(|(id, _)| *id);
+                let open = self.requests.iter().filter(|(_, request)| request.is_open()).map(|(id, _)| *id);
                 if let Some(id) = open.max() {
                     self.client_leaves(id);
                 }
@@ -538,7 +559,7 @@
         let open_requests = world.engine.open_requests();
         world.report(format!("{open_requests} requests are never removed"));
     }
-    let unanswered = world.requests.values().filter(|request| request.answers == 0 && !request.gone).count();
+    let unanswered = world.requests.values().filter(|request| request.is_open()).count();
     if unanswered > 0 {
         world.report(format!("{unanswered} requests are never answered"));
     }
@@ -588,10 +609,9 @@
         let mut world = World { clients_leave_often: true, ..World::new(seed) };
         run_scenario(&mut world);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        world
-            .departures
-            .into_iter()
-            .for_each(|(progress, count)| *left.entry(progress).or_default() += count);
+        for (progress, count) in world.departures {
+            *left.entry(progress).or_default() += count;
+        }
     }
     for progress in ["nothing", "its first attempt", "a further attempt", "two attempts at a time"] {
         let count = left.get(progress).copied().unwrap_or_default();
