--- a/crates/engine/src/core.rs
+++ b/crates/engine/src/core.rs
@@ -13,9 +13,9 @@
     Action, Attempt, Effect, Event, ListKind, RequestId, ServerId, Settings, Span, State, Status, Time, Token,
 };
 use dunlincleat_directory::{Delivery, Entry};
-use dunlincleat_limits::gate::Stand;
+use dunlincleat_limits::Admission;
 use dunlincleat_limits::{Gate, Rule, RuleSet};
-use dunlincleat_settings::Site;
+use dunlincleat_settings::InstanceSettings;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -491,7 +491,7 @@
     ) {
         self.counters.received += 1;
         let RequestInfo { class, tenant, mut wait, hint, key, repeat, rule } = info;
-        let mut route_state = Stand::default();
+        let mut route_state = Admission::default();
         let mut pool = PoolId::ALL;
         if let Some(rule) = &rule {
             let Ok(admitted) = self.gate.admit(now, rule) else {
@@ -589,7 +589,7 @@
                 record.status = Some(status);
             }
             if let Some(rule) = request.rule.as_ref().filter(|_| status == Status::Ok) {
-                self.gate.took(rule, latency);
+                self.gate.record_latency(rule, latency);
             }
             pool = request.pool;
             match (status, body) {
@@ -618,8 +618,8 @@
         let open = self.requests.get_mut(&id).filter(|request| !request.answered && request.in_flight == 0);
         let Some(request) = open else { return true };
         let Some(rule) = &request.rule else { return true };
-        self.gate.waits_again(rule, &mut request.route_state);
-        self.gate.repeat(now, rule, &mut request.route_state, request.attempts.len() as u32)
+        self.gate.mark_waiting(rule, &mut request.route_state);
+        self.gate.allow_retry(now, rule, &mut request.route_state, request.attempts.len() as u32)
     }
 
     /// Removes a request from the table if it has been answered and no attempt is in flight.
@@ -632,7 +632,7 @@
     fn set_settings(
         &mut self,
         now: Time,
-        site: &Site,
+        site: &InstanceSettings,
         shadow_settings: Option<&Settings>,
         outputs: &mut Vec<Output<P, B>>,
     ) {
@@ -650,7 +650,7 @@
     }
 
     fn set_rules(&mut self, now: Time, rules: &RuleSet, outputs: &mut Vec<Output<P, B>>) {
-        self.gate.keep(rules.rules().map(|rule| rule.name.as_str()));
+        self.gate.retain_routes(rules.rules().map(|rule| rule.name.as_str()));
         for PoolMembers { pool, members } in self.pools.set_rules(now, rules) {
             let entries = &members;
             self.notify_module(now, pool, Event::Members { kind: ListKind::Cached, entries }, outputs);
@@ -770,7 +770,7 @@
             return;
         }
         let Some(rule) = &request.rule else { return };
-        if self.gate.repeat(now, rule, &mut request.route_state, 1) {
+        if self.gate.allow_retry(now, rule, &mut request.route_state, 1) {
             let pool = request.pool;
             self.charged_hedge = Some(id);
             self.notify_module(now, pool, Event::HedgeDue { id }, outputs);
@@ -796,16 +796,16 @@
         // A hedge that the decision module chose itself is sent only if the rule of its route allows one more attempt.
         let uncharged_hedge = request.in_flight > 1 && self.charged_hedge != Some(id);
         if let Some(rule) = request.rule.as_ref().filter(|_| uncharged_hedge) {
-            rejected |= !self.gate.repeat(now, rule, &mut request.route_state, attempt.0);
+            rejected |= !self.gate.allow_retry(now, rule, &mut request.route_state, attempt.0);
         }
         // An attempt without its own time limit lasts until the client gives up, which ends it as a client that left.
         let mut until = until.unwrap_or(now + request.wait);
         let mut connect_timeout = None;
         if let Some(rule) = &request.rule {
-            self.gate.goes_out(rule, &mut request.route_state);
+            self.gate.mark_sent(rule, &mut request.route_state);
             until = rule.attempt_timeout.map_or(until, |timeout| until.min(now + timeout));
             connect_timeout = rule.connect_timeout;
-            if let Some(delay) = self.gate.copy_after(rule).filter(|_| attempt.0 == 0) {
+            if let Some(delay) = self.gate.hedge_delay(rule).filter(|_| attempt.0 == 0) {
                 self.timers.set(now + delay, TimerKind::Hedge(id));
             }
         }
@@ -867,7 +867,7 @@
         let request = self.requests.get_mut(&id).filter(|request| !request.answered)?;
         request.answered = true;
         if let Some(rule) = &request.rule {
-            self.gate.over(rule, std::mem::take(&mut request.route_state));
+            self.gate.release(rule, std::mem::take(&mut request.route_state));
         }
         Some(request.pool)
     }
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -116,12 +116,12 @@
             self.pools.iter().rev().find(|(_, pool)| has_name(pool))
         };
         let health = |name: &str| {
-            let Some((_, pool)) = find(name) else { return (0, 0) };
+            let Some((_, pool)) = find(name) else { return PoolHealth::default() };
             let ready = self.listed.values().filter(|server| server.member.state == State::Ready);
             let members = ready.filter(|server| server.selected_by(pool.rule.as_ref()));
-            members.fold((0, 0), |(total, healthy), server| {
+            members.fold(PoolHealth::default(), |health, server| {
                 let is_healthy = servers.get(server.member.server).is_some_and(|record| record.healthy(now));
-                (total + 1, healthy + usize::from(is_healthy))
+                PoolHealth { servers: health.servers + 1, healthy: health.healthy + usize::from(is_healthy) }
             })
         };
         rule.choose_pool(health).and_then(find).map_or(PoolId::ALL, |(id, _)| *id)
@@ -190,7 +190,7 @@
     }
 
     /// Applies new settings to pools created later; returns the existing pools, which must be notified.
-    pub fn set_settings(&mut self, site: &Site, longest_deadline: Span) -> Vec<PoolId> {
+    pub fn set_settings(&mut self, site: &InstanceSettings, longest_deadline: Span) -> Vec<PoolId> {
         self.settings = site.settings.clone();
         self.longest_deadline = longest_deadline;
         self.ids()
--- a/crates/engine/tests/watch.rs
+++ b/crates/engine/tests/watch.rs
@@ -46,7 +46,7 @@
 }
 
 /// Runs requests under `settings`, with or without a shadow module.
-fn run(shadow: Option<&Site>, settings: &Site) -> RunResult {
+fn run(shadow: Option<&InstanceSettings>, settings: &InstanceSettings) -> RunResult {
     let mut engine: Engine<u64, u64> = Engine::new(settings, 7, 1_000);
     if let Some(shadow) = shadow {
         engine.set_shadow(Shadow::new(shadow.settings.clone(), &settings.settings.fields, 99));
