--- a/crates/engine/benches/path.rs
+++ b/crates/engine/benches/path.rs
@@ -40,7 +40,7 @@
 impl RequestPath {
     fn new(servers: u16, limits: bool) -> RequestPath {
         let site: InstanceSettings = read(SETTINGS).expect("valid settings");
-        let rules = check(LIMITS_FILE, &site).1.expect("valid limits file");
+        let rules = check(LIMITS_FILE, &site).rules.expect("valid limits file");
         let mut engine = Engine::new(&site, 7, 10_000);
         let entry = |n: u16| Entry {
             uid: format!("s{n}"),
