--- a/src/numbers.rs
+++ b/src/statistics.rs
@@ -5,33 +5,33 @@
 use rand::rngs::SmallRng;
 
 /// A generator that the same seed has give the same draws.
-pub struct Draws(pub SmallRng);
+pub struct SeededRng(pub SmallRng);
 
-impl Draws {
+impl SeededRng {
     /// One by this seed.
-    pub fn new(seed: u64) -> Draws {
-        Draws(SmallRng::seed_from_u64(seed))
+    pub fn new(seed: u64) -> SeededRng {
+        SeededRng(SmallRng::seed_from_u64(seed))
     }
 }
 
-impl Default for Draws {
-    fn default() -> Draws {
-        Draws::new(0)
+impl Default for SeededRng {
+    fn default() -> SeededRng {
+        SeededRng::new(0)
     }
 }
 
 /// A running mean in which a new value has the given weight.
-pub fn smooth(old: Option<f64>, value: f64, weight: f64) -> f64 {
+pub fn ewma(old: Option<f64>, value: f64, weight: f64) -> f64 {
     old.map_or(value, |old| old + weight * (value - old))
 }
 
 /// How long one request of a class takes a server, by those it holds: a running geometric mean.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Turn {
+pub struct ServiceTime {
     /// The logarithm of the mean, in microseconds.
-    pub log: f64,
+    pub log_mean: f64,
     /// How many told it.
-    pub seen: u32,
+    pub samples: u32,
     /// When the last one came.
-    pub at: Time,
+    pub updated_at: Time,
 }
--- a/tests/pheromone.rs
+++ b/tests/pheromone.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use dunlincleat::api::*;
-use dunlincleat::rules::{bent, window_step};
+use dunlincleat::rules::{saturated, window_step};
 
 fn close(got: &[f64], want: &[f64]) {
     assert_eq!(got.len(), want.len());
@@ -58,8 +58,8 @@
 
 #[test]
 fn figures_are_divided_by_the_largest_and_zeros_stay_zeros() {
-    assert_eq!(bent(&[Some(0.0), None, Some(0.0)]), vec![Some(0.0), None, Some(0.0)]);
-    let x = bent(&[Some(0.0), Some(1.0), None, Some(2.0)]);
+    assert_eq!(saturated(&[Some(0.0), None, Some(0.0)]), vec![Some(0.0), None, Some(0.0)]);
+    let x = saturated(&[Some(0.0), Some(1.0), None, Some(2.0)]);
     assert_eq!(x[0], Some(0.0));
     assert_eq!(x[2], None);
     assert_eq!(x[3], Some(1.0));
