--- a/src/api.rs
+++ b/src/api.rs
@@ -66,7 +66,8 @@
 pub enum Effect {
     /// It may be repeated freely.
     Safe,
-    /// It carries a key; repeats are dropped within `group` for `window` from the first send that may have run.
+    /// It carries a key; repeats are dropped within `group` for `window` from the first send that may have
+    /// run.
     Keyed {
         /// The servers that know of each other's keys.
         group: Group,
@@ -212,8 +213,8 @@
     Live,
 }
 
-/// A part of the result in which what is served in time counts in full only while few requests miss their aim.
-/// A request refused within its aim is no miss.
+/// A part of the result in which what is served in time counts in full only while few requests miss their
+/// aim. A request refused within its aim is no miss.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tail {
     /// That part, from 0 to 1; 0 where there is none.
@@ -394,8 +395,8 @@
         /// The server's load report, empty where none came.
         load: &'a [f64],
     },
-    /// The body of an attempt that was just sent still comes, or comes no more. The first is followed by the second, at
-    /// the latest before the attempt's end.
+    /// The body of an attempt that was just sent still comes, or comes no more. The first is followed by the
+    /// second, at the latest before the attempt's end.
     Upload {
         /// Of which request: its time counts from its last byte.
         id: RequestId,
--- a/src/discovery_calls.rs
+++ b/src/discovery_calls.rs
@@ -1,61 +1,80 @@
-//! When discovery is called, where lists come only on request. It decides nothing about requests.
+//! Schedule of the calls to discovery, where lists of servers come only on request. It decides nothing about
+//! requests.
 
 use crate::api::{Action, Discovery, Settings, Span, Time, Token};
 use rand::Rng;
 
-/// The timer of a call.
+/// The timer of the next call.
 pub const DISCOVERY_TIMER: Token = Token(2);
-/// Bounds of waits where few call lists in vain (half the first, and the longest), and what a call may take.
-const RETRY_DELAY: (Span, Span) = (Span(200_000), Span(2_500_000));
+/// Half of the first retry delay, where few instances call.
+const RETRY_DELAY_BASE: Span = Span(200_000);
+/// Longest retry delay, where few instances call.
+const RETRY_DELAY_MAX: Span = Span(2_500_000);
+/// Time that one call may take discovery.
 const CALL_DURATION: Span = Span(50_000);
+/// Retry delays grow by at most two to this power.
+const MAX_RETRY_DOUBLINGS: u32 = 8;
 
-/// The calls of one instance. One is due at a time: each failure once left two timers behind, and calls doubled
-/// until they flooded the host.
+/// The calls of one instance. Only one is due at a time: each failure once left two timers behind, and calls
+/// doubled until they flooded the host.
 #[derive(Clone, Debug, Default)]
 pub struct DiscoveryCalls {
     subscribed: bool,
+    /// Calls that failed since the last list.
     failures: u32,
-    /// The next is not made before.
+    /// The next call is not made before this time.
     next_call: Time,
 }
 
 impl DiscoveryCalls {
-    /// The first call. Of a hundred that start at once nearly all were turned away: who knows a list takes its turn.
+    /// Schedules the first call: at once where no server is known, else spread over all instances. Of a
+    /// hundred that called at once nearly all were rejected.
     pub fn schedule_first(
         &mut self,
         now: Time,
-        knows: bool,
-        set: &Settings,
+        knows_servers: bool,
+        settings: &Settings,
         rng: &mut impl Rng,
         todo: &mut Vec<Action>,
     ) {
-        let delay = if knows { rng.random_range(0..=spread_period(set).0) } else { 0 };
+        let delay = if knows_servers { rng.random_range(0..=spread_period(settings).0) } else { 0 };
         self.schedule(now, Span(delay), todo);
     }
 
     /// A list came.
     pub fn list_received(&mut self) {
-        (self.failures, self.subscribed) = (0, true);
+        self.failures = 0;
+        self.subscribed = true;
     }
 
-    /// Subscribes to changes, and again where no reply came for long: an instance that neither asks nor is
-    /// subscribed counts as told after `ask_within`.
-    pub fn on_timer(&mut self, now: Time, set: &Settings, todo: &mut Vec<Action>) {
-        if set.discovery == Discovery::OnRequest && !self.subscribed && now >= self.next_call {
+    /// Subscribes to changes, and again where no reply came for long: an instance that neither calls nor is
+    /// subscribed counts as informed after `ask_within`.
+    pub fn on_timer(&mut self, now: Time, settings: &Settings, todo: &mut Vec<Action>) {
+        let on_request = settings.discovery == Discovery::OnRequest;
+        if on_request && !self.subscribed && now >= self.next_call {
             todo.push(Action::WatchServers);
-            self.schedule(now, Span(set.safety.ask_within.0 / 4).max(RETRY_DELAY.0), todo);
+            let reply_timeout = Span(settings.safety.ask_within.0 / 4).max(RETRY_DELAY_BASE);
+            self.schedule(now, reply_timeout, todo);
         }
     }
 
-    /// A call failed, or the subscription broke.
-    pub fn call_failed(&mut self, now: Time, set: &Settings, rng: &mut impl Rng, todo: &mut Vec<Action>) {
+    /// A call failed, or the subscription broke: schedules a retry with exponential backoff and jitter.
+    pub fn call_failed(
+        &mut self,
+        now: Time,
+        settings: &Settings,
+        rng: &mut impl Rng,
+        todo: &mut Vec<Action>,
+    ) {
         self.failures += 1;
         self.subscribed = false;
-        // A hundred that each asked every two seconds kept one another from ever being answered.
-        let (spread, within) = (spread_period(set).0, set.safety.ask_within.0);
-        let longest = RETRY_DELAY.1.0.min(within / 4).max(4 * spread);
-        let most = (RETRY_DELAY.0.0.max(spread / 5) << self.failures.min(8)).min(longest).max(8);
-        let delay = Span(rng.random_range(most / 8..=most));
+        // The delay grows with the number of instances: a hundred that each called every two seconds kept one
+        // another from ever being answered.
+        let spread = spread_period(settings).0;
+        let longest = RETRY_DELAY_MAX.0.min(settings.safety.ask_within.0 / 4).max(4 * spread);
+        let base = RETRY_DELAY_BASE.0.max(spread / 5);
+        let backoff = (base << self.failures.min(MAX_RETRY_DOUBLINGS)).min(longest).max(8);
+        let delay = Span(rng.random_range(backoff / 8..=backoff));
         self.schedule(now, delay, todo);
     }
 
@@ -65,8 +84,9 @@
     }
 }
 
-/// The time over which calls of all instances are spread, within that for which one may go without.
-fn spread_period(set: &Settings) -> Span {
-    let all = CALL_DURATION.0.saturating_mul(u64::from(set.instance_count));
-    Span(all.min(set.safety.ask_within.0 / 2))
+/// The time over which the calls of all instances are spread, within the time that an instance may go without
+/// a call.
+fn spread_period(settings: &Settings) -> Span {
+    let all_calls = CALL_DURATION.0.saturating_mul(u64::from(settings.instance_count));
+    Span(all_calls.min(settings.safety.ask_within.0 / 2))
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,11 @@
 //! Decision module of dunlincleat, a client-side load balancer that runs beside each calling process.
 //!
-//! [`rules`] holds every decision on requests and [`api`] the types it is spoken to with; `discovery_calls` says when discovery is
-//! called, `peer_reports` keeps what other instances told. The crate does no I/O and reads
-//! no clock: a host (the bench's adapter today, the service on sockets later) hands it events with their times
-//! and carries out the actions it returns.
+//! [`rules`] holds every decision about requests and servers, [`api`] the types of its interface. Helper
+//! modules decide when to call discovery (`discovery_calls`), keep what other instances reported
+//! (`peer_reports`), and compute figures (`key_popularity`, `statistics`).
+//!
+//! The crate does no I/O and reads no clock. A host hands it events with their times and carries out the
+//! actions that it returns: the service on sockets is one, the adapter to the bench another.
 
 #![forbid(unsafe_code)]
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -11,7 +11,7 @@
 use crate::api::*;
 use crate::discovery_calls::{DISCOVERY_TIMER, DiscoveryCalls};
 use crate::key_popularity::{KeyPopularity, mix64};
-use crate::peer_reports::{self, MAX_MESSAGE_BYTES, PeerReports};
+use crate::peer_reports::{self, ENTRY_BYTES, MAX_MESSAGE_BYTES, PeerReports};
 use crate::statistics::{SeededRng, ServiceTime, ewma};
 use rand::Rng;
 use rustc_hash::FxHashMap;
@@ -659,7 +659,7 @@
     }
 
     /// Records the end of an attempt, or of a probe where `latency` is none. Served attempts and answered
-    /// probes refresh the figures of the server.
+    /// probes refresh the figures of the server; without them its pheromone only evaporates.
     fn record_answer(
         &mut self,
         now: Time,
@@ -942,7 +942,7 @@
         };
         let full_report_due = self.last_full_report.is_none_or(|at| now - at >= FULL_REPORT_INTERVAL);
         if full_report_due && !self.subset.is_empty() {
-            let data = self.subset.iter().take(MAX_MESSAGE_BYTES / 4).flat_map(entry).collect();
+            let data = self.subset.iter().take(MAX_MESSAGE_BYTES / ENTRY_BYTES).flat_map(entry).collect();
             todo.push(Action::SendToPeers { peer: None, data });
             self.last_full_report = Some(now);
         }
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,14 +1,14 @@
-//! Numbers: the source of random draws, and running means.
+//! The source of random draws, and running means.
 
 use crate::api::Time;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// A generator that the same seed has give the same draws.
+/// A random generator: the same seed gives the same draws.
 pub struct SeededRng(pub SmallRng);
 
 impl SeededRng {
-    /// One by this seed.
+    /// A generator with this seed.
     pub fn new(seed: u64) -> SeededRng {
         SeededRng(SmallRng::seed_from_u64(seed))
     }
@@ -20,18 +20,20 @@
     }
 }
 
-/// A running mean in which a new value has the given weight.
+/// Exponentially weighted moving average: `weight` is that of the new value. The first value is taken as it
+/// is.
 pub fn ewma(old: Option<f64>, value: f64, weight: f64) -> f64 {
     old.map_or(value, |old| old + weight * (value - old))
 }
 
-/// How long one request of a class takes a server, by those it holds: a running geometric mean.
+/// Service time of one class: how long one of its requests occupies a server, by the requests that the server
+/// has. A running geometric mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceTime {
-    /// The logarithm of the mean, in microseconds.
+    /// Logarithm of the mean in microseconds.
     pub log_mean: f64,
-    /// How many told it.
+    /// Number of samples.
     pub samples: u32,
-    /// When the last one came.
+    /// When the last sample came.
     pub updated_at: Time,
 }
