--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,5 @@
-//! The interface of the decision module: settings, events and actions. No wire words, no decisions.
+//! The interface of the decision module: settings, events and actions. It holds no wire formats and no
+//! decisions.
 
 use std::ops::{Add, Sub};
 
@@ -6,17 +7,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
 impl Span {
-    /// The span as a floating-point number of microseconds.
+    /// The duration as a floating-point number of microseconds.
     pub fn as_f64(self) -> f64 {
         self.0 as f64
     }
 
-    /// This span times a factor, never negative.
+    /// This duration times a factor, never negative.
     pub fn times(self, factor: f64) -> Span {
         Span((self.as_f64() * factor).max(0.0) as u64)
     }
@@ -38,18 +39,18 @@
 
 impl Sub for Time {
     type Output = Span;
-    /// The time since `earlier`, or nothing where `earlier` is the later of the two.
+    /// The time since `earlier`, zero where `earlier` is the later of the two.
     fn sub(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// A server, numbered by the host for one instance. The number of one that is gone may be given to another,
-/// with another common name, once nothing is out there and no request remembers it.
+/// A server, numbered by the host for one instance. The number of a removed server may be given to another
+/// one, with another global id, once no attempt is outstanding there and no request refers to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// A client's request.
+/// A request of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestId(pub u64);
 
@@ -57,7 +58,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt(pub u32);
 
-/// What an instance set a timer for; given back when it is due.
+/// Identifies a timer that an instance set; it comes back when the timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token(pub u64);
 
@@ -66,12 +67,12 @@
 pub enum Effect {
     /// It may be repeated freely.
     Safe,
-    /// It carries a key; repeats are dropped within `group` for `window` from the first send that may have
+    /// It carries a key: repeats are dropped within `group` for `window` from the first send that may have
     /// run.
     Keyed {
-        /// The servers that know of each other's keys.
+        /// The servers that share the keys that they saw.
         group: Group,
-        /// How long they remember.
+        /// How long they remember a key.
         window: Span,
     },
     /// It must never run twice.
@@ -81,7 +82,7 @@
 /// Which servers drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// Every server.
+    /// All servers.
     All,
     /// Those in one zone.
     Zone,
@@ -92,52 +93,52 @@
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time has its full worth.
+    /// The latency target: an answer within this time has its full worth.
     pub aim: Span,
-    /// How long a client waits in all, over its tries.
+    /// How long a client waits in all, over its own retries.
     pub deadline: Span,
     /// The worth of one request.
     pub worth: f64,
-    /// The part of the worth left after the aim.
+    /// The part of the worth that is left after the aim.
     pub late_worth: f64,
-    /// Whether it may run again.
+    /// Whether a request may run more than once.
     pub effect: Effect,
-    /// The answer comes as a stream.
+    /// The response is streamed.
     pub stream: bool,
-    /// It was dropped or replaced: requests taken under it keep it, no new one comes.
+    /// It was dropped or replaced: requests that arrived under it keep it, no new one comes.
     pub retired: bool,
 }
 
 /// One tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its part of the service.
+    /// Its share of the service.
     pub share: f64,
-    /// Requests a second, over all instances, that count as within its share.
+    /// Requests per second, over all instances, that count as within its share.
     pub quota_per_s: f64,
 }
 
 /// One figure of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// Requests in hand.
+    /// Requests in flight at the server.
     Inflight,
-    /// Requests waiting.
+    /// Requests queued at the server.
     Queue,
-    /// The part of the processors that is busy.
+    /// Utilisation of the processors, from 0 to 1.
     Util,
-    /// A figure that the rules do not use.
+    /// A figure that the decision module does not use.
     Other,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reports {
-    /// In every answer and in probe answers.
+    /// Every answer and every probe answer.
     InAnswers,
-    /// In probe answers alone.
+    /// Probe answers alone.
     InProbes,
-    /// Nowhere.
+    /// There are none.
     #[default]
     Off,
 }
@@ -145,55 +146,55 @@
 /// How an instance learns of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive unasked.
+    /// Changes are pushed without a request.
     #[default]
     Pushed,
-    /// Changes arrive only on request.
+    /// Changes come only on request.
     OnRequest,
 }
 
-/// What the surroundings allow.
+/// What the environment allows.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// Attempts a request may have.
+    /// Most attempts of a request.
     pub max_attempts: u32,
-    /// Two attempts of a request may be out at a time.
+    /// Two attempts of a request may be outstanding at a time.
     pub hedging: bool,
-    /// Clients take advice when to come back, at most this far off.
+    /// Clients follow advice when to retry, at most this far off.
     pub retry_after: Option<Span>,
     /// Probes may be sent.
     pub probes: bool,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub cancellation: bool,
     /// Messages to other instances are allowed.
     pub peer_messages: bool,
-    /// How long a connection may take.
+    /// How long opening a connection may take.
     pub connect_timeout: Span,
-    /// How long a connection is kept on which nothing is sent.
+    /// How long an idle connection is kept open.
     pub conn_idle: Span,
 }
 
-/// What is paid for, in parts of the result.
+/// What is charged, in parts of the result.
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
-    /// Attempts that cross zones, for each first try.
+    /// Attempts that cross zones, per first attempt.
     pub cross_zone: f64,
-    /// Probes, for each first try.
+    /// Probes, per first attempt.
     pub probe: f64,
     /// Work that served no answer, as a part of the work offered.
     pub waste: f64,
-    /// Bytes to other instances, for 256 a first try.
+    /// Messages to other instances, per first attempt and 256 bytes.
     pub peer: f64,
-    /// Open connections, for a hundred at each server.
+    /// Open connections, per hundred at each server.
     pub connection: f64,
-    /// Connections opened, for each first try.
+    /// Connections opened, per first attempt.
     pub handshake: f64,
 }
 
-/// The figures of the rules that no run may break.
+/// The figures of the safety rules, which no run may break.
 #[derive(Clone, Debug, Default)]
 pub struct Safety {
-    /// Where lists come on request: an instance that has not asked for this long counts as told.
+    /// Where lists come on request: an instance that has not asked for this long counts as informed.
     pub ask_within: Span,
     /// A server that starts has at least this part of its capacity,
     pub cold_from: f64,
@@ -201,7 +202,7 @@
     pub cold: Span,
 }
 
-/// What the weight of a listed server tells.
+/// What the weight of a listed server means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Weights {
     /// Nothing.
@@ -209,28 +210,29 @@
     Off,
     /// Its size, or roughly that.
     Size,
-    /// Its size over one more than the requests that it held for each processor, at some moment before.
+    /// Its size over one more than its outstanding requests per processor, at some moment before.
     Live,
 }
 
-/// A part of the result in which what is served in time counts in full only while few requests miss their
+/// A share of the result in which requests served in time count in full only while few requests miss their
 /// aim. A request refused within its aim is no miss.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tail {
-    /// That part, from 0 to 1; 0 where there is none.
+    /// That share, from 0 to 1; 0 where there is none.
     pub share: f64,
-    /// The part of the requests that may miss, from 0 to 1; at five times that nothing counts any more.
+    /// The share of the requests that may miss their aim, from 0 to 1; at five times that nothing counts any
+    /// more.
     pub allowed_misses: f64,
 }
 
-/// What an instance is told at its start.
+/// What an instance is given at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// How many instances there are.
+    /// Number of instances.
     pub instance_count: u32,
-    /// The number of this one among them.
+    /// The number of this instance among them.
     pub instance_index: u32,
-    /// The zone of this one.
+    /// The zone of this instance.
     pub zone: u32,
     /// The classes, by number.
     pub classes: Vec<Class>,
@@ -242,19 +244,19 @@
     pub discovery: Discovery,
     /// Where load reports come from.
     pub reports: Reports,
-    /// What stands in a load report, in order.
+    /// The figures of a load report, in order.
     pub fields: Vec<Field>,
-    /// Allowances.
+    /// What the environment allows.
     pub limits: Limits,
-    /// Prices.
+    /// What is charged.
     pub prices: Prices,
-    /// The figures of the rules.
+    /// The figures of the safety rules.
     pub safety: Safety,
-    /// What the weights of servers tell.
+    /// What the weights of servers mean.
     pub weights: Weights,
-    /// A server does less work for a key that it met lately.
+    /// A server does less work for a key that it served lately.
     pub key_affinity: bool,
-    /// How the part of the result that bears few misses is counted.
+    /// How the share of the result that allows few misses is counted.
     pub tail: Tail,
     /// The least time between two rounds of events.
     pub tick: Span,
@@ -265,9 +267,9 @@
 pub enum State {
     /// It serves.
     Ready,
-    /// It ends what it has; nothing new may be sent.
+    /// It completes what it has; nothing new may be sent.
     Draining,
-    /// It was taken away.
+    /// It was removed from the list.
     #[default]
     Removed,
 }
@@ -279,15 +281,15 @@
     pub server: ServerId,
     /// When it last started; 0 means long ago.
     pub started_at: Time,
-    /// What `Settings::weights` says, 1 where nothing was told.
+    /// What `Settings::weights` says, 1 where there is none.
     pub weight: f64,
     /// Its zone.
     pub zone: u32,
     /// Its cell.
     pub cell: u32,
-    /// Whether it serves.
+    /// Whether it takes new work.
     pub state: State,
-    /// A name for it that is the same at every instance.
+    /// Its id that is the same at every instance.
     pub global_id: u64,
 }
 
@@ -296,9 +298,9 @@
 pub enum ListKind {
     /// Changed entries only.
     Changes,
-    /// The whole list.
+    /// The full list.
     Full,
-    /// The whole list as last held, perhaps outdated.
+    /// The full list as last known, perhaps outdated.
     Cached,
     /// A call failed or the subscription broke.
     Failed,
@@ -311,15 +313,15 @@
     Ok,
     /// The server returned an error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected by the server before it ran.
     Rejected,
-    /// No answer in time; it may have run or be running.
+    /// No answer in time; it may have run or still be running.
     Timeout,
     /// No connection; it never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -335,21 +337,21 @@
 /// What happens to an instance.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// Other settings from here on; requests in hand keep their class and number of attempts.
+    /// New settings from here on; open requests keep their class and number of attempts.
     Settings {
-        /// All of them.
+        /// The settings in full.
         set: &'a Settings,
     },
-    /// News of the servers.
+    /// A list of servers, or a failed call for one.
     Members {
         /// What the entries are.
         kind: ListKind,
         /// The entries.
         entries: &'a [Member],
     },
-    /// A client's request, owed one final answer.
+    /// A request of a client, which is owed one final answer.
     Request {
-        /// Which.
+        /// Which request.
         id: RequestId,
         /// How long its client will still wait.
         left: Span,
@@ -359,30 +361,30 @@
         tenant: u32,
         /// Its expected work on a standard core.
         hint: Option<Span>,
-        /// What it is about; requests about the same share it.
+        /// Its subject: requests about the same subject share the key.
         key: Option<u64>,
-        /// Its client marked it as a repeat.
+        /// Its client marked it as a retry.
         repeat: bool,
     },
-    /// The client left; nothing is owed any more.
+    /// The client left; no answer is owed any more.
     ClientLeft {
-        /// Which.
+        /// Which request.
         id: RequestId,
     },
-    /// The answer of a streamed request began.
+    /// The response of a streamed request started.
     ResponseStarted {
-        /// Which.
+        /// Which request.
         id: RequestId,
-        /// On which attempt.
+        /// Which attempt.
         attempt: Attempt,
     },
     /// An attempt ended.
     AttemptFinished {
-        /// Of which request.
+        /// Which request.
         id: RequestId,
         /// Which attempt.
         attempt: Attempt,
-        /// How.
+        /// How it ended.
         status: Status,
         /// The request is over.
         request_closed: bool,
@@ -392,38 +394,38 @@
         latency: Span,
         /// Where it was sent.
         server: ServerId,
-        /// The server's load report, empty where none came.
+        /// The server's load report, empty where there was none.
         load: &'a [f64],
     },
-    /// The body of an attempt that was just sent still comes, or comes no more. The first is followed by the
-    /// second, at the latest before the attempt's end.
+    /// The body of an attempt that was just sent is still being sent (`finished` is false), or is complete.
+    /// The first is followed by the second, at the latest before the end of the attempt.
     Upload {
-        /// Of which request: its time counts from its last byte.
+        /// Which request: its time counts from its last byte.
         id: RequestId,
         /// Which server.
         server: ServerId,
-        /// It comes no more.
+        /// The body is complete.
         finished: bool,
     },
-    /// A second copy of a request is due by the operator's limits, while its only attempt is out.
+    /// A hedged request is due by the operator's limits, while the only attempt is outstanding.
     HedgeDue {
-        /// Which.
+        /// Which request.
         id: RequestId,
     },
     /// A probe ended.
     ProbeFinished {
         /// Of which server.
         server: ServerId,
-        /// How.
+        /// How it ended.
         status: Status,
         /// Time since it was sent.
         latency: Span,
-        /// The server's load report, empty where none came.
+        /// The server's load report, empty where there was none.
         load: &'a [f64],
     },
     /// A timer is due.
     Timer {
-        /// Which.
+        /// Which timer.
         token: Token,
     },
     /// A message from another instance.
@@ -442,19 +444,19 @@
     Send {
         /// Of which request.
         id: RequestId,
-        /// Where to.
+        /// At which server.
         server: ServerId,
-        /// When to give the attempt up; none leaves it to the client's patience.
+        /// When to give up the attempt; none leaves it to the client's timeout.
         until: Option<Time>,
     },
-    /// Final answer: refused, trying again does no harm.
+    /// Final answer: refused, a retry does no harm.
     Refuse {
         /// Which request.
         id: RequestId,
-        /// How long to stay away.
+        /// When the client may retry.
         retry_after: Option<Span>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: failed, nothing is promised about a retry.
     Fail {
         /// Which request.
         id: RequestId,
@@ -466,28 +468,28 @@
         /// Which attempt.
         attempt: Attempt,
     },
-    /// Ask a server how it is.
+    /// Probe a server.
     Probe {
         /// Which server.
         server: ServerId,
     },
-    /// Wake this instance later.
+    /// Set a timer.
     Timer {
-        /// What for.
+        /// Comes back with the timer.
         token: Token,
-        /// How far off.
+        /// When it is due, from now.
         delay: Span,
     },
     /// Subscribe to list changes.
     WatchServers,
-    /// Tell other instances, all of them where `peer` is none.
+    /// Send a message to other instances.
     SendToPeers {
-        /// Which one.
+        /// Which one; none means all.
         peer: Option<u32>,
         /// At most 256 bytes.
         data: Vec<u8>,
     },
-    /// A line for the people on call.
+    /// A log line for operators.
     Log {
         /// The server it is about; the host puts its name in front.
         server: Option<ServerId>,
