--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -91,83 +91,92 @@
     (0..n).map(|i| member(i, i % 2, i / 2)).collect()
 }
 
+/// The final answer to a request, or how it ended for its client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Answer {
+    Served,
+    Refused,
+    Failed,
+    Withdrawn,
+}
+
 #[derive(Clone, Debug)]
-pub struct Out {
+pub struct SentAttempt {
     pub server: ServerId,
-    pub at: Time,
+    pub sent_at: Time,
     pub until: Time,
-    pub ended: Option<Status>,
+    pub status: Option<Status>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ClientRequest {
     pub class: u32,
     pub deadline: Time,
-    pub attempts: Vec<Out>,
-    pub answer: Option<&'static str>,
+    pub attempts: Vec<SentAttempt>,
+    pub answer: Option<Answer>,
 }
 
-pub struct World {
+pub struct TestHost {
     pub set: Settings,
     pub balancer: Balancer,
     pub now: Time,
-    pub asked: BTreeMap<u64, Asked>,
+    pub requests: BTreeMap<u64, ClientRequest>,
     /// Requests with something out or without an answer.
-    live: BTreeSet<u64>,
-    pub known: BTreeMap<u32, Member>,
-    pub probing: BTreeSet<u32>,
+    unfinished: BTreeSet<u64>,
+    pub members: BTreeMap<u32, Member>,
+    pub probes: BTreeSet<u32>,
     timers: BTreeMap<(Time, u64), Token>,
     serial: u64,
     pub sends: Vec<(Time, ServerId)>,
-    pub said: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
-impl World {
-    pub fn new(set: Settings, servers: &[Member]) -> World {
-        World::seeded(set, servers, 7)
+impl TestHost {
+    pub fn new(set: Settings, servers: &[Member]) -> TestHost {
+        TestHost::with_seed(set, servers, 7)
     }
 
-    pub fn seeded(set: Settings, servers: &[Member], seed: u64) -> World {
+    pub fn with_seed(set: Settings, servers: &[Member], seed: u64) -> TestHost {
         let balancer = Balancer::new(set.clone(), seed);
-        let mut world = World {
+        let mut host = TestHost {
             set,
             balancer,
             now: START,
-            asked: BTreeMap::new(),
-            live: BTreeSet::new(),
-            known: BTreeMap::new(),
-            probing: BTreeSet::new(),
+            requests: BTreeMap::new(),
+            unfinished: BTreeSet::new(),
+            members: BTreeMap::new(),
+            probes: BTreeSet::new(),
             timers: BTreeMap::new(),
             serial: 0,
             sends: Vec::new(),
-            said: Vec::new(),
+            actions: Vec::new(),
         };
-        world.list(ListKind::Cached, servers);
-        world
+        host.deliver_list(ListKind::Cached, servers);
+        host
     }
 
-    pub fn event(&mut self, event: Event<'_>) {
+    pub fn deliver(&mut self, event: Event<'_>) {
         let mut todo = Vec::new();
         self.balancer.on_event(self.now, event, &mut todo);
         for action in todo {
-            self.act(&action);
-            self.said.push(action);
+            self.apply_action(&action);
+            self.actions.push(action);
         }
     }
 
-    fn act(&mut self, action: &Action) {
+    fn apply_action(&mut self, action: &Action) {
         match action {
             Action::Send { id, server, until } => self.on_send(*id, *server, *until),
-            Action::Refuse { id, .. } => self.on_final(*id, "refused"),
-            Action::Fail { id } => self.on_final(*id, "failed"),
+            Action::Refuse { id, .. } => self.on_final(*id, Answer::Refused),
+            Action::Fail { id } => self.on_final(*id, Answer::Failed),
             Action::Timer { token, delay } => {
                 self.serial += 1;
                 self.timers.insert((self.now + *delay, self.serial), *token);
             }
             Action::Probe { server } => {
                 assert!(self.set.limits.probes, "probed where that is not allowed");
-                assert!(self.known.contains_key(&server.0));
-                self.probing.insert(server.0);
+                assert!(self.members.contains_key(&server.0));
+                self.probes.insert(server.0);
             }
             Action::Cancel { .. } => assert!(self.set.limits.cancellation),
             Action::SendToPeers { data, .. } => assert!(self.set.limits.peer_messages && data.len() <= 256),
@@ -177,21 +186,24 @@
 
     /// Rules 1, 2 and 3 at a send.
     fn on_send(&mut self, id: RequestId, server: ServerId, until: Option<Time>) {
-        let member = self.known[&server.0];
+        let member = self.members[&server.0];
         assert_eq!(member.state, State::Ready, "sent to a server that drains or is gone");
-        let asked = self.asked.get_mut(&id.0).expect("a request that was never taken");
+        let asked = self.requests.get_mut(&id.0).expect("a request that was never taken");
         assert!(asked.answer.is_none(), "sent after the final answer");
         assert!(self.now <= asked.deadline, "sent after the deadline");
-        let out = asked.attempts.iter().filter(|a| a.ended.is_none()).count();
+        let out = asked.attempts.iter().filter(|a| a.status.is_none()).count();
         assert!(out <= usize::from(self.set.limits.hedging), "too many attempts out at a time");
-        let mut bound = asked.attempts.iter().filter(|a| !a.ended.is_some_and(Status::never_ran));
+        let mut bound = asked.attempts.iter().filter(|a| !a.status.is_some_and(Status::never_ran));
         if let Some(first) = bound.next() {
-            let before = self.known[&first.server.0];
+            let before = self.members[&first.server.0];
             match self.set.classes[asked.class as usize].effect {
                 Effect::Safe => {}
                 Effect::Unsafe => panic!("an unsafe request was sent again"),
                 Effect::Keyed { group, window } => {
-                    assert!(self.now - first.at <= window, "a keyed request was sent again after its window");
+                    assert!(
+                        self.now - first.sent_at <= window,
+                        "a keyed request was sent again after its window"
+                    );
                     match group {
                         Group::All => {}
                         Group::Zone => assert_eq!(before.zone, member.zone, "left its zone"),
@@ -201,17 +213,17 @@
             }
         }
         let until = until.unwrap_or(asked.deadline).min(asked.deadline);
-        asked.attempts.push(Out { server, at: self.now, until, ended: None });
+        asked.attempts.push(SentAttempt { server, sent_at: self.now, until, status: None });
         assert!(asked.attempts.len() as u32 <= self.set.limits.max_attempts);
         self.sends.push((self.now, server));
     }
 
     /// Rules 1 and 2 at a final answer.
-    fn on_final(&mut self, id: RequestId, answer: &'static str) {
-        let asked = self.asked.get_mut(&id.0).expect("a request that was never taken");
+    fn on_final(&mut self, id: RequestId, answer: Answer) {
+        let asked = self.requests.get_mut(&id.0).expect("a request that was never taken");
         assert!(asked.answer.is_none(), "a second final answer");
-        let may_have_run = asked.attempts.iter().any(|a| !a.ended.is_some_and(Status::never_ran));
-        if answer == "refused" && may_have_run {
+        let may_have_run = asked.attempts.iter().any(|a| !a.status.is_some_and(Status::never_ran));
+        if answer == Answer::Refused && may_have_run {
             let effect = self.set.classes[asked.class as usize].effect;
             let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
             assert!(harmless, "refused though it may have run");
@@ -220,23 +232,23 @@
         asked.answer = Some(answer);
     }
 
-    pub fn ask(&mut self, id: u64, class: u32, left: Span) {
-        self.ask_hinted(id, class, left, None);
+    pub fn request(&mut self, id: u64, class: u32, left: Span) {
+        self.request_with_hint(id, class, left, None);
     }
 
-    pub fn ask_hinted(&mut self, id: u64, class: u32, left: Span, hint: Option<Span>) {
-        self.ask_as(id, class, left, hint, 0);
+    pub fn request_with_hint(&mut self, id: u64, class: u32, left: Span, hint: Option<Span>) {
+        self.request_as_tenant(id, class, left, hint, 0);
     }
 
-    pub fn ask_as(&mut self, id: u64, class: u32, left: Span, hint: Option<Span>, tenant: u32) {
-        self.ask_all(id, class, left, hint, tenant, None);
+    pub fn request_as_tenant(&mut self, id: u64, class: u32, left: Span, hint: Option<Span>, tenant: u32) {
+        self.request_with(id, class, left, hint, tenant, None);
     }
 
-    pub fn ask_for(&mut self, id: u64, class: u32, left: Span, key: Option<u64>) {
-        self.ask_all(id, class, left, None, 0, key);
+    pub fn request_with_key(&mut self, id: u64, class: u32, left: Span, key: Option<u64>) {
+        self.request_with(id, class, left, None, 0, key);
     }
 
-    fn ask_all(
+    fn request_with(
         &mut self,
         id: u64,
         class: u32,
@@ -245,38 +257,38 @@
         tenant: u32,
         key: Option<u64>,
     ) {
-        let asked = Asked { class, deadline: self.now + left, attempts: Vec::new(), answer: None };
-        assert!(self.asked.insert(id, asked).is_none());
-        self.live.insert(id);
+        let asked = ClientRequest { class, deadline: self.now + left, attempts: Vec::new(), answer: None };
+        assert!(self.requests.insert(id, asked).is_none());
+        self.unfinished.insert(id);
         let id = RequestId(id);
-        self.event(Event::Request { id, left, class, tenant, hint, key, repeat: false });
+        self.deliver(Event::Request { id, left, class, tenant, hint, key, repeat: false });
     }
 
     /// Ends the attempt that is out for a request.
-    pub fn end(&mut self, id: u64, status: Status, load: &[f64]) {
-        let Some(asked) = self.asked.get_mut(&id) else { return };
-        let Some(at) = asked.attempts.iter().position(|a| a.ended.is_none()) else { return };
-        self.end_at(id, at, status, load);
+    pub fn finish(&mut self, id: u64, status: Status, load: &[f64]) {
+        let Some(asked) = self.requests.get_mut(&id) else { return };
+        let Some(at) = asked.attempts.iter().position(|a| a.status.is_none()) else { return };
+        self.finish_at(id, at, status, load);
     }
 
     /// Ends the last attempt of a request.
-    pub fn end_last(&mut self, id: u64, status: Status) {
-        let at = self.asked[&id].attempts.len() - 1;
-        self.end_at(id, at, status, &[]);
+    pub fn finish_last(&mut self, id: u64, status: Status) {
+        let at = self.requests[&id].attempts.len() - 1;
+        self.finish_at(id, at, status, &[]);
     }
 
-    fn end_at(&mut self, id: u64, at: usize, status: Status, load: &[f64]) {
-        let Some(asked) = self.asked.get_mut(&id) else { return };
+    fn finish_at(&mut self, id: u64, at: usize, status: Status, load: &[f64]) {
+        let Some(asked) = self.requests.get_mut(&id) else { return };
         let out = &mut asked.attempts[at];
-        out.ended = Some(status);
-        let (server, latency) = (out.server, self.now - out.at);
+        out.status = Some(status);
+        let (server, latency) = (out.server, self.now - out.sent_at);
         if status == Status::Ok && asked.answer.is_none() {
-            asked.answer = Some("served");
+            asked.answer = Some(Answer::Served);
         }
         let closed = asked.answer.is_some();
         let attempt = Attempt(at as u32);
         let again = true;
-        self.event(Event::AttemptFinished {
+        self.deliver(Event::AttemptFinished {
             id: RequestId(id),
             attempt,
             status,
@@ -290,86 +302,88 @@
 
     /// Answers a probe that is out.
     pub fn answer_probe(&mut self, server: u32, status: Status, load: &[f64]) {
-        if self.probing.remove(&server) {
+        if self.probes.remove(&server) {
             let latency = Span(MS);
-            self.event(Event::ProbeFinished { server: ServerId(server), status, latency, load });
+            self.deliver(Event::ProbeFinished { server: ServerId(server), status, latency, load });
         }
     }
 
     pub fn answer_probes(&mut self, load: impl Fn(u32) -> f64) {
-        for server in self.probing.clone() {
+        for server in self.probes.clone() {
             let held = load(server);
             self.answer_probe(server, Status::Ok, &[held, 0.0, held.min(1.0)]);
         }
     }
 
-    pub fn withdraw(&mut self, id: u64) {
-        if let Some(asked) = self.asked.get_mut(&id) {
-            asked.answer.get_or_insert("withdrawn");
-            self.event(Event::ClientLeft { id: RequestId(id) });
+    pub fn leave(&mut self, id: u64) {
+        if let Some(asked) = self.requests.get_mut(&id) {
+            asked.answer.get_or_insert(Answer::Withdrawn);
+            self.deliver(Event::ClientLeft { id: RequestId(id) });
         }
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: &[Member]) {
+    pub fn deliver_list(&mut self, kind: ListKind, entries: &[Member]) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            self.known.values_mut().for_each(|m| m.state = State::Removed);
+            self.members.values_mut().for_each(|m| m.state = State::Removed);
         }
         for entry in entries {
-            self.known.insert(entry.server.0, *entry);
+            self.members.insert(entry.server.0, *entry);
         }
-        self.event(Event::Members { kind, entries });
+        self.deliver(Event::Members { kind, entries });
     }
 
     /// Lets time pass a millisecond at a time: timers fire, attempts time out, and nothing stays unanswered.
-    pub fn pass(&mut self, span: Span) {
+    pub fn advance(&mut self, span: Span) {
         let end = self.now + span;
         while self.now < end {
             self.now = (self.now + Span(MS)).min(end);
-            let due = |a: &Asked, now: Time| a.attempts.iter().any(|o| o.ended.is_none() && o.until <= now);
-            let asked = &self.asked;
-            self.live.retain(|id| {
+            let due = |a: &ClientRequest, now: Time| {
+                a.attempts.iter().any(|o| o.status.is_none() && o.until <= now)
+            };
+            let asked = &self.requests;
+            self.unfinished.retain(|id| {
                 let a = &asked[id];
-                a.answer.is_none() || a.attempts.iter().any(|o| o.ended.is_none())
+                a.answer.is_none() || a.attempts.iter().any(|o| o.status.is_none())
             });
             let timed_out: Vec<u64> =
-                self.live.iter().filter(|id| due(&asked[id], self.now)).copied().collect();
+                self.unfinished.iter().filter(|id| due(&asked[id], self.now)).copied().collect();
             for id in timed_out {
-                self.end(id, Status::Timeout, &[]);
+                self.finish(id, Status::Timeout, &[]);
             }
             while let Some((&key, &token)) = self.timers.first_key_value().filter(|(k, _)| k.0 <= self.now) {
                 self.timers.remove(&key);
-                self.event(Event::Timer { token });
+                self.deliver(Event::Timer { token });
             }
-            for id in &self.live {
-                let asked = &self.asked[id];
+            for id in &self.unfinished {
+                let asked = &self.requests[id];
                 let late = self.now > asked.deadline + Span(5 * MS);
                 assert!(!late || asked.answer.is_some(), "request {id} has no answer");
             }
         }
     }
 
-    pub fn answer_of(&self, id: u64) -> Option<&'static str> {
-        self.asked[&id].answer
+    pub fn answer_of(&self, id: u64) -> Option<Answer> {
+        self.requests[&id].answer
     }
 
     pub fn attempts_of(&self, id: u64) -> usize {
-        self.asked[&id].attempts.len()
+        self.requests[&id].attempts.len()
     }
 
     pub fn server_of(&self, id: u64) -> ServerId {
-        self.asked[&id].attempts.last().expect("nothing was sent").server
+        self.requests[&id].attempts.last().expect("nothing was sent").server
     }
 
     /// Sends `n` requests one after the other, each served 20 ms later, and counts what each server got.
     pub fn serve(&mut self, first: u64, n: u64, load: impl Fn(u32) -> Vec<f64>) -> BTreeMap<u32, u64> {
         let mut got = BTreeMap::new();
         for id in first..first + n {
-            self.ask(id, SAFE, Span(700 * MS));
+            self.request(id, SAFE, Span(700 * MS));
             if self.attempts_of(id) > 0 {
                 let server = self.server_of(id).0;
                 *got.entry(server).or_insert(0) += 1;
-                self.pass(Span(20 * MS));
-                self.end(id, Status::Ok, &load(server));
+                self.advance(Span(20 * MS));
+                self.finish(id, Status::Ok, &load(server));
             }
         }
         got
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -9,24 +9,24 @@
 const NEVER_RAN: [Status; 3] = [Status::Rejected, Status::ConnectFailed, Status::NotSent];
 
 /// Asks once, ends the first attempt so, and tells the attempts made and the final answer.
-fn after(class: u32, status: Status) -> (usize, Option<&'static str>) {
-    let mut world = World::new(settings(), &members(8));
-    world.ask(1, class, Span(700 * MS));
-    assert_eq!(world.attempts_of(1), 1);
-    world.pass(Span(10 * MS));
-    world.end(1, status, &[]);
-    (world.attempts_of(1), world.answer_of(1))
+fn after(class: u32, status: Status) -> (usize, Option<Answer>) {
+    let mut host = TestHost::new(settings(), &members(8));
+    host.request(1, class, Span(700 * MS));
+    assert_eq!(host.attempts_of(1), 1);
+    host.advance(Span(10 * MS));
+    host.finish(1, status, &[]);
+    (host.attempts_of(1), host.answer_of(1))
 }
 
 #[test]
-fn a_served_request_is_done() {
+fn served_request_is_closed() {
     for class in [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
-        assert_eq!(after(class, Status::Ok), (1, Some("served")));
+        assert_eq!(after(class, Status::Ok), (1, Some(Answer::Served)));
     }
 }
 
 #[test]
-fn an_attempt_that_never_ran_is_made_elsewhere_for_every_class() {
+fn attempt_that_never_ran_is_retried_for_every_class() {
     for class in [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
         for status in NEVER_RAN {
             assert_eq!(after(class, status), (2, None), "class {class} after {status:?}");
@@ -35,134 +35,134 @@
 }
 
 #[test]
-fn what_may_have_run_is_repeated_only_where_that_does_no_harm() {
+fn attempt_that_may_have_run_is_retried_only_where_safe() {
     for status in MAY_HAVE_RUN {
         for class in [SAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
             assert_eq!(after(class, status), (2, None), "class {class} after {status:?}");
         }
-        assert_eq!(after(UNSAFE, status), (1, Some("failed")), "{status:?}");
+        assert_eq!(after(UNSAFE, status), (1, Some(Answer::Failed)), "{status:?}");
     }
 }
 
 #[test]
-fn a_repeat_goes_to_another_server_of_the_group() {
+fn retry_goes_to_another_server_of_the_group() {
     for (class, same) in [(KEYED_ZONE, true), (KEYED_CELL, true), (SAFE, false)] {
-        let mut world = World::new(settings(), &members(8));
-        world.ask(1, class, Span(700 * MS));
-        let first = world.server_of(1);
-        world.end(1, Status::Error, &[]);
-        let second = world.server_of(1);
+        let mut host = TestHost::new(settings(), &members(8));
+        host.request(1, class, Span(700 * MS));
+        let first = host.server_of(1);
+        host.finish(1, Status::Error, &[]);
+        let second = host.server_of(1);
         assert_ne!(first, second);
         if same {
-            let (a, b) = (world.known[&first.0], world.known[&second.0]);
+            let (a, b) = (host.members[&first.0], host.members[&second.0]);
             assert!(if class == KEYED_ZONE { a.zone == b.zone } else { a.cell == b.cell });
         }
     }
 }
 
 #[test]
-fn a_keyed_request_is_not_repeated_after_its_window() {
+fn keyed_request_is_not_retried_after_its_window() {
     let mut set = settings();
     set.classes[KEYED_ALL as usize].aim = Span(700 * MS);
     set.classes[KEYED_ZONE as usize].aim = Span(700 * MS);
-    for (class, answer) in [(KEYED_ALL, "refused"), (KEYED_ZONE, "failed")] {
-        let mut world = World::new(set.clone(), &members(8));
-        world.ask(1, class, Span(700 * MS));
-        world.pass(Span(450 * MS));
-        world.end(1, Status::Error, &[]);
-        assert_eq!((world.attempts_of(1), world.answer_of(1)), (1, Some(answer)));
+    for (class, answer) in [(KEYED_ALL, Answer::Refused), (KEYED_ZONE, Answer::Failed)] {
+        let mut host = TestHost::new(set.clone(), &members(8));
+        host.request(1, class, Span(700 * MS));
+        host.advance(Span(450 * MS));
+        host.finish(1, Status::Error, &[]);
+        assert_eq!((host.attempts_of(1), host.answer_of(1)), (1, Some(answer)));
     }
 }
 
 #[test]
-fn the_window_runs_from_the_first_attempt_that_may_have_run() {
+fn key_window_starts_at_first_attempt_that_may_have_run() {
     let mut set = settings();
     set.classes[KEYED_ALL as usize].aim = Span(700 * MS);
-    let mut world = World::new(set, &members(8));
-    world.ask(1, KEYED_ALL, Span(700 * MS));
-    world.pass(Span(200 * MS));
-    world.end(1, Status::ConnectFailed, &[]);
-    world.pass(Span(300 * MS));
+    let mut host = TestHost::new(set, &members(8));
+    host.request(1, KEYED_ALL, Span(700 * MS));
+    host.advance(Span(200 * MS));
+    host.finish(1, Status::ConnectFailed, &[]);
+    host.advance(Span(300 * MS));
     // 500 ms after the first send, but only 300 ms after the one that may have run.
-    world.end(1, Status::Error, &[]);
-    assert_eq!(world.attempts_of(1), 3);
+    host.finish(1, Status::Error, &[]);
+    assert_eq!(host.attempts_of(1), 3);
 }
 
 #[test]
-fn attempts_end_at_the_limit_with_a_refusal_where_nothing_ran() {
-    let mut world = World::new(settings(), &members(8));
-    world.ask(1, UNSAFE, Span(700 * MS));
+fn request_is_refused_at_the_attempt_limit_if_nothing_ran() {
+    let mut host = TestHost::new(settings(), &members(8));
+    host.request(1, UNSAFE, Span(700 * MS));
     for _ in 0..10 {
-        world.end(1, Status::Rejected, &[]);
+        host.finish(1, Status::Rejected, &[]);
     }
-    assert_eq!((world.attempts_of(1), world.answer_of(1)), (4, Some("refused")));
+    assert_eq!((host.attempts_of(1), host.answer_of(1)), (4, Some(Answer::Refused)));
 }
 
 #[test]
-fn a_time_out_at_the_aim_gets_its_final_answer_at_once() {
-    for (class, answer) in [(SAFE, "refused"), (UNSAFE, "failed"), (KEYED_ALL, "refused")] {
-        let mut world = World::new(settings(), &members(4));
-        world.ask(1, class, Span(700 * MS));
-        world.pass(Span(301 * MS));
-        assert_eq!(world.answer_of(1), Some(answer));
+fn timeout_at_the_aim_is_answered_at_once() {
+    for (class, answer) in [(SAFE, Answer::Refused), (UNSAFE, Answer::Failed), (KEYED_ALL, Answer::Refused)] {
+        let mut host = TestHost::new(settings(), &members(4));
+        host.request(1, class, Span(700 * MS));
+        host.advance(Span(301 * MS));
+        assert_eq!(host.answer_of(1), Some(answer));
     }
 }
 
 #[test]
-fn the_time_that_the_client_waits_counts_not_the_class() {
-    let mut world = World::new(settings(), &members(4));
-    world.ask(1, SAFE, Span(40 * MS));
-    world.pass(Span(41 * MS));
-    assert_eq!(world.answer_of(1), Some("refused"));
+fn client_timeout_overrides_class_deadline() {
+    let mut host = TestHost::new(settings(), &members(4));
+    host.request(1, SAFE, Span(40 * MS));
+    host.advance(Span(41 * MS));
+    assert_eq!(host.answer_of(1), Some(Answer::Refused));
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing() {
-    let mut world = World::new(settings(), &members(4));
-    world.ask(1, SAFE, Span(700 * MS));
-    world.withdraw(1);
-    world.pass(Span(20 * MS));
-    world.end(1, Status::Error, &[]);
-    assert_eq!(world.attempts_of(1), 1);
-    world.withdraw(1);
+fn no_answer_after_the_client_left() {
+    let mut host = TestHost::new(settings(), &members(4));
+    host.request(1, SAFE, Span(700 * MS));
+    host.leave(1);
+    host.advance(Span(20 * MS));
+    host.finish(1, Status::Error, &[]);
+    assert_eq!(host.attempts_of(1), 1);
+    host.leave(1);
 }
 
 #[test]
-fn without_any_server_requests_are_refused_promptly() {
-    let mut world = World::new(settings(), &[]);
+fn requests_are_refused_at_once_without_servers() {
+    let mut host = TestHost::new(settings(), &[]);
     for class in [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
-        world.ask(u64::from(class), class, Span(700 * MS));
-        assert_eq!(world.answer_of(u64::from(class)), Some("refused"));
+        host.request(u64::from(class), class, Span(700 * MS));
+        assert_eq!(host.answer_of(u64::from(class)), Some(Answer::Refused));
     }
 }
 
 #[test]
-fn with_one_server_all_goes_there() {
-    let mut world = World::new(settings(), &members(1));
-    let got = world.serve(0, 50, |_| Vec::new());
+fn single_server_gets_all_requests() {
+    let mut host = TestHost::new(settings(), &members(1));
+    let got = host.serve(0, 50, |_| Vec::new());
     assert_eq!(got[&0], 50);
 }
 
 #[test]
-fn a_stream_that_began_is_left_alone() {
+fn started_stream_is_not_retried() {
     let mut set = settings();
     set.classes[0].stream = true;
-    let mut world = World::new(set, &members(4));
-    world.ask(1, SAFE, Span(700 * MS));
-    world.event(Event::ResponseStarted { id: RequestId(1), attempt: Attempt(0) });
-    world.asked.get_mut(&1).unwrap().deadline = Time(u64::MAX);
-    world.pass(Span(50 * MS));
-    assert_eq!((world.attempts_of(1), world.answer_of(1)), (1, None));
+    let mut host = TestHost::new(set, &members(4));
+    host.request(1, SAFE, Span(700 * MS));
+    host.deliver(Event::ResponseStarted { id: RequestId(1), attempt: Attempt(0) });
+    host.requests.get_mut(&1).unwrap().deadline = Time(u64::MAX);
+    host.advance(Span(50 * MS));
+    assert_eq!((host.attempts_of(1), host.answer_of(1)), (1, None));
 }
 
 #[test]
-fn advice_to_come_back_is_given_only_where_clients_take_it() {
+fn retry_after_is_given_only_where_allowed() {
     for (allowed, most) in [(None, None), (Some(Span(50 * MS)), Some(Span(50 * MS)))] {
         let mut set = settings();
         set.limits.retry_after = allowed;
-        let mut world = World::new(set, &[]);
-        world.ask(1, SAFE, Span(700 * MS));
-        let advice = world.said.iter().find_map(|a| match a {
+        let mut host = TestHost::new(set, &[]);
+        host.request(1, SAFE, Span(700 * MS));
+        let advice = host.actions.iter().find_map(|a| match a {
             Action::Refuse { retry_after, .. } => Some(*retry_after),
             _ => None,
         });
@@ -174,33 +174,33 @@
 /// Guards requests in hand when settings change: one that a new file made unsafe, or gave fewer attempts, goes on as
 /// it was taken.
 #[test]
-fn open_requests_keep_their_class_and_attempts_under_new_settings() {
-    let mut world = World::new(settings(), &members(8));
-    world.ask(1, SAFE, Span(700 * MS));
+fn open_requests_keep_class_and_attempt_limit_under_new_settings() {
+    let mut host = TestHost::new(settings(), &members(8));
+    host.request(1, SAFE, Span(700 * MS));
     let mut next = settings();
     next.classes[SAFE as usize].retired = true;
     next.classes.push(class(Effect::Unsafe));
     next.limits.max_attempts = 2;
-    world.event(Event::Settings { set: &next });
+    host.deliver(Event::Settings { set: &next });
     let new = next.classes.len() as u32 - 1;
-    world.set.classes = next.classes;
+    host.set.classes = next.classes;
     for _ in 0..2 {
-        world.pass(Span(5 * MS));
-        world.end(1, Status::Reset, &[]);
+        host.advance(Span(5 * MS));
+        host.finish(1, Status::Reset, &[]);
     }
     assert_eq!(
-        (world.attempts_of(1), world.answer_of(1)),
+        (host.attempts_of(1), host.answer_of(1)),
         (3, None),
         "repeated as before, beyond the new number"
     );
-    world.ask(2, new, Span(700 * MS));
-    world.pass(Span(5 * MS));
-    world.end(2, Status::Reset, &[]);
-    assert_eq!((world.attempts_of(2), world.answer_of(2)), (1, Some("failed")));
-    world.ask(3, KEYED_ALL, Span(700 * MS));
+    host.request(2, new, Span(700 * MS));
+    host.advance(Span(5 * MS));
+    host.finish(2, Status::Reset, &[]);
+    assert_eq!((host.attempts_of(2), host.answer_of(2)), (1, Some(Answer::Failed)));
+    host.request(3, KEYED_ALL, Span(700 * MS));
     for _ in 0..2 {
-        world.pass(Span(5 * MS));
-        world.end(3, Status::Reset, &[]);
+        host.advance(Span(5 * MS));
+        host.finish(3, Status::Reset, &[]);
     }
-    assert_eq!((world.attempts_of(3), world.answer_of(3)), (2, Some("refused")));
+    assert_eq!((host.attempts_of(3), host.answer_of(3)), (2, Some(Answer::Refused)));
 }
--- a/tests/pheromone.rs
+++ b/tests/pheromone.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_server_heard_from_idle_rises_while_the_silent_one_evaporates() {
+fn idle_server_rises_while_silent_one_evaporates() {
     // Idle: 0.5 + 1 * (1 - 0.5) = 1. Silent: 0.5 - 0.2 * 0.5 = 0.4. Sum 1.4.
     let mut tau = [0.5, 0.5];
     window_step(&mut tau, &[Some(0.0), None], 1.0, 1.0);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_rise_is_minus_x_less_one_times_e_to_the_x_of_what_lacks_to_one() {
+fn rise_follows_the_formula_of_the_paper() {
     // x = 0.5: 0.5 * 1.6487213 = 0.8243606 of the 0.75 that lack: 0.25 + 0.6182705. x = 1: no rise.
     let mut tau = [0.25, 0.75];
     window_step(&mut tau, &[Some(0.5), Some(1.0)], 1.0, 1.0);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn shares_move_only_part_of_the_way() {
+fn shares_move_part_of_the_way() {
     let mut tau = [0.5, 0.5];
     window_step(&mut tau, &[Some(0.0), None], 0.2, 0.2);
     // A fifth of the way from 0.5 to 0.7142857 and to 0.2857143.
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn nobody_falls_under_the_floor_and_the_sum_stays_one() {
+fn floor_holds_and_sum_stays_one() {
     let mut tau = [0.5, 0.25, 0.25];
     for _ in 0..200 {
         window_step(&mut tau, &[Some(0.0), Some(1.0), None], 0.5, 0.5);
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn with_nobody_heard_from_the_shares_stand_still() {
+fn shares_are_unchanged_if_all_servers_are_silent() {
     let mut tau = [0.2, 0.3, 0.5];
     window_step(&mut tau, &[None, None, None], 1.0, 1.0);
     close(&tau, &[0.2, 0.3, 0.5]);
 }
 
 #[test]
-fn figures_are_divided_by_the_largest_and_zeros_stay_zeros() {
+fn scores_are_relative_to_the_largest_and_zeros_stay_zero() {
     assert_eq!(saturated(&[Some(0.0), None, Some(0.0)]), vec![Some(0.0), None, Some(0.0)]);
     let x = saturated(&[Some(0.0), Some(1.0), None, Some(2.0)]);
     assert_eq!(x[0], Some(0.0));
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn equal_servers_are_drawn_alike() {
-    let mut world = World::new(settings(), &members(4));
-    let got = world.serve(0, 4_000, |_| Vec::new());
+fn equal_servers_are_drawn_equally() {
+    let mut host = TestHost::new(settings(), &members(4));
+    let got = host.serve(0, 4_000, |_| Vec::new());
     for n in 0..4 {
         let part = got[&n] as f64 / 4_000.0;
         assert!((part - 0.25).abs() < 0.05, "{got:?}");
@@ -77,57 +77,57 @@
 }
 
 #[test]
-fn draws_follow_the_reported_load() {
+fn draws_follow_reported_load() {
     let mut set = settings();
     set.reports = Reports::InAnswers;
     set.fields = vec![Field::Other, Field::Util];
-    let mut world = World::new(set, &members(4));
-    world.serve(0, 500, |s| vec![50.0, if s == 0 { 0.1 } else { 0.9 }]);
-    let got = world.serve(500, 1_000, |s| vec![50.0, if s == 0 { 0.1 } else { 0.9 }]);
+    let mut host = TestHost::new(set, &members(4));
+    host.serve(0, 500, |s| vec![50.0, if s == 0 { 0.1 } else { 0.9 }]);
+    let got = host.serve(500, 1_000, |s| vec![50.0, if s == 0 { 0.1 } else { 0.9 }]);
     assert!(got[&0] > 500, "the light server should be drawn most: {got:?}");
     let least = (1..4).map(|n| got.get(&n).copied().unwrap_or(0)).min();
     assert!(least > Some(0), "draws are weighted, none is shut out: {got:?}");
 }
 
 #[test]
-fn a_request_that_finds_the_window_old_waits_for_a_look_at_all_servers() {
+fn request_in_an_old_window_waits_for_a_probe_round() {
     let mut set = counting();
     set.limits.probes = true;
     set.prices.probe = 0.002;
-    let mut world = World::new(set, &members(4));
+    let mut host = TestHost::new(set, &members(4));
     for id in 0..200 {
-        world.pass(Span(40 * MS));
-        world.ask(id, SAFE, Span(700 * MS));
-        if !world.probing.is_empty() {
-            assert_eq!(world.probing.len(), 4, "all servers are asked");
-            assert_eq!(world.attempts_of(id), 0, "it waits for the answers");
-            world.answer_probes(|s| if s == 3 { 0.0 } else { 3.0 });
+        host.advance(Span(40 * MS));
+        host.request(id, SAFE, Span(700 * MS));
+        if !host.probes.is_empty() {
+            assert_eq!(host.probes.len(), 4, "all servers are asked");
+            assert_eq!(host.attempts_of(id), 0, "it waits for the answers");
+            host.answer_probes(|s| if s == 3 { 0.0 } else { 3.0 });
         }
-        assert_eq!(world.attempts_of(id), 1);
-        world.pass(Span(10 * MS));
-        let load = if world.server_of(id).0 == 3 { 0.0 } else { 3.0 };
-        world.end(id, Status::Ok, &[load, 0.0, 0.5]);
+        assert_eq!(host.attempts_of(id), 1);
+        host.advance(Span(10 * MS));
+        let load = if host.server_of(id).0 == 3 { 0.0 } else { 3.0 };
+        host.finish(id, Status::Ok, &[load, 0.0, 0.5]);
     }
-    let to_idle = world.sends.iter().rev().take(100).filter(|(_, s)| s.0 == 3).count();
+    let to_idle = host.sends.iter().rev().take(100).filter(|(_, s)| s.0 == 3).count();
     assert!(to_idle > 85, "the idle server got {to_idle} of the last 100");
 }
 
 #[test]
-fn a_look_ends_by_itself_when_a_probe_is_not_answered() {
+fn probe_round_ends_without_an_answer() {
     let mut set = counting();
     set.limits.probes = true;
     set.prices.probe = 0.002;
-    let mut world = World::new(set, &members(2));
+    let mut host = TestHost::new(set, &members(2));
     let mut waited = 0;
     for id in 0..50 {
-        world.ask(id, SAFE, Span(700 * MS));
-        waited += u32::from(world.attempts_of(id) == 0);
-        world.pass(Span(10 * MS));
-        assert_eq!(world.attempts_of(id), 1, "an unanswered probe must not hold a request");
-        world.end(id, Status::Ok, &[0.0, 0.0, 0.0]);
-        world.answer_probe(0, Status::Ok, &[0.0, 0.0, 0.0]);
-        world.answer_probe(1, Status::Timeout, &[]);
-        world.pass(Span(20 * MS));
+        host.request(id, SAFE, Span(700 * MS));
+        waited += u32::from(host.attempts_of(id) == 0);
+        host.advance(Span(10 * MS));
+        assert_eq!(host.attempts_of(id), 1, "an unanswered probe must not hold a request");
+        host.finish(id, Status::Ok, &[0.0, 0.0, 0.0]);
+        host.answer_probe(0, Status::Ok, &[0.0, 0.0, 0.0]);
+        host.answer_probe(1, Status::Timeout, &[]);
+        host.advance(Span(20 * MS));
     }
     assert!(waited > 0, "no request ever waited for a look");
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -51,62 +51,62 @@
 }
 
 fn play(set: Settings, steps: &[Step]) -> Vec<Action> {
-    let mut world = World::new(set, &members(SERVERS));
+    let mut host = TestHost::new(set, &members(SERVERS));
     let mut next = 0;
     for step in steps {
-        let open: Vec<u64> = world
-            .asked
+        let open: Vec<u64> = host
+            .requests
             .iter()
-            .filter(|(_, a)| a.attempts.iter().any(|o| o.ended.is_none()))
+            .filter(|(_, a)| a.attempts.iter().any(|o| o.status.is_none()))
             .map(|(id, _)| *id)
             .collect();
         let pick = |nth: usize| (!open.is_empty()).then(|| open[nth % open.len()]);
         match step {
             Step::Ask { class, left, hint } => {
-                world.ask_hinted(next, *class, Span(left * MS), hint.map(|h| Span(h * MS)));
+                host.request_with_hint(next, *class, Span(left * MS), hint.map(|h| Span(h * MS)));
                 next += 1;
             }
             Step::End { nth, status: s, load } => {
                 if let Some(id) = pick(*nth) {
-                    world.end(id, status(*s), &[f64::from(*load), 0.0, 0.5]);
+                    host.finish(id, status(*s), &[f64::from(*load), 0.0, 0.5]);
                 }
             }
             Step::Leave { nth } => {
                 if let Some(id) = pick(*nth) {
-                    world.withdraw(id);
+                    host.leave(id);
                 }
             }
-            Step::Pass { ms } => world.pass(Span(ms * MS)),
+            Step::Pass { ms } => host.advance(Span(ms * MS)),
             Step::List { kind, mask, draining, fresh } => {
                 let bit = |bits: u16, n: u32| bits >> n & 1 == 1;
                 let kind =
                     [ListKind::Changes, ListKind::Full, ListKind::Cached, ListKind::Failed][*kind as usize];
-                let now = world.now;
+                let now = host.now;
                 let mut entries: Vec<Member> = (0..SERVERS)
                     .filter(|n| bit(*mask, *n))
                     .map(|n| {
                         let state = if bit(*draining, n) { State::Draining } else { State::Ready };
-                        let born = if bit(*fresh, n) { now } else { world.known[&n].started_at };
+                        let born = if bit(*fresh, n) { now } else { host.members[&n].started_at };
                         Member { state, started_at: born, ..member(n, n % 2, n / 2) }
                     })
                     .collect();
                 if kind == ListKind::Failed {
                     entries.clear();
                 }
-                world.list(kind, &entries);
+                host.deliver_list(kind, &entries);
             }
             Step::Probe { status: s, load } => {
-                if let Some(server) = world.probing.first().copied() {
-                    world.answer_probe(server, status(*s), &[f64::from(*load), 0.0, 0.5]);
+                if let Some(server) = host.probes.first().copied() {
+                    host.answer_probe(server, status(*s), &[f64::from(*load), 0.0, 0.5]);
                 }
             }
-            Step::Peer { from, data } => world.event(Event::Peer { from: *from, data }),
+            Step::Peer { from, data } => host.deliver(Event::Peer { from: *from, data }),
         }
     }
     // Nothing may stay open: the host asserts an answer for each.
-    world.pass(Span(1_000 * MS));
-    assert!(world.asked.values().all(|a| a.answer.is_some()));
-    world.said
+    host.advance(Span(1_000 * MS));
+    assert!(host.requests.values().all(|a| a.answer.is_some()));
+    host.actions
 }
 
 fn runner(cases: u32) -> TestRunner {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn rules_one_to_three_hold_over_random_legal_events() {
+fn safety_rules_hold_over_random_legal_events() {
     for set in variants() {
         runner(150)
             .run(&proptest::collection::vec(step(), 1..250), |steps| {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     for set in variants() {
         runner(20)
             .run(&proptest::collection::vec(step(), 1..250), |steps| {
@@ -152,32 +152,32 @@
 }
 
 #[test]
-fn a_cold_server_stays_within_its_budget_whatever_is_reported() {
+fn cold_server_stays_within_budget_for_any_reports() {
     for set in variants() {
         let cold = set.safety.cold;
         runner(60)
             .run(&proptest::collection::vec((0..14_u8, 0..12_u8, 1..60_u64), 300), |steps| {
                 let mut list = members(SERVERS);
                 list[0].started_at = START;
-                let mut world = World::new(set.clone(), &list);
+                let mut host = TestHost::new(set.clone(), &list);
                 for (id, (s, load, ms)) in steps.iter().enumerate() {
-                    world.ask(id as u64, SAFE, Span(700 * MS));
-                    world.answer_probes(|n| if n == 0 { 0.0 } else { f64::from(*load) });
-                    world.pass(Span(ms * MS / 4));
-                    let held = if world.attempts_of(id as u64) > 0 && world.server_of(id as u64).0 == 0 {
+                    host.request(id as u64, SAFE, Span(700 * MS));
+                    host.answer_probes(|n| if n == 0 { 0.0 } else { f64::from(*load) });
+                    host.advance(Span(ms * MS / 4));
+                    let held = if host.attempts_of(id as u64) > 0 && host.server_of(id as u64).0 == 0 {
                         0.0
                     } else {
                         5.0
                     };
-                    world.end(id as u64, status(*s), &[held, 0.0, 0.5]);
+                    host.finish(id as u64, status(*s), &[held, 0.0, 0.5]);
                 }
-                let while_cold = world.sends.iter().filter(|(at, _)| *at - START < cold);
+                let while_cold = host.sends.iter().filter(|(at, _)| *at - START < cold);
                 let to_cold = while_cold.clone().filter(|(_, s)| s.0 == 0).count() as f64;
-                let age = (world.now - START).as_f64().min(cold.as_f64()) / cold.as_f64();
+                let age = (host.now - START).as_f64().min(cold.as_f64()) / cold.as_f64();
                 let warmth = 0.3 + 0.7 * age;
                 // One that uses few servers, as others do, counts it among those few alone.
                 let used =
-                    world.sends.iter().map(|(_, s)| s.0).collect::<std::collections::BTreeSet<_>>().len();
+                    host.sends.iter().map(|(_, s)| s.0).collect::<std::collections::BTreeSet<_>>().len();
                 let others = if set.limits.peer_messages { used.max(2) as f64 - 1.0 } else { 7.0 };
                 let most = while_cold.count() as f64 * 1.25 * warmth / (others + warmth) + 3.0;
                 prop_assert!(to_cold <= most, "{} sends to the cold server, {} allowed", to_cold, most);
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -6,53 +6,53 @@
 use dunlincleat::api::*;
 
 #[test]
-fn a_draining_or_gone_server_gets_nothing_from_that_moment() {
+fn draining_or_removed_server_gets_no_requests() {
     for state in [State::Draining, State::Removed] {
-        let mut world = World::new(settings(), &members(3));
-        world.serve(0, 100, |_| Vec::new());
-        world.list(ListKind::Changes, &[Member { state, ..member(1, 1, 0) }]);
+        let mut host = TestHost::new(settings(), &members(3));
+        host.serve(0, 100, |_| Vec::new());
+        host.deliver_list(ListKind::Changes, &[Member { state, ..member(1, 1, 0) }]);
         // The host asserts that no send goes there.
-        let got = world.serve(100, 200, |_| Vec::new());
+        let got = host.serve(100, 200, |_| Vec::new());
         assert!(!got.contains_key(&1));
     }
 }
 
 #[test]
-fn what_a_whole_list_leaves_out_is_gone() {
-    let mut world = World::new(settings(), &members(3));
-    world.list(ListKind::Full, &members(2));
-    let got = world.serve(0, 200, |_| Vec::new());
+fn server_missing_from_a_full_list_is_removed() {
+    let mut host = TestHost::new(settings(), &members(3));
+    host.deliver_list(ListKind::Full, &members(2));
+    let got = host.serve(0, 200, |_| Vec::new());
     assert!(!got.contains_key(&2) && got.len() == 2);
 }
 
 #[test]
-fn a_new_server_starts_at_the_mean_and_is_used() {
-    let mut world = World::new(settings(), &members(3));
-    world.serve(0, 100, |_| Vec::new());
-    world.list(ListKind::Changes, &[member(3, 1, 1)]);
-    let got = world.serve(100, 1_000, |_| Vec::new());
+fn new_server_starts_at_the_mean_share() {
+    let mut host = TestHost::new(settings(), &members(3));
+    host.serve(0, 100, |_| Vec::new());
+    host.deliver_list(ListKind::Changes, &[member(3, 1, 1)]);
+    let got = host.serve(100, 1_000, |_| Vec::new());
     assert!(got[&3] > 150 && got[&3] < 400, "{got:?}");
 }
 
 #[test]
-fn a_cold_server_gets_its_warmth_s_part_of_a_mean_server_s_work() {
-    let mut world = World::new(counting(), &members(4));
-    world.serve(0, 100, |_| vec![1.0, 0.0, 0.9]);
-    let born = world.now;
-    world.list(ListKind::Changes, &[Member { started_at: born, ..member(4, 0, 2) }]);
+fn cold_server_gets_work_in_proportion_to_its_warmth() {
+    let mut host = TestHost::new(counting(), &members(4));
+    host.serve(0, 100, |_| vec![1.0, 0.0, 0.9]);
+    let born = host.now;
+    host.deliver_list(ListKind::Changes, &[Member { started_at: born, ..member(4, 0, 2) }]);
     // It reports itself idle and the others busy: everything pulls the shares to it.
     let load = |s: u32| vec![if s == 4 { 0.0 } else { 1.0 }, 0.0, 0.5];
     let mut sent = 0;
     let mut cold = 0;
     for id in 100..300 {
-        world.ask(id, SAFE, Span(700 * MS));
-        if world.attempts_of(id) > 0 {
+        host.request(id, SAFE, Span(700 * MS));
+        if host.attempts_of(id) > 0 {
             sent += 1;
-            cold += u32::from(world.server_of(id).0 == 4);
+            cold += u32::from(host.server_of(id).0 == 4);
         }
-        world.pass(Span(5 * MS));
-        if world.attempts_of(id) > 0 {
-            world.end(id, Status::Ok, &load(world.server_of(id).0));
+        host.advance(Span(5 * MS));
+        if host.attempts_of(id) > 0 {
+            host.finish(id, Status::Ok, &load(host.server_of(id).0));
         }
     }
     // Warmth 0.3 to 0.4 beside four warm ones, with a quarter on top.
@@ -64,119 +64,119 @@
 /// Guards the sum over many instances: with each request turned away by every warm server, the cold one once got 30 of
 /// 230 attempts, as those earned its budget too.
 #[test]
-fn what_servers_turn_away_earns_no_cold_budget() {
-    let mut world = World::new(settings(), &members(4));
-    world.serve(0, 100, |_| Vec::new());
-    let cold = Member { started_at: world.now, ..member(4, 0, 2) };
-    world.list(ListKind::Changes, &[cold]);
-    let before = world.sends.len();
+fn rejected_attempts_earn_no_cold_budget() {
+    let mut host = TestHost::new(settings(), &members(4));
+    host.serve(0, 100, |_| Vec::new());
+    let cold = Member { started_at: host.now, ..member(4, 0, 2) };
+    host.deliver_list(ListKind::Changes, &[cold]);
+    let before = host.sends.len();
     for id in 100..300 {
-        world.ask(id, SAFE, Span(700 * MS));
-        while world.answer_of(id).is_none() && world.attempts_of(id) > 0 {
-            let accepts = world.server_of(id) == cold.server;
-            world.end_last(id, if accepts { Status::Ok } else { Status::Rejected });
+        host.request(id, SAFE, Span(700 * MS));
+        while host.answer_of(id).is_none() && host.attempts_of(id) > 0 {
+            let accepts = host.server_of(id) == cold.server;
+            host.finish_last(id, if accepts { Status::Ok } else { Status::Rejected });
         }
-        world.pass(Span(20 * MS));
+        host.advance(Span(20 * MS));
     }
-    let to_cold = world.sends[before..].iter().filter(|(_, server)| *server == cold.server).count();
-    let all = world.sends.len() - before;
+    let to_cold = host.sends[before..].iter().filter(|(_, server)| *server == cold.server).count();
+    let all = host.sends.len() - before;
     assert!(all >= 200, "attempts go out: {all}");
     // Its first credit, at most one and a half, and what its own few requests earn.
     assert!(to_cold <= 3, "{to_cold} of {all} went to the cold server");
 }
 
 #[test]
-fn a_restart_seen_by_its_fresh_start_is_cold_again() {
-    let mut world = World::new(settings(), &members(3));
-    world.serve(0, 200, |_| Vec::new());
-    let born = world.now;
-    world.list(ListKind::Changes, &[Member { started_at: born, ..member(0, 0, 0) }]);
-    let got = world.serve(200, 100, |_| Vec::new());
+fn restarted_server_is_cold_again() {
+    let mut host = TestHost::new(settings(), &members(3));
+    host.serve(0, 200, |_| Vec::new());
+    let born = host.now;
+    host.deliver_list(ListKind::Changes, &[Member { started_at: born, ..member(0, 0, 0) }]);
+    let got = host.serve(200, 100, |_| Vec::new());
     // Warmth 0.3 to 0.5 beside two warm ones: at most about 100 * 1.25 * 0.5 / 2.5.
     assert!(got.get(&0).copied().unwrap_or(0) <= 28, "{got:?}");
 }
 
 #[test]
-fn a_restarted_balancer_keeps_the_cold_budget_from_its_first_request() {
+fn restarted_balancer_keeps_cold_budget_from_first_request() {
     let mut list = members(4);
     list[0].started_at = START;
-    let mut world = World::new(settings(), &list);
-    let got = world.serve(0, 40, |_| Vec::new());
+    let mut host = TestHost::new(settings(), &list);
+    let got = host.serve(0, 40, |_| Vec::new());
     assert!(got.get(&0).copied().unwrap_or(0) <= 8, "{got:?}");
 }
 
 #[test]
-fn with_all_servers_cold_requests_are_still_served() {
+fn requests_are_served_if_all_servers_are_cold() {
     let list: Vec<Member> = members(4).iter().map(|m| Member { started_at: START, ..*m }).collect();
-    let mut world = World::new(settings(), &list);
-    let got = world.serve(0, 200, |_| Vec::new());
+    let mut host = TestHost::new(settings(), &list);
+    let got = host.serve(0, 200, |_| Vec::new());
     assert!(got.values().sum::<u64>() > 180, "{got:?}");
 }
 
-fn watches(world: &World) -> usize {
-    world.said.iter().filter(|a| **a == Action::WatchServers).count()
+fn watches(host: &TestHost) -> usize {
+    host.actions.iter().filter(|a| **a == Action::WatchServers).count()
 }
 
 #[test]
-fn lists_on_request_are_watched_and_asked_for_again_after_a_failure() {
+fn watch_is_requested_and_renewed_after_failure() {
     let mut set = settings();
     set.discovery = Discovery::OnRequest;
-    let mut world = World::new(set.clone(), &[]);
-    world.pass(Span(MS));
-    assert_eq!(watches(&world), 1, "who knows no server asks at once");
-    world = World::new(set, &members(3));
-    world.pass(Span(100 * MS));
-    assert_eq!(watches(&world), 1);
-    world.list(ListKind::Failed, &[]);
-    world.pass(Span(2_500 * MS));
-    assert!(watches(&world) >= 2, "asked again well within the time after which it counts as told");
-    world.list(ListKind::Full, &members(2));
-    let asked = watches(&world);
-    world.pass(Span(30_000 * MS));
-    assert_eq!(watches(&world), asked, "a subscription that stands needs no further calls");
-    world.list(ListKind::Failed, &[]);
-    world.pass(Span(2_500 * MS));
-    assert!(watches(&world) > asked, "a broken subscription is renewed");
+    let mut host = TestHost::new(set.clone(), &[]);
+    host.advance(Span(MS));
+    assert_eq!(watches(&host), 1, "who knows no server asks at once");
+    host = TestHost::new(set, &members(3));
+    host.advance(Span(100 * MS));
+    assert_eq!(watches(&host), 1);
+    host.deliver_list(ListKind::Failed, &[]);
+    host.advance(Span(2_500 * MS));
+    assert!(watches(&host) >= 2, "asked again well within the time after which it counts as told");
+    host.deliver_list(ListKind::Full, &members(2));
+    let asked = watches(&host);
+    host.advance(Span(30_000 * MS));
+    assert_eq!(watches(&host), asked, "a subscription that stands needs no further calls");
+    host.deliver_list(ListKind::Failed, &[]);
+    host.advance(Span(2_500 * MS));
+    assert!(watches(&host) > asked, "a broken subscription is renewed");
 }
 
 #[test]
-fn a_call_without_any_reply_is_made_again() {
+fn call_without_reply_is_repeated() {
     let mut set = settings();
     set.discovery = Discovery::OnRequest;
-    let mut world = World::new(set, &members(3));
-    world.pass(Span(10_000 * MS));
-    assert!(watches(&world) >= 3);
+    let mut host = TestHost::new(set, &members(3));
+    host.advance(Span(10_000 * MS));
+    assert!(watches(&host) >= 3);
 }
 
 #[test]
-fn a_failed_call_leaves_the_servers_as_they_were() {
+fn failed_call_keeps_known_servers() {
     let mut set = settings();
     set.discovery = Discovery::OnRequest;
-    let mut world = World::new(set, &members(3));
-    world.list(ListKind::Failed, &[]);
-    let got = world.serve(0, 300, |_| Vec::new());
+    let mut host = TestHost::new(set, &members(3));
+    host.deliver_list(ListKind::Failed, &[]);
+    let got = host.serve(0, 300, |_| Vec::new());
     assert_eq!(got.len(), 3);
 }
 
 #[test]
-fn pushed_lists_are_not_asked_for() {
-    let mut world = World::new(settings(), &members(3));
-    world.pass(Span(5_000 * MS));
-    assert_eq!(watches(&world), 0);
+fn pushed_lists_are_not_requested() {
+    let mut host = TestHost::new(settings(), &members(3));
+    host.advance(Span(5_000 * MS));
+    assert_eq!(watches(&host), 0);
 }
 
 /// Each failed call left two timers behind; calls doubled until they flooded the host (incident ib1ff4a).
 #[test]
-fn calls_that_keep_failing_stay_rare() {
+fn repeatedly_failing_calls_stay_rare() {
     let mut set = settings();
     set.discovery = Discovery::OnRequest;
-    let mut world = World::new(set, &members(3));
+    let mut host = TestHost::new(set, &members(3));
     let mut answered = 0;
     for _ in 0..60_000 / 5 {
-        world.pass(Span(5 * MS));
-        if watches(&world) > answered {
-            answered = watches(&world);
-            world.list(ListKind::Failed, &[]);
+        host.advance(Span(5 * MS));
+        if watches(&host) > answered {
+            answered = watches(&host);
+            host.deliver_list(ListKind::Failed, &[]);
         }
     }
     assert!((20..80).contains(&answered), "{answered} calls in a minute");
@@ -186,7 +186,7 @@
 /// waited two, after which it does the work all the same. Sidecars that each asked again every two seconds kept it full
 /// of calls that all came too late, and none was answered for as long as the day lasted.
 #[test]
-fn a_hundred_that_start_at_once_are_all_answered_by_a_service_that_is_short() {
+fn hundred_instances_starting_together_all_get_a_watch() {
     let (turn, patience) = (Span(50 * MS), Span(2_000 * MS));
     let mut set = settings();
     (set.discovery, set.instance_count) = (Discovery::OnRequest, 100);
@@ -194,18 +194,18 @@
     for broken in [false, true] {
         let start = |me: u32| {
             let set = Settings { instance_index: me, ..set.clone() };
-            World::seeded(set, &members(60), u64::from(me) + 1)
+            TestHost::with_seed(set, &members(60), u64::from(me) + 1)
         };
-        let mut worlds: Vec<(World, usize)> = (0..100).map(|me| (start(me), 0)).collect();
+        let mut hosts: Vec<(TestHost, usize)> = (0..100).map(|me| (start(me), 0)).collect();
         let (mut free, mut calls, mut told) = (START, Vec::new(), 0);
         if broken {
-            worlds.iter_mut().for_each(|(world, _)| world.list(ListKind::Failed, &[]));
+            hosts.iter_mut().for_each(|(host, _)| host.deliver_list(ListKind::Failed, &[]));
         }
         for step in 0..18_000 / 10 {
             let now = START + Span(step * 10 * MS);
-            for (me, (world, seen)) in worlds.iter_mut().enumerate() {
-                world.pass(Span(10 * MS));
-                for _ in *seen..watches(world) {
+            for (me, (host, seen)) in hosts.iter_mut().enumerate() {
+                host.advance(Span(10 * MS));
+                for _ in *seen..watches(host) {
                     let wait = free - now;
                     if wait <= patience.times(2.0) {
                         free = free.max(now) + turn;
@@ -215,12 +215,12 @@
                         calls.push((now, me, ListKind::Failed));
                     }
                 }
-                *seen = watches(world);
+                *seen = watches(host);
             }
             let (due, rest): (Vec<_>, Vec<_>) = calls.into_iter().partition(|(at, ..)| *at <= now);
             calls = rest;
             for (_, me, kind) in due {
-                worlds[me].0.list(kind, &[]);
+                hosts[me].0.deliver_list(kind, &[]);
                 told += usize::from(kind == ListKind::Changes);
             }
         }
@@ -231,18 +231,18 @@
 /// With a price on handshakes a balancer uses so few servers that each is drawn again while its connection is kept;
 /// without one it uses all.
 #[test]
-fn where_handshakes_are_dear_a_quiet_balancer_keeps_to_servers_it_meets_again() {
+fn expensive_handshakes_limit_the_subset() {
     let used = |price: f64| {
         let mut set = counting();
         (set.instance_count, set.instance_index, set.prices.handshake) = (100, 41, price);
-        let mut world = World::new(set, &members(60));
+        let mut host = TestHost::new(set, &members(60));
         for id in 0..300 {
-            world.ask(id, SAFE, Span(700 * MS));
-            world.pass(Span(20 * MS));
-            world.end(id, Status::Ok, &[0.0, 0.0, 0.1]);
-            world.pass(Span(46 * MS));
+            host.request(id, SAFE, Span(700 * MS));
+            host.advance(Span(20 * MS));
+            host.finish(id, Status::Ok, &[0.0, 0.0, 0.1]);
+            host.advance(Span(46 * MS));
         }
-        world.sends.iter().map(|(_, server)| server.0).collect::<std::collections::BTreeSet<_>>().len()
+        host.sends.iter().map(|(_, server)| server.0).collect::<std::collections::BTreeSet<_>>().len()
     };
     let (free, dear) = (used(0.0), used(0.08));
     assert!(free >= 45, "{free} servers used where handshakes are free");
@@ -259,18 +259,18 @@
 
 /// A keyed request that may have run is repeated in its group also where the group is not otherwise used.
 #[test]
-fn a_bound_repeat_finds_its_group_among_servers_not_used() {
-    let mut world = World::new(priced(800, 3), &members(160));
-    world.serve(0, 30, |_| Vec::new());
+fn bound_retry_reaches_its_group_outside_the_subset() {
+    let mut host = TestHost::new(priced(800, 3), &members(160));
+    host.serve(0, 30, |_| Vec::new());
     let mut again = 0;
     for id in 100..130 {
-        world.ask(id, KEYED_CELL, Span(700 * MS));
-        world.pass(Span(MS));
-        world.end(id, Status::Error, &[]);
-        again += u32::from(world.attempts_of(id) == 2);
-        world.end(id, Status::Ok, &[]);
+        host.request(id, KEYED_CELL, Span(700 * MS));
+        host.advance(Span(MS));
+        host.finish(id, Status::Error, &[]);
+        again += u32::from(host.attempts_of(id) == 2);
+        host.finish(id, Status::Ok, &[]);
         // An error now and then is no reason to leave a server out.
-        world.serve(1_000 + 20 * id, 20, |_| Vec::new());
+        host.serve(1_000 + 20 * id, 20, |_| Vec::new());
     }
     assert_eq!(again, 30);
 }
@@ -285,23 +285,23 @@
         (set.instance_count, set.instance_index) = (200, me);
         set.limits.probes = true;
         set.prices.probe = 0.002;
-        let mut world = World::seeded(set, &list, u64::from(me));
-        world.pass(Span(u64::from(me) * MS));
+        let mut host = TestHost::with_seed(set, &list, u64::from(me));
+        host.advance(Span(u64::from(me) * MS));
         for id in 0..20 {
-            world.ask(id, SAFE, Span(700 * MS));
-            world.answer_probes(|_| 0.0);
-            world.pass(Span(20 * MS));
-            world.end(id, Status::Ok, &[0.0, 0.0, 0.3]);
-            world.pass(Span(180 * MS));
+            host.request(id, SAFE, Span(700 * MS));
+            host.answer_probes(|_| 0.0);
+            host.advance(Span(20 * MS));
+            host.finish(id, Status::Ok, &[0.0, 0.0, 0.3]);
+            host.advance(Span(180 * MS));
         }
-        world.sends.iter().for_each(|(_, s)| got[s.0 as usize] += 1);
+        host.sends.iter().for_each(|(_, s)| got[s.0 as usize] += 1);
     }
     got
 }
 
 /// Hundreds of balancers each start with a chance credit: all together must stay within the cold budget.
 #[test]
-fn many_quiet_balancers_together_keep_the_cold_budget() {
+fn many_low_traffic_balancers_keep_the_cold_budget_together() {
     let got = sent_by_many(10);
     let mean = got.iter().sum::<u32>() / 50;
     let most = *got[..10].iter().max().unwrap();
@@ -314,7 +314,7 @@
 
 /// After a mass death, or a release of the whole fleet, nothing is warm: the work is spread evenly all the same.
 #[test]
-fn many_quiet_balancers_spread_their_work_over_a_fleet_without_a_warm_server() {
+fn many_low_traffic_balancers_spread_work_over_an_all_cold_fleet() {
     let got = sent_by_many(50);
     let mean = got.iter().sum::<u32>() / 50;
     assert!(mean > 60, "{mean} of 80 requests a server were sent");
@@ -322,67 +322,69 @@
 }
 
 #[test]
-fn a_number_given_to_another_server_carries_nothing_over() {
-    let mut world = World::new(settings(), &members(3));
+fn reused_server_number_starts_afresh() {
+    let mut host = TestHost::new(settings(), &members(3));
     // Connections to it fail again and again, until it is left out for long.
     let mut id = 0;
     for _ in 0..6 {
-        world.pass(Span(60_000 * MS));
+        host.advance(Span(60_000 * MS));
         loop {
             id += 1;
-            world.ask(id, SAFE, Span(700 * MS));
-            let failed = world.server_of(id) == ServerId(1);
-            world.end(id, if failed { Status::ConnectFailed } else { Status::Ok }, &[]);
+            host.request(id, SAFE, Span(700 * MS));
+            let failed = host.server_of(id) == ServerId(1);
+            host.finish(id, if failed { Status::ConnectFailed } else { Status::Ok }, &[]);
             if failed {
-                world.end(id, Status::Ok, &[]);
+                host.finish(id, Status::Ok, &[]);
                 break;
             }
         }
     }
-    world.list(ListKind::Changes, &[Member { state: State::Removed, ..member(1, 1, 0) }]);
-    world.list(ListKind::Changes, &[Member { global_id: 4711, ..member(1, 1, 0) }]);
-    let got = world.serve(id + 1, 100, |_| Vec::new());
+    host.deliver_list(ListKind::Changes, &[Member { state: State::Removed, ..member(1, 1, 0) }]);
+    host.deliver_list(ListKind::Changes, &[Member { global_id: 4711, ..member(1, 1, 0) }]);
+    let got = host.serve(id + 1, 100, |_| Vec::new());
     assert!(got.get(&1).is_some_and(|n| *n > 10), "{got:?}");
 }
 
 /// Guards against slow bodies: counted as load before a server had them, they had requests refused at idle servers,
 /// which were thought silent too.
 #[test]
-fn a_request_still_being_written_is_neither_load_nor_silence_nor_time() {
+fn request_body_in_upload_counts_as_neither_load_nor_silence() {
     let play = |told: bool| {
-        let mut world = World::new(counting(), &members(2));
-        world.serve(0, 40, |_| vec![0.0, 0.0, 0.1]);
+        let mut host = TestHost::new(counting(), &members(2));
+        host.serve(0, 40, |_| vec![0.0, 0.0, 0.1]);
         for id in 100..130 {
-            world.ask(id, UNSAFE, Span(700 * MS));
-            if told && world.attempts_of(id) > 0 {
-                let server = world.server_of(id);
-                world.event(Event::Upload { id: RequestId(id), server, finished: false });
+            host.request(id, UNSAFE, Span(700 * MS));
+            if told && host.attempts_of(id) > 0 {
+                let server = host.server_of(id);
+                host.deliver(Event::Upload { id: RequestId(id), server, finished: false });
             }
         }
-        let out = (100..130).filter(|id| world.attempts_of(*id) > 0).count();
-        world.ask(200, UNSAFE, Span(700 * MS));
-        world.pass(Span(15 * MS));
-        (world, out)
+        let out = (100..130).filter(|id| host.attempts_of(*id) > 0).count();
+        host.request(200, UNSAFE, Span(700 * MS));
+        host.advance(Span(15 * MS));
+        (host, out)
     };
-    let (world, out) = play(false);
-    assert!(out < 30 && world.answer_of(200) == Some("refused"), "without the word they fill both servers");
-    let (mut world, out) = play(true);
-    assert_eq!((out, world.attempts_of(200)), (30, 1));
-    world.end(200, Status::Ok, &[0.0, 0.0, 0.1]);
-    let silent = |world: &World| world.said.iter().any(|a| matches!(a, Action::Log { .. }));
+    let (host, out) = play(false);
+    assert!(
+        out < 30 && host.answer_of(200) == Some(Answer::Refused),
+        "without the word they fill both servers"
+    );
+    let (mut host, out) = play(true);
+    assert_eq!((out, host.attempts_of(200)), (30, 1));
+    host.finish(200, Status::Ok, &[0.0, 0.0, 0.1]);
+    let silent = |host: &TestHost| host.actions.iter().any(|a| matches!(a, Action::Log { .. }));
     // Far longer than three mean delays: nothing is due from either server.
-    world
-        .asked
+    host.requests
         .values_mut()
         .flat_map(|a| &mut a.attempts)
         .for_each(|a| a.until = a.until + Span(10_000 * MS));
-    world.asked.values_mut().for_each(|a| a.deadline = a.deadline + Span(10_000 * MS));
-    world.pass(Span(2_000 * MS));
-    assert!(!silent(&world));
+    host.requests.values_mut().for_each(|a| a.deadline = a.deadline + Span(10_000 * MS));
+    host.advance(Span(2_000 * MS));
+    assert!(!silent(&host));
     // From its last byte on it counts, and its time begins: it never ran, and may be tried again.
-    let server = world.server_of(100);
-    world.event(Event::Upload { id: RequestId(100), server, finished: true });
-    world.pass(Span(10 * MS));
-    world.end(100, Status::Rejected, &[]);
-    assert_eq!((world.attempts_of(100), world.answer_of(100)), (2, None));
+    let server = host.server_of(100);
+    host.deliver(Event::Upload { id: RequestId(100), server, finished: true });
+    host.advance(Span(10 * MS));
+    host.finish(100, Status::Rejected, &[]);
+    assert_eq!((host.attempts_of(100), host.answer_of(100)), (2, None));
 }
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -8,52 +8,52 @@
 
 /// Requests held behind others were once forgotten until their clients had left.
 #[test]
-fn held_requests_all_get_their_answer_in_time() {
-    let mut world = World::new(settings(), &members(2));
+fn queued_requests_are_all_answered_in_time() {
+    let mut host = TestHost::new(settings(), &members(2));
     for id in 0..4 {
-        world.ask(id, SAFE, Span(700 * MS));
+        host.request(id, SAFE, Span(700 * MS));
         // Both servers drop out of reach.
-        world.end(id, Status::ConnectFailed, &[]);
+        host.finish(id, Status::ConnectFailed, &[]);
     }
     for id in 10..40 {
-        world.ask(id, UNSAFE, Span((20 + id) * MS));
+        host.request(id, UNSAFE, Span((20 + id) * MS));
     }
-    world.pass(Span(400 * MS));
+    host.advance(Span(400 * MS));
     for id in 10..40 {
-        assert!(world.answer_of(id).is_some(), "request {id} was forgotten");
+        assert!(host.answer_of(id).is_some(), "request {id} was forgotten");
     }
 }
 
 /// Each return to the queue once set a new timer, millions on a day.
 #[test]
-fn a_held_request_sets_one_timer() {
-    let mut world = World::new(counting(), &members(2));
-    world.serve(0, 50, |_| vec![9.0, 8.0, 1.0]);
-    let timers = |w: &World| w.said.iter().filter(|a| matches!(a, Action::Timer { .. })).count();
-    let before = timers(&world);
+fn queued_request_sets_one_timer() {
+    let mut host = TestHost::new(counting(), &members(2));
+    host.serve(0, 50, |_| vec![9.0, 8.0, 1.0]);
+    let timers = |host: &TestHost| host.actions.iter().filter(|a| matches!(a, Action::Timer { .. })).count();
+    let before = timers(&host);
     for id in 100..120 {
-        world.ask(id, SAFE, Span(700 * MS));
+        host.request(id, SAFE, Span(700 * MS));
     }
     for _ in 0..200 {
-        world.pass(Span(MS));
+        host.advance(Span(MS));
     }
-    assert!(timers(&world) - before < 20 + 200, "{} timers", timers(&world) - before);
+    assert!(timers(&host) - before < 20 + 200, "{} timers", timers(&host) - before);
 }
 
 /// A server that takes work and answers nothing shows by silence, long before errors could be counted.
 #[test]
-fn a_silent_server_is_avoided_until_it_answers() {
-    let mut world = World::new(settings(), &members(4));
-    world.serve(0, 200, |_| Vec::new());
+fn silent_server_is_excluded_until_it_answers() {
+    let mut host = TestHost::new(settings(), &members(4));
+    host.serve(0, 200, |_| Vec::new());
     let mut to_silent = 0;
     for id in 200..500 {
-        world.ask(id, UNSAFE, Span(700 * MS));
+        host.request(id, UNSAFE, Span(700 * MS));
         // Some are shed while attempts time out.
-        let silent = world.attempts_of(id) > 0 && world.server_of(id).0 == 2;
+        let silent = host.attempts_of(id) > 0 && host.server_of(id).0 == 2;
         to_silent += u32::from(silent);
-        world.pass(Span(20 * MS));
+        host.advance(Span(20 * MS));
         if !silent {
-            world.end(id, Status::Ok, &[]);
+            host.finish(id, Status::Ok, &[]);
         }
     }
     assert!(to_silent < 25, "{to_silent} requests went to a server that hangs");
@@ -61,125 +61,125 @@
 
 /// At the start a few quick answers made every server look silent.
 #[test]
-fn nobody_is_suspected_before_the_tightest_aim_has_gone_by() {
-    let mut world = World::new(settings(), &members(4));
+fn no_server_is_suspected_within_the_tightest_aim() {
+    let mut host = TestHost::new(settings(), &members(4));
     for id in 0..4 {
-        world.ask(id, SAFE, Span(700 * MS));
-        world.pass(Span(MS));
-        world.end(id, Status::Ok, &[]);
+        host.request(id, SAFE, Span(700 * MS));
+        host.advance(Span(MS));
+        host.finish(id, Status::Ok, &[]);
     }
     for id in 10..14 {
-        world.ask(id, SAFE, Span(700 * MS));
+        host.request(id, SAFE, Span(700 * MS));
     }
-    world.pass(Span(250 * MS));
-    world.ask(20, SAFE, Span(700 * MS));
-    assert_eq!(world.attempts_of(20), 1, "servers that are merely at work are still used");
+    host.advance(Span(250 * MS));
+    host.request(20, SAFE, Span(700 * MS));
+    assert_eq!(host.attempts_of(20), 1, "servers that are merely at work are still used");
 }
 
 /// A full server was tried again and again within a window.
 #[test]
-fn a_full_server_is_left_alone_for_a_moment() {
-    let mut world = World::new(settings(), &members(2));
-    world.ask(1, SAFE, Span(700 * MS));
-    world.end(1, Status::Rejected, &[]);
-    world.end(1, Status::Rejected, &[]);
-    assert_eq!(world.attempts_of(1), 2, "both are full, a third attempt would only add to it");
+fn rejecting_server_is_excluded_briefly() {
+    let mut host = TestHost::new(settings(), &members(2));
+    host.request(1, SAFE, Span(700 * MS));
+    host.finish(1, Status::Rejected, &[]);
+    host.finish(1, Status::Rejected, &[]);
+    assert_eq!(host.attempts_of(1), 2, "both are full, a third attempt would only add to it");
 }
 
 /// A turn mistaken for too long once had an idle fleet refuse everything for good.
 #[test]
-fn idle_servers_are_never_too_crowded() {
-    let mut world = World::new(counting(), &members(3));
+fn idle_servers_are_never_overloaded() {
+    let mut host = TestHost::new(counting(), &members(3));
     for id in 0..30 {
-        world.ask(id, SAFE, Span(700 * MS));
-        world.pass(Span(299 * MS));
-        world.end(id, Status::Ok, &[0.0, 0.0, 0.0]);
+        host.request(id, SAFE, Span(700 * MS));
+        host.advance(Span(299 * MS));
+        host.finish(id, Status::Ok, &[0.0, 0.0, 0.0]);
     }
     for id in 100..110 {
-        world.ask(id, SAFE, Span(700 * MS));
-        assert_eq!(world.attempts_of(id), 1);
-        world.pass(Span(20 * MS));
-        world.end(id, Status::Ok, &[0.0, 0.0, 0.0]);
+        host.request(id, SAFE, Span(700 * MS));
+        assert_eq!(host.attempts_of(id), 1);
+        host.advance(Span(20 * MS));
+        host.finish(id, Status::Ok, &[0.0, 0.0, 0.0]);
     }
 }
 
 /// Under overload requests were queued at servers until none was answered in time.
 #[test]
-fn crowded_servers_get_no_more_and_what_cannot_be_sent_is_refused_early() {
-    let mut world = World::new(counting(), &members(2));
-    world.serve(0, 100, |_| vec![0.0, 0.0, 0.5]);
+fn overloaded_servers_get_no_more_requests_and_the_rest_is_refused_early() {
+    let mut host = TestHost::new(counting(), &members(2));
+    host.serve(0, 100, |_| vec![0.0, 0.0, 0.5]);
     for id in 100..200 {
-        world.ask(id, SAFE, Span(700 * MS));
+        host.request(id, SAFE, Span(700 * MS));
     }
-    let sent = world.sends.len() - 100;
+    let sent = host.sends.len() - 100;
     assert!(sent < 60, "{sent} of 100 at once were sent to two servers");
-    world.pass(Span(120 * MS));
-    let refused = (100..200).filter(|id| world.attempts_of(*id) == 0);
+    host.advance(Span(120 * MS));
+    let refused = (100..200).filter(|id| host.attempts_of(*id) == 0);
     for id in refused {
-        assert_eq!(world.answer_of(id), Some("refused"), "waits here are short");
+        assert_eq!(host.answer_of(id), Some(Answer::Refused), "waits here are short");
     }
 }
 
 /// A class with a long aim filled servers until tighter ones were all refused (incident i0223ba).
 #[test]
-fn the_tightest_class_binds_all() {
+fn tightest_class_limits_all_classes() {
     let mut set = counting();
     set.classes[KEYED_ALL as usize].aim = Span(20_000 * MS);
     set.classes[KEYED_ALL as usize].deadline = Span(40_000 * MS);
-    let mut world = World::new(set, &members(2));
-    world.serve(0, 100, |_| vec![0.0, 0.0, 0.5]);
+    let mut host = TestHost::new(set, &members(2));
+    host.serve(0, 100, |_| vec![0.0, 0.0, 0.5]);
     for id in 100..300 {
-        world.ask(id, KEYED_ALL, Span(40_000 * MS));
+        host.request(id, KEYED_ALL, Span(40_000 * MS));
     }
-    let sent = world.sends.len() - 100;
+    let sent = host.sends.len() - 100;
     assert!(sent < 60, "{sent} patient requests were sent at once to two servers");
 }
 
 /// Messages that are cut short, far too long, from nobody or of unknown servers do no harm.
 #[test]
-fn odd_messages_are_passed_over() {
+fn malformed_peer_messages_are_ignored() {
     let mut set = settings();
     set.limits.peer_messages = true;
-    let mut world = World::new(set, &members(3));
+    let mut host = TestHost::new(set, &members(3));
     for data in [&[][..], &[1], &[1, 2], &[255; 256], &[0; 7]] {
         for from in [0, 1, 2, 900] {
-            world.event(Event::Peer { from, data });
+            host.deliver(Event::Peer { from, data });
         }
     }
-    let got = world.serve(0, 300, |_| Vec::new());
+    let got = host.serve(0, 300, |_| Vec::new());
     assert_eq!(got.len(), 3);
 }
 
 /// A client about to leave was once made to wait for probe answers past its time.
 #[test]
-fn who_is_about_to_leave_does_not_wait_for_a_look() {
+fn client_about_to_leave_does_not_wait_for_a_probe_round() {
     let mut set = counting();
     set.limits.probes = true;
-    let mut world = World::new(set, &members(2));
-    let probed = |w: &World| w.said.iter().any(|a| matches!(a, Action::Probe { .. }));
-    world.pass(Span(100 * MS));
-    world.ask(100, SAFE, Span(2 * MS));
-    assert!(world.attempts_of(100) == 1 && !probed(&world));
-    world.pass(Span(100 * MS));
-    world.ask(101, SAFE, Span(700 * MS));
-    assert!(world.attempts_of(101) == 0 && probed(&world), "the patient one waits for a look");
+    let mut host = TestHost::new(set, &members(2));
+    let probed = |host: &TestHost| host.actions.iter().any(|a| matches!(a, Action::Probe { .. }));
+    host.advance(Span(100 * MS));
+    host.request(100, SAFE, Span(2 * MS));
+    assert!(host.attempts_of(100) == 1 && !probed(&host));
+    host.advance(Span(100 * MS));
+    host.request(101, SAFE, Span(700 * MS));
+    assert!(host.attempts_of(101) == 0 && probed(&host), "the patient one waits for a look");
 }
 
 /// A balancer with few requests kept hearing from the same few servers and let the rest starve.
 #[test]
-fn a_quiet_balancer_goes_on_using_all_servers() {
+fn low_traffic_balancer_keeps_using_all_servers() {
     let used = |seed: u64| {
         let mut set = settings();
         set.reports = Reports::InAnswers;
         set.fields = vec![Field::Util];
-        let mut world = World::seeded(set, &members(8), seed);
+        let mut host = TestHost::with_seed(set, &members(8), seed);
         for id in 0..300 {
-            world.ask(id, SAFE, Span(700 * MS));
-            world.pass(Span(20 * MS));
-            world.end(id, Status::Ok, &[0.4]);
-            world.pass(Span(480 * MS));
+            host.request(id, SAFE, Span(700 * MS));
+            host.advance(Span(20 * MS));
+            host.finish(id, Status::Ok, &[0.4]);
+            host.advance(Span(480 * MS));
         }
-        world.sends.iter().rev().take(60).map(|(_, s)| s.0).collect::<BTreeSet<u32>>().len()
+        host.sends.iter().rev().take(60).map(|(_, s)| s.0).collect::<BTreeSet<u32>>().len()
     };
     let mean = (1..=20).map(used).sum::<usize>() as f64 / 20.0;
     assert!(mean >= 4.5, "of 8 servers {mean} are still used in the mean of 20 seeds");
@@ -187,43 +187,43 @@
 
 /// One heavy answer at the start had a quiet balancer refuse a class for good.
 #[test]
-fn a_few_slow_answers_do_not_have_a_class_refused_for_good() {
-    let mut world = World::new(counting(), &members(2));
+fn few_slow_answers_do_not_block_a_class() {
+    let mut host = TestHost::new(counting(), &members(2));
     for id in 0..3 {
-        world.ask(id, SAFE, Span(700 * MS));
-        world.pass(Span(299 * MS));
-        world.end(id, Status::Ok, &[2.0, 1.0, 1.0]);
+        host.request(id, SAFE, Span(700 * MS));
+        host.advance(Span(299 * MS));
+        host.finish(id, Status::Ok, &[2.0, 1.0, 1.0]);
     }
-    world.pass(Span(2_000 * MS));
+    host.advance(Span(2_000 * MS));
     for id in 10..30 {
-        world.ask(id, SAFE, Span(700 * MS));
-        assert_eq!(world.attempts_of(id), 1, "refused on the word of three answers");
-        world.pass(Span(30 * MS));
-        world.end(id, Status::Ok, &[2.0, 1.0, 1.0]);
+        host.request(id, SAFE, Span(700 * MS));
+        assert_eq!(host.attempts_of(id), 1, "refused on the word of three answers");
+        host.advance(Span(30 * MS));
+        host.finish(id, Status::Ok, &[2.0, 1.0, 1.0]);
     }
 }
 
 /// Where nothing probes, a server once suspected was never tried again.
 #[test]
-fn a_server_that_was_silent_is_tried_again_one_request_at_a_time() {
-    let mut world = World::new(settings(), &members(3));
-    world.serve(0, 100, |_| Vec::new());
+fn silent_server_is_retried_one_request_at_a_time() {
+    let mut host = TestHost::new(settings(), &members(3));
+    host.serve(0, 100, |_| Vec::new());
     let (mut recovered, mut shed) = (0, 0);
     for id in 100..900 {
-        world.ask(id, UNSAFE, Span(700 * MS));
-        if world.attempts_of(id) == 0 {
+        host.request(id, UNSAFE, Span(700 * MS));
+        if host.attempts_of(id) == 0 {
             shed += 1;
             continue;
         }
-        let server = world.server_of(id).0;
-        world.pass(Span(20 * MS));
+        let server = host.server_of(id).0;
+        host.advance(Span(20 * MS));
         // Server 1 hangs for the first 8 of 16 seconds.
         if server != 1 || id >= 500 {
-            world.end(id, Status::Ok, &[]);
+            host.finish(id, Status::Ok, &[]);
         }
         recovered += u32::from(server == 1 && id >= 700);
     }
-    let lost = world.asked.values().filter(|a| a.answer == Some("failed")).count();
+    let lost = host.requests.values().filter(|a| a.answer == Some(Answer::Failed)).count();
     assert!(lost < 20, "{lost} requests were lost to a server that hangs");
     assert!(shed < 40, "{shed} of 800 were shed for one server of three that hangs");
     assert!(recovered > 20, "it got only {recovered} requests after it was well again");
@@ -231,84 +231,84 @@
 
 /// One long request had quiet balancers suspect every server they used.
 #[test]
-fn one_long_request_is_no_silence_yet() {
+fn one_long_request_is_not_silence() {
     let mut set = settings();
     set.classes.iter_mut().for_each(|c| c.late_worth = 0.2);
-    let mut world = World::new(set, &members(3));
+    let mut host = TestHost::new(set, &members(3));
     for id in 0..60 {
-        world.ask(id, SAFE, Span(700 * MS));
-        world.pass(Span(50 * MS));
-        world.end(id, Status::Ok, &[]);
+        host.request(id, SAFE, Span(700 * MS));
+        host.advance(Span(50 * MS));
+        host.finish(id, Status::Ok, &[]);
     }
-    world.ask(100, UNSAFE, Span(700 * MS));
-    world.pass(Span(430 * MS));
-    let silent = world.said.iter().any(|a| matches!(a, Action::Log { .. }));
+    host.request(100, UNSAFE, Span(700 * MS));
+    host.advance(Span(430 * MS));
+    let silent = host.actions.iter().any(|a| matches!(a, Action::Log { .. }));
     assert!(!silent, "a single attempt out for under nine mean delays");
 }
 
 /// Servers once seen idle seemed so for ever, and under load most draws fell on them (incident ie6339f).
 #[test]
-fn what_was_idle_long_ago_is_no_refuge_under_load() {
+fn stale_idle_reports_attract_no_requests_under_load() {
     let mut set = counting();
     set.limits.probes = true;
     set.prices.probe = 0.002;
-    let mut world = World::new(set, &members(60));
+    let mut host = TestHost::new(set, &members(60));
     let mut sent = 0;
     for id in 0..135 {
         let held = if id < 120 { 0.0 } else { 6.0 };
-        world.ask(id, SAFE, Span(700 * MS));
-        world.answer_probes(|_| held);
-        world.pass(Span(80 * MS));
-        sent += u32::from(id >= 125 && world.attempts_of(id) > 0);
-        world.end(id, Status::Ok, &[held, 0.0, 1.0]);
-        world.pass(Span(20 * MS));
+        host.request(id, SAFE, Span(700 * MS));
+        host.answer_probes(|_| held);
+        host.advance(Span(80 * MS));
+        sent += u32::from(id >= 125 && host.attempts_of(id) > 0);
+        host.finish(id, Status::Ok, &[held, 0.0, 1.0]);
+        host.advance(Span(20 * MS));
     }
     assert!(sent < 4, "{sent} of 10 requests went to servers that only seemed idle");
 }
 
 /// A quiet balancer refused all for longer and longer after an overload: no sends, no answers, no end of it.
 #[test]
-fn a_quiet_balancer_forgets_the_turns_of_an_overload() {
+fn low_traffic_balancer_forgets_service_times_of_an_overload() {
     let mut set = settings();
     set.reports = Reports::InAnswers;
     set.fields = vec![Field::Util];
-    let mut world = World::new(set, &members(3));
+    let mut host = TestHost::new(set, &members(3));
     for id in 0..60 {
-        world.ask(id, SAFE, Span(700 * MS));
-        world.pass(Span(280 * MS));
-        world.end(id, Status::Ok, &[1.0]);
+        host.request(id, SAFE, Span(700 * MS));
+        host.advance(Span(280 * MS));
+        host.finish(id, Status::Ok, &[1.0]);
     }
     let mut sent = 0;
     for id in 60..110 {
-        world.ask(id, SAFE, Span(700 * MS));
-        world.pass(Span(20 * MS));
-        sent += u32::from(id >= 90 && world.attempts_of(id) > 0);
-        world.end(id, Status::Ok, &[0.7]);
-        world.pass(Span(980 * MS));
+        host.request(id, SAFE, Span(700 * MS));
+        host.advance(Span(20 * MS));
+        sent += u32::from(id >= 90 && host.attempts_of(id) > 0);
+        host.finish(id, Status::Ok, &[0.7]);
+        host.advance(Span(980 * MS));
     }
     assert!(sent >= 18, "{sent} of 20 requests were sent half a minute after");
 }
 
 #[test]
-fn connections_that_break_at_all_servers_alike_leave_none_out() {
+fn resets_at_all_servers_alike_exclude_none() {
     let mut set = counting();
     set.limits.probes = true;
-    let mut world = World::new(set, &members(4));
-    world.serve(0, 100, |_| vec![1.0, 0.0, 0.3]);
+    let mut host = TestHost::new(set, &members(4));
+    host.serve(0, 100, |_| vec![1.0, 0.0, 0.3]);
     // Every eighth attempt breaks, wherever it is: taken for a server out of reach each time, nearly all were
     // left out and the rest had no room.
     let (mut id, mut ended, mut refused) = (1000, 0, 0);
     while id < 1800 {
-        world.ask(id, SAFE, Span(700 * MS));
-        world.answer_probes(|_| 1.0);
-        world.pass(Span(20 * MS));
-        while world.answer_of(id).is_none() {
+        host.request(id, SAFE, Span(700 * MS));
+        host.answer_probes(|_| 1.0);
+        host.advance(Span(20 * MS));
+        while host.answer_of(id).is_none() {
             ended += 1;
             let status = if ended % 8 == 0 { Status::Reset } else { Status::Ok };
-            world.end(id, status, &[1.0, 0.0, 0.3]);
+            host.finish(id, status, &[1.0, 0.0, 0.3]);
         }
         // Some of those before this timed out all at once, which has a few more shed.
-        refused += u32::from(id >= 1100 && world.answer_of(id) != Some("served"));
+        refused += u32::from(id >= 1100 && host.answer_of(id) != Some(Answer::Served));
         id += 1;
     }
     // A few, until it is known how many break by chance; 301 while each break was a server's fault.
@@ -316,50 +316,50 @@
 }
 
 #[test]
-fn a_server_that_fails_fast_does_not_draw_the_requests() {
+fn fast_failing_server_does_not_attract_requests() {
     let mut set = counting();
     set.limits.probes = true;
-    let mut world = World::new(set, &members(4));
-    world.serve(0, 100, |_| vec![1.0, 0.0, 0.3]);
+    let mut host = TestHost::new(set, &members(4));
+    host.serve(0, 100, |_| vec![1.0, 0.0, 0.3]);
     // Server 1 answers at once, nearly always with an error, and so looks idle; its probes are answered. The
     // others take 40 ms each.
     let mut got = [0; 4];
     for id in 1000..2000 {
-        world.ask(id, UNSAFE, Span(700 * MS));
-        world.answer_probes(|s| if s == 1 { 0.0 } else { 3.0 });
-        world.pass(Span(2 * MS));
-        if world.attempts_of(id) > 0 {
-            let server = world.server_of(id).0 as usize;
+        host.request(id, UNSAFE, Span(700 * MS));
+        host.answer_probes(|s| if s == 1 { 0.0 } else { 3.0 });
+        host.advance(Span(2 * MS));
+        if host.attempts_of(id) > 0 {
+            let server = host.server_of(id).0 as usize;
             got[server] += 1;
             if server == 1 {
                 let status = if got[1] % 8 == 0 { Status::Ok } else { Status::Error };
-                world.end(id, status, &[0.0, 0.0, 0.0]);
+                host.finish(id, status, &[0.0, 0.0, 0.0]);
             }
         }
-        if id >= 1020 && world.attempts_of(id - 20) > 0 && world.answer_of(id - 20).is_none() {
-            world.end(id - 20, Status::Ok, &[3.0, 2.0, 0.9]);
+        if id >= 1020 && host.attempts_of(id - 20) > 0 && host.answer_of(id - 20).is_none() {
+            host.finish(id - 20, Status::Ok, &[3.0, 2.0, 0.9]);
         }
     }
     assert!(got[1] * 10 < got.iter().sum::<u32>(), "{got:?}");
 }
 
 #[test]
-fn probes_without_a_report_do_not_tell_of_idle_servers() {
+fn probe_answers_without_report_are_not_counted_as_idle() {
     let mut set = counting();
     set.limits.probes = true;
-    let mut world = World::new(set, &members(8));
+    let mut host = TestHost::new(set, &members(8));
     // The most probes that one request had sent, of the last hundred.
     let mut most = 0;
     for id in 0..400 {
-        world.pass(Span(20 * MS));
-        world.ask(id, SAFE, Span(700 * MS));
-        let probed: Vec<u32> = world.probing.iter().copied().collect();
+        host.advance(Span(20 * MS));
+        host.request(id, SAFE, Span(700 * MS));
+        let probed: Vec<u32> = host.probes.iter().copied().collect();
         most = if id < 300 { 0 } else { most.max(probed.len()) };
         for server in probed {
-            world.answer_probe(server, Status::Ok, &[]);
+            host.answer_probe(server, Status::Ok, &[]);
         }
-        world.pass(Span(10 * MS));
-        world.end(id, Status::Ok, &[]);
+        host.advance(Span(10 * MS));
+        host.finish(id, Status::Ok, &[]);
     }
     assert!(most >= 2, "servers thought idle: {most} probed at a time");
 }
@@ -367,49 +367,46 @@
 /// Servers that all instances kept full answered half of what they could in time. Where attempts time out a part of the
 /// requests is refused before it is sent, the least of those worth most; and none any more once answers come in time.
 #[test]
-fn where_attempts_time_out_requests_are_shed_by_worth_and_no_longer_than_that() {
+fn timeouts_cause_shedding_by_worth_until_answers_are_timely() {
     let mut set = settings();
     set.classes[KEYED_ALL as usize].worth = 10.0;
-    let mut world = World::new(set, &members(8));
+    let mut host = TestHost::new(set, &members(8));
     let mut id = 0;
-    let mut play = |world: &mut World, asked: u64, timely: fn(u64) -> bool| {
+    let mut play = |host: &mut TestHost, asked: u64, timely: fn(u64) -> bool| {
         let mut unsent = [0, 0];
         for n in 0..asked {
             id += 1;
-            world.ask(id, if n % 2 == 0 { SAFE } else { KEYED_ALL }, Span(700 * MS));
-            unsent[(n % 2) as usize] += u32::from(world.attempts_of(id) == 0);
+            host.request(id, if n % 2 == 0 { SAFE } else { KEYED_ALL }, Span(700 * MS));
+            unsent[(n % 2) as usize] += u32::from(host.attempts_of(id) == 0);
             if timely(n / 2) {
-                world.pass(Span(20 * MS));
-                world.end(id, Status::Ok, &[]);
+                host.advance(Span(20 * MS));
+                host.finish(id, Status::Ok, &[]);
             } else {
-                world.pass(Span(310 * MS));
+                host.advance(Span(310 * MS));
             }
         }
         unsent
     };
-    assert_eq!(play(&mut world, 200, |_| true), [0, 0], "nothing is shed on a calm day");
-    assert!(
-        play(&mut world, 200, |n| n % 10 != 0).iter().sum::<u32>() <= 6,
-        "one late in ten is no overload"
-    );
-    let [cheap, dear] = play(&mut world, 400, |n| n % 5 < 2);
+    assert_eq!(play(&mut host, 200, |_| true), [0, 0], "nothing is shed on a calm day");
+    assert!(play(&mut host, 200, |n| n % 10 != 0).iter().sum::<u32>() <= 6, "one late in ten is no overload");
+    let [cheap, dear] = play(&mut host, 400, |n| n % 5 < 2);
     assert!(cheap >= 100 && dear >= 20, "{cheap} and {dear} of 200 shed where three of five time out");
     assert!(dear * 3 < cheap * 2, "{dear} of those worth most shed against {cheap}");
-    play(&mut world, 100, |_| true);
-    assert_eq!(play(&mut world, 200, |_| true), [0, 0], "shed no longer than the trouble lasts");
+    play(&mut host, 100, |_| true);
+    assert_eq!(play(&mut host, 200, |_| true), [0, 0], "shed no longer than the trouble lasts");
 }
 
 /// Classes without a worth are all alike: their worth over their mean, 0 over 0, had nine of ten requests refused.
 #[test]
-fn where_no_worth_is_told_shedding_goes_by_the_attempts_alone() {
+fn shedding_ignores_worth_if_no_class_has_one() {
     let mut set = settings();
     set.classes.iter_mut().for_each(|class| class.worth = 0.0);
-    let mut world = World::new(set, &members(8));
+    let mut host = TestHost::new(set, &members(8));
     for id in 0..400 {
-        world.ask(id, SAFE, Span(700 * MS));
-        world.pass(Span(if id % 4 == 0 { 310 } else { 20 } * MS));
-        world.end(id, Status::Ok, &[]);
+        host.request(id, SAFE, Span(700 * MS));
+        host.advance(Span(if id % 4 == 0 { 310 } else { 20 } * MS));
+        host.finish(id, Status::Ok, &[]);
     }
-    let sent = (0..400).filter(|id| world.attempts_of(*id) > 0).count();
+    let sent = (0..400).filter(|id| host.attempts_of(*id) > 0).count();
     assert!(sent > 250, "{sent} of 400 sent where a quarter of the attempts time out");
 }
