--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A small host for tests: it delivers events, fires timers, lets attempts time out, and holds the rules
-//! against every action.
+//! A small host for tests: it delivers events, fires timers, lets attempts time out, and checks the safety
+//! rules at every action. Rule 1: every request gets one final answer in time. Rule 2: no request runs twice
+//! that must not. Rule 3: nothing is sent to a server that does not take new work.
 #![allow(dead_code)]
 
 use dunlincleat::Balancer;
@@ -27,7 +28,7 @@
 pub const KEYED_ZONE: u32 = 3;
 pub const KEYED_CELL: u32 = 4;
 
-/// Settings with a class of every kind, no reports, no probes, lists pushed.
+/// Settings with a class of each effect, without load reports or probes, with pushed lists.
 pub fn settings() -> Settings {
     let keyed = |group| Effect::Keyed { group, window: Span(400 * MS) };
     Settings {
@@ -65,7 +66,7 @@
     }
 }
 
-/// The same with load reports that count requests, in answers and probes.
+/// The same with load reports that count requests, in answers and probe answers.
 pub fn counting() -> Settings {
     let mut set = settings();
     set.reports = Reports::InAnswers;
@@ -73,7 +74,7 @@
     set
 }
 
-/// A server of a zone and cell, long up.
+/// A server of a zone and cell that started long ago.
 pub fn member(n: u32, zone: u32, cell: u32) -> Member {
     Member {
         server: ServerId(n),
@@ -86,7 +87,7 @@
     }
 }
 
-/// Servers 0.. over two zones and cells of two.
+/// `n` servers in two zones and in cells of two.
 pub fn members(n: u32) -> Vec<Member> {
     (0..n).map(|i| member(i, i % 2, i / 2)).collect()
 }
@@ -121,7 +122,7 @@
     pub balancer: Balancer,
     pub now: Time,
     pub requests: BTreeMap<u64, ClientRequest>,
-    /// Requests with something out or without an answer.
+    /// Requests with an outstanding attempt or without an answer.
     unfinished: BTreeSet<u64>,
     pub members: BTreeMap<u32, Member>,
     pub probes: BTreeSet<u32>,
@@ -187,16 +188,19 @@
     /// Rules 1, 2 and 3 at a send.
     fn on_send(&mut self, id: RequestId, server: ServerId, until: Option<Time>) {
         let member = self.members[&server.0];
-        assert_eq!(member.state, State::Ready, "sent to a server that drains or is gone");
-        let asked = self.requests.get_mut(&id.0).expect("a request that was never taken");
-        assert!(asked.answer.is_none(), "sent after the final answer");
-        assert!(self.now <= asked.deadline, "sent after the deadline");
-        let out = asked.attempts.iter().filter(|a| a.status.is_none()).count();
-        assert!(out <= usize::from(self.set.limits.hedging), "too many attempts out at a time");
-        let mut bound = asked.attempts.iter().filter(|a| !a.status.is_some_and(Status::never_ran));
+        assert_eq!(member.state, State::Ready, "sent to a server that is draining or removed");
+        let request = self.requests.get_mut(&id.0).expect("unknown request");
+        assert!(request.answer.is_none(), "sent after the final answer");
+        assert!(self.now <= request.deadline, "sent after the deadline");
+        let outstanding = request.attempts.iter().filter(|a| a.status.is_none()).count();
+        assert!(
+            outstanding <= usize::from(self.set.limits.hedging),
+            "too many attempts outstanding at a time"
+        );
+        let mut bound = request.attempts.iter().filter(|a| !a.status.is_some_and(Status::never_ran));
         if let Some(first) = bound.next() {
             let before = self.members[&first.server.0];
-            match self.set.classes[asked.class as usize].effect {
+            match self.set.classes[request.class as usize].effect {
                 Effect::Safe => {}
                 Effect::Unsafe => panic!("an unsafe request was sent again"),
                 Effect::Keyed { group, window } => {
@@ -212,24 +216,24 @@
                 }
             }
         }
-        let until = until.unwrap_or(asked.deadline).min(asked.deadline);
-        asked.attempts.push(SentAttempt { server, sent_at: self.now, until, status: None });
-        assert!(asked.attempts.len() as u32 <= self.set.limits.max_attempts);
+        let until = until.unwrap_or(request.deadline).min(request.deadline);
+        request.attempts.push(SentAttempt { server, sent_at: self.now, until, status: None });
+        assert!(request.attempts.len() as u32 <= self.set.limits.max_attempts);
         self.sends.push((self.now, server));
     }
 
     /// Rules 1 and 2 at a final answer.
     fn on_final(&mut self, id: RequestId, answer: Answer) {
-        let asked = self.requests.get_mut(&id.0).expect("a request that was never taken");
-        assert!(asked.answer.is_none(), "a second final answer");
-        let may_have_run = asked.attempts.iter().any(|a| !a.status.is_some_and(Status::never_ran));
+        let request = self.requests.get_mut(&id.0).expect("unknown request");
+        assert!(request.answer.is_none(), "a second final answer");
+        let may_have_run = request.attempts.iter().any(|a| !a.status.is_some_and(Status::never_ran));
         if answer == Answer::Refused && may_have_run {
-            let effect = self.set.classes[asked.class as usize].effect;
+            let effect = self.set.classes[request.class as usize].effect;
             let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
             assert!(harmless, "refused though it may have run");
         }
-        assert!(self.now <= asked.deadline + Span(5 * MS), "answered too late");
-        asked.answer = Some(answer);
+        assert!(self.now <= request.deadline + Span(5 * MS), "answered too late");
+        request.answer = Some(answer);
     }
 
     pub fn request(&mut self, id: u64, class: u32, left: Span) {
@@ -257,17 +261,17 @@
         tenant: u32,
         key: Option<u64>,
     ) {
-        let asked = ClientRequest { class, deadline: self.now + left, attempts: Vec::new(), answer: None };
-        assert!(self.requests.insert(id, asked).is_none());
+        let request = ClientRequest { class, deadline: self.now + left, attempts: Vec::new(), answer: None };
+        assert!(self.requests.insert(id, request).is_none());
         self.unfinished.insert(id);
         let id = RequestId(id);
         self.deliver(Event::Request { id, left, class, tenant, hint, key, repeat: false });
     }
 
-    /// Ends the attempt that is out for a request.
+    /// Ends the first outstanding attempt of a request.
     pub fn finish(&mut self, id: u64, status: Status, load: &[f64]) {
-        let Some(asked) = self.requests.get_mut(&id) else { return };
-        let Some(at) = asked.attempts.iter().position(|a| a.status.is_none()) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(at) = request.attempts.iter().position(|a| a.status.is_none()) else { return };
         self.finish_at(id, at, status, load);
     }
 
@@ -278,29 +282,28 @@
     }
 
     fn finish_at(&mut self, id: u64, at: usize, status: Status, load: &[f64]) {
-        let Some(asked) = self.requests.get_mut(&id) else { return };
-        let out = &mut asked.attempts[at];
-        out.status = Some(status);
-        let (server, latency) = (out.server, self.now - out.sent_at);
-        if status == Status::Ok && asked.answer.is_none() {
-            asked.answer = Some(Answer::Served);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let sent = &mut request.attempts[at];
+        sent.status = Some(status);
+        let server = sent.server;
+        let latency = self.now - sent.sent_at;
+        if status == Status::Ok && request.answer.is_none() {
+            request.answer = Some(Answer::Served);
         }
-        let closed = asked.answer.is_some();
-        let attempt = Attempt(at as u32);
-        let again = true;
+        let request_closed = request.answer.is_some();
         self.deliver(Event::AttemptFinished {
             id: RequestId(id),
-            attempt,
+            attempt: Attempt(at as u32),
             status,
-            request_closed: closed,
-            retry_allowed: again,
+            request_closed,
+            retry_allowed: true,
             latency,
             server,
             load,
         });
     }
 
-    /// Answers a probe that is out.
+    /// Answers an outstanding probe.
     pub fn answer_probe(&mut self, server: u32, status: Status, load: &[f64]) {
         if self.probes.remove(&server) {
             let latency = Span(MS);
@@ -310,14 +313,14 @@
 
     pub fn answer_probes(&mut self, load: impl Fn(u32) -> f64) {
         for server in self.probes.clone() {
-            let held = load(server);
-            self.answer_probe(server, Status::Ok, &[held, 0.0, held.min(1.0)]);
+            let load = load(server);
+            self.answer_probe(server, Status::Ok, &[load, 0.0, load.min(1.0)]);
         }
     }
 
     pub fn leave(&mut self, id: u64) {
-        if let Some(asked) = self.requests.get_mut(&id) {
-            asked.answer.get_or_insert(Answer::Withdrawn);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.answer.get_or_insert(Answer::Withdrawn);
             self.deliver(Event::ClientLeft { id: RequestId(id) });
         }
     }
@@ -332,7 +335,8 @@
         self.deliver(Event::Members { kind, entries });
     }
 
-    /// Lets time pass a millisecond at a time: timers fire, attempts time out, and nothing stays unanswered.
+    /// Advances time by one millisecond at a time: timers fire, attempts time out, and no request stays
+    /// unanswered.
     pub fn advance(&mut self, span: Span) {
         let end = self.now + span;
         while self.now < end {
@@ -340,13 +344,13 @@
             let due = |a: &ClientRequest, now: Time| {
                 a.attempts.iter().any(|o| o.status.is_none() && o.until <= now)
             };
-            let asked = &self.requests;
+            let requests = &self.requests;
             self.unfinished.retain(|id| {
-                let a = &asked[id];
+                let a = &requests[id];
                 a.answer.is_none() || a.attempts.iter().any(|o| o.status.is_none())
             });
             let timed_out: Vec<u64> =
-                self.unfinished.iter().filter(|id| due(&asked[id], self.now)).copied().collect();
+                self.unfinished.iter().filter(|id| due(&requests[id], self.now)).copied().collect();
             for id in timed_out {
                 self.finish(id, Status::Timeout, &[]);
             }
@@ -355,9 +359,9 @@
                 self.deliver(Event::Timer { token });
             }
             for id in &self.unfinished {
-                let asked = &self.requests[id];
-                let late = self.now > asked.deadline + Span(5 * MS);
-                assert!(!late || asked.answer.is_some(), "request {id} has no answer");
+                let request = &self.requests[id];
+                let late = self.now > request.deadline + Span(5 * MS);
+                assert!(!late || request.answer.is_some(), "request {id} has no answer");
             }
         }
     }
@@ -374,7 +378,8 @@
         self.requests[&id].attempts.last().expect("nothing was sent").server
     }
 
-    /// Sends `n` requests one after the other, each served 20 ms later, and counts what each server got.
+    /// Sends `n` requests one after the other, each served 20 ms later, and counts the requests at each
+    /// server.
     pub fn serve(&mut self, first: u64, n: u64, load: impl Fn(u32) -> Vec<f64>) -> BTreeMap<u32, u64> {
         let mut got = BTreeMap::new();
         for id in first..first + n {
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -1,4 +1,4 @@
-//! The life of requests: every completion code for every class, groups and windows, final answers.
+//! Request lifecycle: every completion status for every class, retry groups and windows, final answers.
 
 mod common;
 
@@ -8,8 +8,9 @@
 const MAY_HAVE_RUN: [Status; 4] = [Status::Error, Status::Timeout, Status::Reset, Status::Cancelled];
 const NEVER_RAN: [Status; 3] = [Status::Rejected, Status::ConnectFailed, Status::NotSent];
 
-/// Asks once, ends the first attempt so, and tells the attempts made and the final answer.
-fn after(class: u32, status: Status) -> (usize, Option<Answer>) {
+/// Sends one request, ends its first attempt with `status`, and returns the attempts made and the final
+/// answer.
+fn outcome_after(class: u32, status: Status) -> (usize, Option<Answer>) {
     let mut host = TestHost::new(settings(), &members(8));
     host.request(1, class, Span(700 * MS));
     assert_eq!(host.attempts_of(1), 1);
@@ -21,7 +22,7 @@
 #[test]
 fn served_request_is_closed() {
     for class in [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
-        assert_eq!(after(class, Status::Ok), (1, Some(Answer::Served)));
+        assert_eq!(outcome_after(class, Status::Ok), (1, Some(Answer::Served)));
     }
 }
 
@@ -29,7 +30,7 @@
 fn attempt_that_never_ran_is_retried_for_every_class() {
     for class in [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
         for status in NEVER_RAN {
-            assert_eq!(after(class, status), (2, None), "class {class} after {status:?}");
+            assert_eq!(outcome_after(class, status), (2, None), "class {class} after {status:?}");
         }
     }
 }
@@ -38,9 +39,9 @@
 fn attempt_that_may_have_run_is_retried_only_where_safe() {
     for status in MAY_HAVE_RUN {
         for class in [SAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
-            assert_eq!(after(class, status), (2, None), "class {class} after {status:?}");
+            assert_eq!(outcome_after(class, status), (2, None), "class {class} after {status:?}");
         }
-        assert_eq!(after(UNSAFE, status), (1, Some(Answer::Failed)), "{status:?}");
+        assert_eq!(outcome_after(UNSAFE, status), (1, Some(Answer::Failed)), "{status:?}");
     }
 }
 
@@ -83,7 +84,7 @@
     host.advance(Span(200 * MS));
     host.finish(1, Status::ConnectFailed, &[]);
     host.advance(Span(300 * MS));
-    // 500 ms after the first send, but only 300 ms after the one that may have run.
+    // 500 ms after the first attempt, but only 300 ms after the first one that may have run.
     host.finish(1, Status::Error, &[]);
     assert_eq!(host.attempts_of(1), 3);
 }
@@ -157,7 +158,7 @@
 
 #[test]
 fn retry_after_is_given_only_where_allowed() {
-    for (allowed, most) in [(None, None), (Some(Span(50 * MS)), Some(Span(50 * MS)))] {
+    for (allowed, longest) in [(None, None), (Some(Span(50 * MS)), Some(Span(50 * MS)))] {
         let mut set = settings();
         set.limits.retry_after = allowed;
         let mut host = TestHost::new(set, &[]);
@@ -167,23 +168,23 @@
             _ => None,
         });
         let advice = advice.expect("refused");
-        assert!(advice.is_some() == most.is_some() && advice <= most);
+        assert!(advice.is_some() == longest.is_some() && advice <= longest);
     }
 }
 
-/// Guards requests in hand when settings change: one that a new file made unsafe, or gave fewer attempts, goes on as
-/// it was taken.
+/// Guards open requests when settings change: one whose class becomes unsafe or gets fewer attempts in the
+/// new settings is handled as before.
 #[test]
 fn open_requests_keep_class_and_attempt_limit_under_new_settings() {
     let mut host = TestHost::new(settings(), &members(8));
     host.request(1, SAFE, Span(700 * MS));
-    let mut next = settings();
-    next.classes[SAFE as usize].retired = true;
-    next.classes.push(class(Effect::Unsafe));
-    next.limits.max_attempts = 2;
-    host.deliver(Event::Settings { set: &next });
-    let new = next.classes.len() as u32 - 1;
-    host.set.classes = next.classes;
+    let mut new_settings = settings();
+    new_settings.classes[SAFE as usize].retired = true;
+    new_settings.classes.push(class(Effect::Unsafe));
+    new_settings.limits.max_attempts = 2;
+    host.deliver(Event::Settings { set: &new_settings });
+    let new_class = new_settings.classes.len() as u32 - 1;
+    host.set.classes = new_settings.classes;
     for _ in 0..2 {
         host.advance(Span(5 * MS));
         host.finish(1, Status::Reset, &[]);
@@ -191,9 +192,9 @@
     assert_eq!(
         (host.attempts_of(1), host.answer_of(1)),
         (3, None),
-        "repeated as before, beyond the new number"
+        "retried as before, beyond the new attempt limit"
     );
-    host.request(2, new, Span(700 * MS));
+    host.request(2, new_class, Span(700 * MS));
     host.advance(Span(5 * MS));
     host.finish(2, Status::Reset, &[]);
     assert_eq!((host.attempts_of(2), host.answer_of(2)), (1, Some(Answer::Failed)));
--- a/tests/pheromone.rs
+++ b/tests/pheromone.rs
@@ -1,4 +1,4 @@
-//! The window step against numbers worked by hand, and the frequencies of the draw.
+//! The window step against values calculated by hand, and the frequencies of the draw.
 
 mod common;
 
@@ -16,44 +16,44 @@
 #[test]
 fn idle_server_rises_while_silent_one_evaporates() {
     // Idle: 0.5 + 1 * (1 - 0.5) = 1. Silent: 0.5 - 0.2 * 0.5 = 0.4. Sum 1.4.
-    let mut tau = [0.5, 0.5];
-    window_step(&mut tau, &[Some(0.0), None], 1.0, 1.0);
-    close(&tau, &[1.0 / 1.4, 0.4 / 1.4]);
+    let mut pheromone = [0.5, 0.5];
+    window_step(&mut pheromone, &[Some(0.0), None], 1.0, 1.0);
+    close(&pheromone, &[1.0 / 1.4, 0.4 / 1.4]);
 }
 
 #[test]
 fn rise_follows_the_formula_of_the_paper() {
-    // x = 0.5: 0.5 * 1.6487213 = 0.8243606 of the 0.75 that lack: 0.25 + 0.6182705. x = 1: no rise.
-    let mut tau = [0.25, 0.75];
-    window_step(&mut tau, &[Some(0.5), Some(1.0)], 1.0, 1.0);
+    // x = 0.5: 0.5 * 1.6487213 = 0.8243606 of the 0.75 left to 1: 0.25 + 0.6182705. x = 1: no rise.
+    let mut pheromone = [0.25, 0.75];
+    window_step(&mut pheromone, &[Some(0.5), Some(1.0)], 1.0, 1.0);
     let sum = 0.868_270_5 + 0.75;
-    close(&tau, &[0.868_270_5 / sum, 0.75 / sum]);
+    close(&pheromone, &[0.868_270_5 / sum, 0.75 / sum]);
 }
 
 #[test]
 fn shares_move_part_of_the_way() {
-    let mut tau = [0.5, 0.5];
-    window_step(&mut tau, &[Some(0.0), None], 0.2, 0.2);
+    let mut pheromone = [0.5, 0.5];
+    window_step(&mut pheromone, &[Some(0.0), None], 0.2, 0.2);
     // A fifth of the way from 0.5 to 0.7142857 and to 0.2857143.
-    close(&tau, &[0.542_857_1, 0.457_142_9]);
+    close(&pheromone, &[0.542_857_1, 0.457_142_9]);
 }
 
 #[test]
 fn floor_holds_and_sum_stays_one() {
-    let mut tau = [0.5, 0.25, 0.25];
+    let mut pheromone = [0.5, 0.25, 0.25];
     for _ in 0..200 {
-        window_step(&mut tau, &[Some(0.0), Some(1.0), None], 0.5, 0.5);
+        window_step(&mut pheromone, &[Some(0.0), Some(1.0), None], 0.5, 0.5);
     }
-    assert!((tau.iter().sum::<f64>() - 1.0).abs() < 1e-9);
-    assert!(tau[1] > 0.002 && tau[2] > 0.002, "{tau:?}");
-    assert!(tau[0] > 0.9, "{tau:?}");
+    assert!((pheromone.iter().sum::<f64>() - 1.0).abs() < 1e-9);
+    assert!(pheromone[1] > 0.002 && pheromone[2] > 0.002, "{pheromone:?}");
+    assert!(pheromone[0] > 0.9, "{pheromone:?}");
 }
 
 #[test]
 fn shares_are_unchanged_if_all_servers_are_silent() {
-    let mut tau = [0.2, 0.3, 0.5];
-    window_step(&mut tau, &[None, None, None], 1.0, 1.0);
-    close(&tau, &[0.2, 0.3, 0.5]);
+    let mut pheromone = [0.2, 0.3, 0.5];
+    window_step(&mut pheromone, &[None, None, None], 1.0, 1.0);
+    close(&pheromone, &[0.2, 0.3, 0.5]);
 }
 
 #[test]
@@ -84,9 +84,9 @@
     let mut host = TestHost::new(set, &members(4));
     host.serve(0, 500, |s| vec![50.0, if s == 0 { 0.1 } else { 0.9 }]);
     let got = host.serve(500, 1_000, |s| vec![50.0, if s == 0 { 0.1 } else { 0.9 }]);
-    assert!(got[&0] > 500, "the light server should be drawn most: {got:?}");
+    assert!(got[&0] > 500, "the server with the lowest load is drawn most: {got:?}");
     let least = (1..4).map(|n| got.get(&n).copied().unwrap_or(0)).min();
-    assert!(least > Some(0), "draws are weighted, none is shut out: {got:?}");
+    assert!(least > Some(0), "draws are weighted, no server is left out: {got:?}");
 }
 
 #[test]
@@ -99,8 +99,8 @@
         host.advance(Span(40 * MS));
         host.request(id, SAFE, Span(700 * MS));
         if !host.probes.is_empty() {
-            assert_eq!(host.probes.len(), 4, "all servers are asked");
-            assert_eq!(host.attempts_of(id), 0, "it waits for the answers");
+            assert_eq!(host.probes.len(), 4, "all servers are probed");
+            assert_eq!(host.attempts_of(id), 0, "the request waits for the probe answers");
             host.answer_probes(|s| if s == 3 { 0.0 } else { 3.0 });
         }
         assert_eq!(host.attempts_of(id), 1);
@@ -123,11 +123,11 @@
         host.request(id, SAFE, Span(700 * MS));
         waited += u32::from(host.attempts_of(id) == 0);
         host.advance(Span(10 * MS));
-        assert_eq!(host.attempts_of(id), 1, "an unanswered probe must not hold a request");
+        assert_eq!(host.attempts_of(id), 1, "an unanswered probe must not block a request");
         host.finish(id, Status::Ok, &[0.0, 0.0, 0.0]);
         host.answer_probe(0, Status::Ok, &[0.0, 0.0, 0.0]);
         host.answer_probe(1, Status::Timeout, &[]);
         host.advance(Span(20 * MS));
     }
-    assert!(waited > 0, "no request ever waited for a look");
+    assert!(waited > 0, "no request ever waited for a probe round");
 }
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Lists, drains, cold servers and restarts.
+//! Server lists, draining, cold servers and restarts.
 
 mod common;
 
@@ -11,7 +11,7 @@
         let mut host = TestHost::new(settings(), &members(3));
         host.serve(0, 100, |_| Vec::new());
         host.deliver_list(ListKind::Changes, &[Member { state, ..member(1, 1, 0) }]);
-        // The host asserts that no send goes there.
+        // The test host asserts that no request is sent there.
         let got = host.serve(100, 200, |_| Vec::new());
         assert!(!got.contains_key(&1));
     }
@@ -40,7 +40,7 @@
     host.serve(0, 100, |_| vec![1.0, 0.0, 0.9]);
     let born = host.now;
     host.deliver_list(ListKind::Changes, &[Member { started_at: born, ..member(4, 0, 2) }]);
-    // It reports itself idle and the others busy: everything pulls the shares to it.
+    // It reports itself idle while the others report load: every figure raises its share.
     let load = |s: u32| vec![if s == 4 { 0.0 } else { 1.0 }, 0.0, 0.5];
     let mut sent = 0;
     let mut cold = 0;
@@ -55,14 +55,14 @@
             host.finish(id, Status::Ok, &load(host.server_of(id).0));
         }
     }
-    // Warmth 0.3 to 0.4 beside four warm ones, with a quarter on top.
+    // Warmth 0.3 to 0.4 beside four warm servers, with a quarter on top.
     let most = f64::from(sent) * 1.25 * 0.4 / 4.4 + 3.0;
     assert!(f64::from(cold) <= most, "{cold} of {sent} went to the cold server");
-    assert!(cold > 0, "a cold server is not shut out: {sent}");
+    assert!(cold > 0, "the cold server gets requests too, of {sent}");
 }
 
-/// Guards the sum over many instances: with each request turned away by every warm server, the cold one once got 30 of
-/// 230 attempts, as those earned its budget too.
+/// Guards the sum over many instances: with each request rejected by every warm server, the cold one once got
+/// 30 of 230 attempts, as rejected attempts earned its budget too.
 #[test]
 fn rejected_attempts_earn_no_cold_budget() {
     let mut host = TestHost::new(settings(), &members(4));
@@ -80,8 +80,8 @@
     }
     let to_cold = host.sends[before..].iter().filter(|(_, server)| *server == cold.server).count();
     let all = host.sends.len() - before;
-    assert!(all >= 200, "attempts go out: {all}");
-    // Its first credit, at most one and a half, and what its own few requests earn.
+    assert!(all >= 200, "attempts are sent: {all}");
+    // Its first credit, at most one and a half requests, and what its own few requests earn.
     assert!(to_cold <= 3, "{to_cold} of {all} went to the cold server");
 }
 
@@ -92,7 +92,7 @@
     let born = host.now;
     host.deliver_list(ListKind::Changes, &[Member { started_at: born, ..member(0, 0, 0) }]);
     let got = host.serve(200, 100, |_| Vec::new());
-    // Warmth 0.3 to 0.5 beside two warm ones: at most about 100 * 1.25 * 0.5 / 2.5.
+    // Warmth 0.3 to 0.5 beside two warm servers: at most about 100 * 1.25 * 0.5 / 2.5.
     assert!(got.get(&0).copied().unwrap_or(0) <= 28, "{got:?}");
 }
 
@@ -123,17 +123,17 @@
     set.discovery = Discovery::OnRequest;
     let mut host = TestHost::new(set.clone(), &[]);
     host.advance(Span(MS));
-    assert_eq!(watches(&host), 1, "who knows no server asks at once");
+    assert_eq!(watches(&host), 1, "an instance without servers calls at once");
     host = TestHost::new(set, &members(3));
     host.advance(Span(100 * MS));
     assert_eq!(watches(&host), 1);
     host.deliver_list(ListKind::Failed, &[]);
     host.advance(Span(2_500 * MS));
-    assert!(watches(&host) >= 2, "asked again well within the time after which it counts as told");
+    assert!(watches(&host) >= 2, "calls again well within `ask_within`");
     host.deliver_list(ListKind::Full, &members(2));
     let asked = watches(&host);
     host.advance(Span(30_000 * MS));
-    assert_eq!(watches(&host), asked, "a subscription that stands needs no further calls");
+    assert_eq!(watches(&host), asked, "an active subscription needs no further calls");
     host.deliver_list(ListKind::Failed, &[]);
     host.advance(Span(2_500 * MS));
     assert!(watches(&host) > asked, "a broken subscription is renewed");
@@ -165,7 +165,8 @@
     assert_eq!(watches(&host), 0);
 }
 
-/// Each failed call left two timers behind; calls doubled until they flooded the host (incident ib1ff4a).
+/// Each failed call left two timers behind, so that calls doubled until they flooded the host (incident
+/// ib1ff4a).
 #[test]
 fn repeatedly_failing_calls_stay_rare() {
     let mut set = settings();
@@ -182,22 +183,26 @@
     assert!((20..80).contains(&answered), "{answered} calls in a minute");
 }
 
-/// A list service for all: it takes 50 ms a call in turn, turns away what would wait over four seconds, and fails what
-/// waited two, after which it does the work all the same. Sidecars that each asked again every two seconds kept it full
-/// of calls that all came too late, and none was answered for as long as the day lasted.
+/// Simulates a shared discovery service that takes 50 ms for each call, one at a time, rejects calls that
+/// would wait over four seconds, and fails those that waited two but still does their work. Sidecars that
+/// each called again every two seconds kept it full of calls that were all late, and none was answered for
+/// the rest of the run.
 #[test]
 fn hundred_instances_starting_together_all_get_a_watch() {
-    let (turn, patience) = (Span(50 * MS), Span(2_000 * MS));
+    let call_duration = Span(50 * MS);
+    let call_timeout = Span(2_000 * MS);
     let mut set = settings();
     (set.discovery, set.instance_count) = (Discovery::OnRequest, 100);
-    // Where they start at once, and where all their calls have just failed together.
+    // All start at once, or all their calls have just failed together.
     for broken in [false, true] {
         let start = |me: u32| {
             let set = Settings { instance_index: me, ..set.clone() };
             TestHost::with_seed(set, &members(60), u64::from(me) + 1)
         };
         let mut hosts: Vec<(TestHost, usize)> = (0..100).map(|me| (start(me), 0)).collect();
-        let (mut free, mut calls, mut told) = (START, Vec::new(), 0);
+        let mut free = START;
+        let mut calls = Vec::new();
+        let mut answered = 0;
         if broken {
             hosts.iter_mut().for_each(|(host, _)| host.deliver_list(ListKind::Failed, &[]));
         }
@@ -207,9 +212,9 @@
                 host.advance(Span(10 * MS));
                 for _ in *seen..watches(host) {
                     let wait = free - now;
-                    if wait <= patience.times(2.0) {
-                        free = free.max(now) + turn;
-                        let (late, at) = (wait > patience, now + wait.min(patience));
+                    if wait <= call_timeout.times(2.0) {
+                        free = free.max(now) + call_duration;
+                        let (late, at) = (wait > call_timeout, now + wait.min(call_timeout));
                         calls.push((at, me, if late { ListKind::Failed } else { ListKind::Changes }));
                     } else {
                         calls.push((now, me, ListKind::Failed));
@@ -221,15 +226,15 @@
             calls = rest;
             for (_, me, kind) in due {
                 hosts[me].0.deliver_list(kind, &[]);
-                told += usize::from(kind == ListKind::Changes);
+                answered += usize::from(kind == ListKind::Changes);
             }
         }
-        assert!(told >= 97, "{told} of 100 hold a watch after 18 s (broken: {broken})");
+        assert!(answered >= 97, "{answered} of 100 have a watch after 18 s (broken: {broken})");
     }
 }
 
-/// With a price on handshakes a balancer uses so few servers that each is drawn again while its connection is kept;
-/// without one it uses all.
+/// With a price on handshakes a balancer uses so few servers that each is drawn again while its connection is
+/// open; without one it uses all.
 #[test]
 fn expensive_handshakes_limit_the_subset() {
     let used = |price: f64| {
@@ -244,10 +249,10 @@
         }
         host.sends.iter().map(|(_, server)| server.0).collect::<std::collections::BTreeSet<_>>().len()
     };
-    let (free, dear) = (used(0.0), used(0.08));
+    let (free, expensive) = (used(0.0), used(0.08));
     assert!(free >= 45, "{free} servers used where handshakes are free");
-    // 15 requests a second over 5 s, each server met in that time with a chance of nine in ten.
-    assert!((20..=40).contains(&dear), "{dear} servers used where they are dear");
+    // 15 requests per second over 5 s, each server drawn in that time with a chance of nine in ten.
+    assert!((20..=40).contains(&expensive), "{expensive} servers used where handshakes are expensive");
 }
 
 fn priced(balancers: u32, me: u32) -> Settings {
@@ -257,25 +262,26 @@
     set
 }
 
-/// A keyed request that may have run is repeated in its group also where the group is not otherwise used.
+/// A keyed request that may have run is retried within its group, also where the group is outside the subset.
 #[test]
 fn bound_retry_reaches_its_group_outside_the_subset() {
     let mut host = TestHost::new(priced(800, 3), &members(160));
     host.serve(0, 30, |_| Vec::new());
-    let mut again = 0;
+    let mut retried = 0;
     for id in 100..130 {
         host.request(id, KEYED_CELL, Span(700 * MS));
         host.advance(Span(MS));
         host.finish(id, Status::Error, &[]);
-        again += u32::from(host.attempts_of(id) == 2);
+        retried += u32::from(host.attempts_of(id) == 2);
         host.finish(id, Status::Ok, &[]);
-        // An error now and then is no reason to leave a server out.
+        // An occasional error must not exclude a server.
         host.serve(1_000 + 20 * id, 20, |_| Vec::new());
     }
-    assert_eq!(again, 30);
+    assert_eq!(retried, 30);
 }
 
-/// Adds up what many quiet balancers send to each of 50 servers in four seconds, `cold` of which just started.
+/// Sums the requests that many low-traffic balancers send to each of 50 servers in four seconds, `cold` of
+/// which just started.
 fn sent_by_many(cold: u32) -> Vec<u32> {
     let mut list = members(50);
     list.iter_mut().take(cold as usize).for_each(|m| m.started_at = START);
@@ -299,7 +305,7 @@
     got
 }
 
-/// Hundreds of balancers each start with a chance credit: all together must stay within the cold budget.
+/// Hundreds of balancers each start with a random credit: together they must stay within the cold budget.
 #[test]
 fn many_low_traffic_balancers_keep_the_cold_budget_together() {
     let got = sent_by_many(10);
@@ -307,24 +313,28 @@
     let most = *got[..10].iter().max().unwrap();
     let total: u32 = got[..10].iter().sum();
     // Warmth goes from 0.3 to 0.65 meanwhile; a quarter on top.
-    assert!(f64::from(total) < 10.0 * 0.65 * 1.25 * f64::from(mean), "{total} to ten cold ones, mean {mean}");
-    assert!(most < mean, "{most} to one cold server where a mean one gets {mean}");
-    assert!(total > 2 * mean, "cold servers are not shut out: {total}");
+    assert!(
+        f64::from(total) < 10.0 * 0.65 * 1.25 * f64::from(mean),
+        "{total} to ten cold servers, mean {mean}"
+    );
+    assert!(most < mean, "{most} to one cold server where the mean server gets {mean}");
+    assert!(total > 2 * mean, "cold servers get requests too: {total}");
 }
 
-/// After a mass death, or a release of the whole fleet, nothing is warm: the work is spread evenly all the same.
+/// After a crash of all servers, or a release to the whole fleet, no server is warm: the work is still spread
+/// evenly.
 #[test]
 fn many_low_traffic_balancers_spread_work_over_an_all_cold_fleet() {
     let got = sent_by_many(50);
     let mean = got.iter().sum::<u32>() / 50;
-    assert!(mean > 60, "{mean} of 80 requests a server were sent");
+    assert!(mean > 60, "{mean} of 80 requests per server were sent");
     assert!(*got.iter().max().unwrap() < 2 * mean, "{got:?}");
 }
 
 #[test]
 fn reused_server_number_starts_afresh() {
     let mut host = TestHost::new(settings(), &members(3));
-    // Connections to it fail again and again, until it is left out for long.
+    // Connections to it fail again and again, until it is excluded for long.
     let mut id = 0;
     for _ in 0..6 {
         host.advance(Span(60_000 * MS));
@@ -345,16 +355,16 @@
     assert!(got.get(&1).is_some_and(|n| *n > 10), "{got:?}");
 }
 
-/// Guards against slow bodies: counted as load before a server had them, they had requests refused at idle servers,
-/// which were thought silent too.
+/// Guards against slow request bodies: counted as load before a server had them, they had requests refused at
+/// idle servers, which were also taken to be silent.
 #[test]
 fn request_body_in_upload_counts_as_neither_load_nor_silence() {
-    let play = |told: bool| {
+    let play = |upload_events: bool| {
         let mut host = TestHost::new(counting(), &members(2));
         host.serve(0, 40, |_| vec![0.0, 0.0, 0.1]);
         for id in 100..130 {
             host.request(id, UNSAFE, Span(700 * MS));
-            if told && host.attempts_of(id) > 0 {
+            if upload_events && host.attempts_of(id) > 0 {
                 let server = host.server_of(id);
                 host.deliver(Event::Upload { id: RequestId(id), server, finished: false });
             }
@@ -367,13 +377,13 @@
     let (host, out) = play(false);
     assert!(
         out < 30 && host.answer_of(200) == Some(Answer::Refused),
-        "without the word they fill both servers"
+        "without upload events they fill both servers"
     );
     let (mut host, out) = play(true);
     assert_eq!((out, host.attempts_of(200)), (30, 1));
     host.finish(200, Status::Ok, &[0.0, 0.0, 0.1]);
     let silent = |host: &TestHost| host.actions.iter().any(|a| matches!(a, Action::Log { .. }));
-    // Far longer than three mean delays: nothing is due from either server.
+    // Far longer than three mean delays, but neither server owes an answer.
     host.requests
         .values_mut()
         .flat_map(|a| &mut a.attempts)
@@ -381,7 +391,7 @@
     host.requests.values_mut().for_each(|a| a.deadline = a.deadline + Span(10_000 * MS));
     host.advance(Span(2_000 * MS));
     assert!(!silent(&host));
-    // From its last byte on it counts, and its time begins: it never ran, and may be tried again.
+    // With its last byte it counts as load and its time begins: it never ran, and may be retried.
     let server = host.server_of(100);
     host.deliver(Event::Upload { id: RequestId(100), server, finished: true });
     host.advance(Span(10 * MS));
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -1,4 +1,5 @@
-//! One test for each failure found on the bench; the comments of `src/rules.rs` name the same ones.
+//! Regression tests, one for each failure found on the bench; the comments of `src/rules.rs` describe the
+//! same ones.
 
 mod common;
 
@@ -6,13 +7,13 @@
 use dunlincleat::api::*;
 use std::collections::BTreeSet;
 
-/// Requests held behind others were once forgotten until their clients had left.
+/// Requests queued behind others were forgotten until their clients had left.
 #[test]
 fn queued_requests_are_all_answered_in_time() {
     let mut host = TestHost::new(settings(), &members(2));
     for id in 0..4 {
         host.request(id, SAFE, Span(700 * MS));
-        // Both servers drop out of reach.
+        // Both servers become unreachable.
         host.finish(id, Status::ConnectFailed, &[]);
     }
     for id in 10..40 {
@@ -24,7 +25,7 @@
     }
 }
 
-/// Each return to the queue once set a new timer, millions on a day.
+/// Each return to the queue set a new timer, millions in one run.
 #[test]
 fn queued_request_sets_one_timer() {
     let mut host = TestHost::new(counting(), &members(2));
@@ -40,7 +41,8 @@
     assert!(timers(&host) - before < 20 + 200, "{} timers", timers(&host) - before);
 }
 
-/// A server that takes work and answers nothing shows by silence, long before errors could be counted.
+/// A server that accepts requests and answers none is detected by its silence, long before errors could be
+/// counted.
 #[test]
 fn silent_server_is_excluded_until_it_answers() {
     let mut host = TestHost::new(settings(), &members(4));
@@ -48,7 +50,7 @@
     let mut to_silent = 0;
     for id in 200..500 {
         host.request(id, UNSAFE, Span(700 * MS));
-        // Some are shed while attempts time out.
+        // Some requests are shed while attempts time out.
         let silent = host.attempts_of(id) > 0 && host.server_of(id).0 == 2;
         to_silent += u32::from(silent);
         host.advance(Span(20 * MS));
@@ -59,7 +61,7 @@
     assert!(to_silent < 25, "{to_silent} requests went to a server that hangs");
 }
 
-/// At the start a few quick answers made every server look silent.
+/// At the start a few fast answers made every server look silent.
 #[test]
 fn no_server_is_suspected_within_the_tightest_aim() {
     let mut host = TestHost::new(settings(), &members(4));
@@ -73,20 +75,20 @@
     }
     host.advance(Span(250 * MS));
     host.request(20, SAFE, Span(700 * MS));
-    assert_eq!(host.attempts_of(20), 1, "servers that are merely at work are still used");
+    assert_eq!(host.attempts_of(20), 1, "servers that are only busy are still used");
 }
 
-/// A full server was tried again and again within a window.
+/// A server that rejected an attempt was tried again and again within a window.
 #[test]
 fn rejecting_server_is_excluded_briefly() {
     let mut host = TestHost::new(settings(), &members(2));
     host.request(1, SAFE, Span(700 * MS));
     host.finish(1, Status::Rejected, &[]);
     host.finish(1, Status::Rejected, &[]);
-    assert_eq!(host.attempts_of(1), 2, "both are full, a third attempt would only add to it");
+    assert_eq!(host.attempts_of(1), 2, "both servers are full, a third attempt would only add load");
 }
 
-/// A turn mistaken for too long once had an idle fleet refuse everything for good.
+/// An overestimated service time had every request refused for good at an idle fleet.
 #[test]
 fn idle_servers_are_never_overloaded() {
     let mut host = TestHost::new(counting(), &members(3));
@@ -116,11 +118,11 @@
     host.advance(Span(120 * MS));
     let refused = (100..200).filter(|id| host.attempts_of(*id) == 0);
     for id in refused {
-        assert_eq!(host.answer_of(id), Some(Answer::Refused), "waits here are short");
+        assert_eq!(host.answer_of(id), Some(Answer::Refused), "requests wait only briefly in the queue");
     }
 }
 
-/// A class with a long aim filled servers until tighter ones were all refused (incident i0223ba).
+/// A class with a long aim filled servers until all requests of tighter ones were refused (incident i0223ba).
 #[test]
 fn tightest_class_limits_all_classes() {
     let mut set = counting();
@@ -132,10 +134,10 @@
         host.request(id, KEYED_ALL, Span(40_000 * MS));
     }
     let sent = host.sends.len() - 100;
-    assert!(sent < 60, "{sent} patient requests were sent at once to two servers");
+    assert!(sent < 60, "{sent} requests with a long aim were sent at once to two servers");
 }
 
-/// Messages that are cut short, far too long, from nobody or of unknown servers do no harm.
+/// Messages that are truncated, too long, from unknown instances or about unknown servers do no harm.
 #[test]
 fn malformed_peer_messages_are_ignored() {
     let mut set = settings();
@@ -150,7 +152,7 @@
     assert_eq!(got.len(), 3);
 }
 
-/// A client about to leave was once made to wait for probe answers past its time.
+/// A client about to leave had to wait for probe answers beyond its time.
 #[test]
 fn client_about_to_leave_does_not_wait_for_a_probe_round() {
     let mut set = counting();
@@ -162,10 +164,13 @@
     assert!(host.attempts_of(100) == 1 && !probed(&host));
     host.advance(Span(100 * MS));
     host.request(101, SAFE, Span(700 * MS));
-    assert!(host.attempts_of(101) == 0 && probed(&host), "the patient one waits for a look");
+    assert!(
+        host.attempts_of(101) == 0 && probed(&host),
+        "the request with time left waits for a probe round"
+    );
 }
 
-/// A balancer with few requests kept hearing from the same few servers and let the rest starve.
+/// A balancer with few requests kept using the few servers that had answered, and the others got none.
 #[test]
 fn low_traffic_balancer_keeps_using_all_servers() {
     let used = |seed: u64| {
@@ -182,10 +187,10 @@
         host.sends.iter().rev().take(60).map(|(_, s)| s.0).collect::<BTreeSet<u32>>().len()
     };
     let mean = (1..=20).map(used).sum::<usize>() as f64 / 20.0;
-    assert!(mean >= 4.5, "of 8 servers {mean} are still used in the mean of 20 seeds");
+    assert!(mean >= 4.5, "on average over 20 seeds, {mean} of 8 servers are still used");
 }
 
-/// One heavy answer at the start had a quiet balancer refuse a class for good.
+/// One slow answer at the start had a low-traffic balancer refuse a class for good.
 #[test]
 fn few_slow_answers_do_not_block_a_class() {
     let mut host = TestHost::new(counting(), &members(2));
@@ -197,13 +202,13 @@
     host.advance(Span(2_000 * MS));
     for id in 10..30 {
         host.request(id, SAFE, Span(700 * MS));
-        assert_eq!(host.attempts_of(id), 1, "refused on the word of three answers");
+        assert_eq!(host.attempts_of(id), 1, "refused after only three slow answers");
         host.advance(Span(30 * MS));
         host.finish(id, Status::Ok, &[2.0, 1.0, 1.0]);
     }
 }
 
-/// Where nothing probes, a server once suspected was never tried again.
+/// Without probes, a server once suspected was never tried again.
 #[test]
 fn silent_server_is_retried_one_request_at_a_time() {
     let mut host = TestHost::new(settings(), &members(3));
@@ -226,10 +231,10 @@
     let lost = host.requests.values().filter(|a| a.answer == Some(Answer::Failed)).count();
     assert!(lost < 20, "{lost} requests were lost to a server that hangs");
     assert!(shed < 40, "{shed} of 800 were shed for one server of three that hangs");
-    assert!(recovered > 20, "it got only {recovered} requests after it was well again");
+    assert!(recovered > 20, "it got only {recovered} requests after it recovered");
 }
 
-/// One long request had quiet balancers suspect every server they used.
+/// One long request had low-traffic balancers suspect every server they used.
 #[test]
 fn one_long_request_is_not_silence() {
     let mut set = settings();
@@ -243,10 +248,11 @@
     host.request(100, UNSAFE, Span(700 * MS));
     host.advance(Span(430 * MS));
     let silent = host.actions.iter().any(|a| matches!(a, Action::Log { .. }));
-    assert!(!silent, "a single attempt out for under nine mean delays");
+    assert!(!silent, "a single attempt outstanding for less than nine mean delays");
 }
 
-/// Servers once seen idle seemed so for ever, and under load most draws fell on them (incident ie6339f).
+/// Servers once reported idle counted as idle for ever, and under load most draws fell on them (incident
+/// ie6339f).
 #[test]
 fn stale_idle_reports_attract_no_requests_under_load() {
     let mut set = counting();
@@ -255,18 +261,19 @@
     let mut host = TestHost::new(set, &members(60));
     let mut sent = 0;
     for id in 0..135 {
-        let held = if id < 120 { 0.0 } else { 6.0 };
+        let load = if id < 120 { 0.0 } else { 6.0 };
         host.request(id, SAFE, Span(700 * MS));
-        host.answer_probes(|_| held);
+        host.answer_probes(|_| load);
         host.advance(Span(80 * MS));
         sent += u32::from(id >= 125 && host.attempts_of(id) > 0);
-        host.finish(id, Status::Ok, &[held, 0.0, 1.0]);
+        host.finish(id, Status::Ok, &[load, 0.0, 1.0]);
         host.advance(Span(20 * MS));
     }
-    assert!(sent < 4, "{sent} of 10 requests went to servers that only seemed idle");
+    assert!(sent < 4, "{sent} of 10 requests went to servers with outdated idle reports");
 }
 
-/// A quiet balancer refused all for longer and longer after an overload: no sends, no answers, no end of it.
+/// After an overload a low-traffic balancer refused all requests for longer and longer: without sends there
+/// were no answers that could have ended it.
 #[test]
 fn low_traffic_balancer_forgets_service_times_of_an_overload() {
     let mut set = settings();
@@ -295,8 +302,8 @@
     set.limits.probes = true;
     let mut host = TestHost::new(set, &members(4));
     host.serve(0, 100, |_| vec![1.0, 0.0, 0.3]);
-    // Every eighth attempt breaks, wherever it is: taken for a server out of reach each time, nearly all were
-    // left out and the rest had no room.
+    // Every eighth attempt breaks, at any server: when each was taken for an unreachable server, nearly all
+    // servers were excluded and the rest had no capacity.
     let (mut id, mut ended, mut refused) = (1000, 0, 0);
     while id < 1800 {
         host.request(id, SAFE, Span(700 * MS));
@@ -307,11 +314,11 @@
             let status = if ended % 8 == 0 { Status::Reset } else { Status::Ok };
             host.finish(id, status, &[1.0, 0.0, 0.3]);
         }
-        // Some of those before this timed out all at once, which has a few more shed.
+        // Some requests before this one timed out together, so that a few more are shed.
         refused += u32::from(id >= 1100 && host.answer_of(id) != Some(Answer::Served));
         id += 1;
     }
-    // A few, until it is known how many break by chance; 301 while each break was a server's fault.
+    // A few, until the rate of random breaks is known; 301 when each break counted against its server.
     assert!(refused < 10, "{refused} refused");
 }
 
@@ -322,7 +329,7 @@
     let mut host = TestHost::new(set, &members(4));
     host.serve(0, 100, |_| vec![1.0, 0.0, 0.3]);
     // Server 1 answers at once, nearly always with an error, and so looks idle; its probes are answered. The
-    // others take 40 ms each.
+    // others take 40 ms for each request.
     let mut got = [0; 4];
     for id in 1000..2000 {
         host.request(id, UNSAFE, Span(700 * MS));
@@ -348,7 +355,7 @@
     let mut set = counting();
     set.limits.probes = true;
     let mut host = TestHost::new(set, &members(8));
-    // The most probes that one request had sent, of the last hundred.
+    // The most probes sent for one request, over the last hundred.
     let mut most = 0;
     for id in 0..400 {
         host.advance(Span(20 * MS));
@@ -361,18 +368,19 @@
         host.advance(Span(10 * MS));
         host.finish(id, Status::Ok, &[]);
     }
-    assert!(most >= 2, "servers thought idle: {most} probed at a time");
+    assert!(most >= 2, "servers counted as idle: {most} probed at a time");
 }
 
-/// Servers that all instances kept full answered half of what they could in time. Where attempts time out a part of the
-/// requests is refused before it is sent, the least of those worth most; and none any more once answers come in time.
+/// Servers that all instances kept full answered only half of what they could in time. Where attempts time
+/// out some requests are shed before they are sent, fewest of those with the highest worth; and none once
+/// answers are timely.
 #[test]
 fn timeouts_cause_shedding_by_worth_until_answers_are_timely() {
     let mut set = settings();
     set.classes[KEYED_ALL as usize].worth = 10.0;
     let mut host = TestHost::new(set, &members(8));
     let mut id = 0;
-    let mut play = |host: &mut TestHost, asked: u64, timely: fn(u64) -> bool| {
+    let mut run = |host: &mut TestHost, asked: u64, timely: fn(u64) -> bool| {
         let mut unsent = [0, 0];
         for n in 0..asked {
             id += 1;
@@ -387,16 +395,26 @@
         }
         unsent
     };
-    assert_eq!(play(&mut host, 200, |_| true), [0, 0], "nothing is shed on a calm day");
-    assert!(play(&mut host, 200, |n| n % 10 != 0).iter().sum::<u32>() <= 6, "one late in ten is no overload");
-    let [cheap, dear] = play(&mut host, 400, |n| n % 5 < 2);
-    assert!(cheap >= 100 && dear >= 20, "{cheap} and {dear} of 200 shed where three of five time out");
-    assert!(dear * 3 < cheap * 2, "{dear} of those worth most shed against {cheap}");
-    play(&mut host, 100, |_| true);
-    assert_eq!(play(&mut host, 200, |_| true), [0, 0], "shed no longer than the trouble lasts");
+    assert_eq!(run(&mut host, 200, |_| true), [0, 0], "nothing is shed without timeouts");
+    assert!(
+        run(&mut host, 200, |n| n % 10 != 0).iter().sum::<u32>() <= 6,
+        "one late answer in ten is no overload"
+    );
+    let [low_worth, high_worth] = run(&mut host, 400, |n| n % 5 < 2);
+    assert!(
+        low_worth >= 100 && high_worth >= 20,
+        "{low_worth} and {high_worth} of 200 shed where three of five time out"
+    );
+    assert!(
+        high_worth * 3 < low_worth * 2,
+        "{high_worth} of high worth shed against {low_worth} of low worth"
+    );
+    run(&mut host, 100, |_| true);
+    assert_eq!(run(&mut host, 200, |_| true), [0, 0], "nothing is shed after the overload");
 }
 
-/// Classes without a worth are all alike: their worth over their mean, 0 over 0, had nine of ten requests refused.
+/// Classes without a worth are all alike: their worth over their mean, 0 over 0, had nine of ten requests
+/// refused.
 #[test]
 fn shedding_ignores_worth_if_no_class_has_one() {
     let mut set = settings();
