--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1062,7 +1062,7 @@
         let used = self.subset.len();
         match self.cumulative_shares.get(place) {
             Some(upper) if place > 0 => upper - self.cumulative_shares[place - 1],
-            Some(upper) => upper - 0.0,
+            Some(upper) => *upper,
             None => self.cumulative_shares[used - 1] / used as f64,
         }
     }
