--- a/src/rules.rs
+++ b/src/rules.rs
@@ -390,7 +390,7 @@
     accepted_sends: i64,
     started_at: Option<Time>,
     probe_credit: f64,
-    /// Place in the subset of the server that was probed last.
+    /// Index in the subset of the server that was probed last.
     last_probed: usize,
     /// Smoothed share of probed servers that were busy.
     busy_share: f64,
@@ -1021,16 +1021,16 @@
     /// with the mean share.
     fn draw_server(&mut self, now: Time, selection: Selection) -> Option<ServerId> {
         let candidates = if selection.scope.is_some() { self.listed.len() } else { self.subset.len() };
-        let mut places: Vec<usize> = (0..candidates).collect();
+        let mut ranks: Vec<usize> = (0..candidates).collect();
         let mut from = 0;
         let mut to = candidates;
         if let (Some(key), None) = (selection.key, selection.scope) {
             to = self.servers_for_key(key);
-            places.sort_by_cached_key(|place| mix64(key ^ self.server(self.listed[*place]).global_id));
+            ranks.sort_by_cached_key(|rank| mix64(key ^ self.server(self.listed[*rank]).global_id));
         }
         // Each round without an eligible server doubles the number of servers looked at.
         while from < candidates {
-            let drawn = self.draw_among(now, &places[from..to.min(candidates)], selection);
+            let drawn = self.draw_among(now, &ranks[from..to.min(candidates)], selection);
             if drawn.is_some() {
                 return drawn;
             }
@@ -1040,14 +1040,14 @@
         None
     }
 
-    /// Draws one of the eligible servers at these places of the order of use.
-    fn draw_among(&mut self, now: Time, places: &[usize], selection: Selection) -> Option<ServerId> {
+    /// Draws one of the eligible servers among those at these ranks of the order of use.
+    fn draw_among(&mut self, now: Time, ranks: &[usize], selection: Selection) -> Option<ServerId> {
         let mut eligible: Vec<(ServerId, f64)> = Vec::new();
         let mut sum = 0.0;
-        for place in places {
-            let id = self.listed[*place];
+        for rank in ranks {
+            let id = self.listed[*rank];
             if self.is_eligible(now, id, selection) {
-                sum += self.share_at(*place);
+                sum += self.share_at(*rank);
                 eligible.push((id, sum));
             }
         }
@@ -1057,11 +1057,11 @@
         Some(hit.map_or(last, |(id, _)| *id))
     }
 
-    /// The share of the server at a place of the order of use; the mean share outside the subset.
-    fn share_at(&self, place: usize) -> f64 {
+    /// The share of the server at a rank of the order of use; the mean share outside the subset.
+    fn share_at(&self, rank: usize) -> f64 {
         let used = self.subset.len();
-        match self.cumulative_shares.get(place) {
-            Some(upper) if place > 0 => upper - self.cumulative_shares[place - 1],
+        match self.cumulative_shares.get(rank) {
+            Some(upper) if rank > 0 => upper - self.cumulative_shares[rank - 1],
             Some(upper) => *upper,
             None => self.cumulative_shares[used - 1] / used as f64,
         }
@@ -1124,13 +1124,13 @@
         self.subset = self.listed[..size].to_vec();
         let mean = 1.0 / size as f64;
         let or_mean = |pheromone: f64| if pheromone > 0.0 { pheromone } else { mean };
-        for (place, id) in self.listed.iter().enumerate() {
+        for (rank, id) in self.listed.iter().enumerate() {
             let server = &mut self.servers[id.0 as usize];
-            server.pheromone = if place < size { server.pheromone.map(or_mean) } else { [0.0; 2] };
+            server.pheromone = if rank < size { server.pheromone.map(or_mean) } else { [0.0; 2] };
         }
     }
 
-    /// The order in which this balancer uses the listed servers: from its own place in the order of their
+    /// The order in which this balancer uses the listed servers: from its own start in the order of their
     /// global ids in growing steps, so that all balancers together cover them evenly and few use the same
     /// ones.
     fn preference_order(&self, mut ring: Vec<ServerId>) -> Vec<ServerId> {
@@ -1161,10 +1161,10 @@
         let mut taken = vec![false; len];
         let mut order = Vec::with_capacity(len);
         for step in steps {
-            let place = (start + step) % len;
-            if !taken[place] {
-                taken[place] = true;
-                order.push(ring[place]);
+            let position = (start + step) % len;
+            if !taken[position] {
+                taken[position] = true;
+                order.push(ring[position]);
             }
         }
         order
@@ -1297,8 +1297,8 @@
     fn detect_silent_servers(&mut self, now: Time, todo: &mut Vec<Action>) {
         let aim = tightest_aim(&self.settings);
         let Some(mean_delay) = self.mean_delay else { return };
-        for place in 0..self.subset.len() {
-            let id = self.subset[place];
+        for rank in 0..self.subset.len() {
+            let id = self.subset[rank];
             let reports_stopped = self.reports_stopped(now, self.server(id));
             let Some(server) = self.server_mut(id) else { continue };
             if reports_stopped && server.failure_count == 0 {
@@ -1476,11 +1476,11 @@
         let mean_worth = classes().map(|class| class.worth).sum::<f64>() / classes().count() as f64;
         let worth = self.class(class).map_or(0.0, |class| class.worth).max(0.01 * mean_worth);
         // Where no class has a worth all are alike: 0 over 0 had nine of ten requests refused.
-        let cheapness = if mean_worth > 0.0 { mean_worth / worth } else { 1.0 };
+        let worth_exponent = if mean_worth > 0.0 { mean_worth / worth } else { 1.0 };
         let tail = self.settings.tail;
         let timely_bar =
             if tail.share > 0.0 { (1.0 - 2.0 * tail.allowed_misses).max(0.01) } else { MIN_TIMELY_SHARE };
-        let kept = (self.timely_share / timely_bar).powi(2).min(1.0).powf(cheapness).max(0.1);
+        let kept = (self.timely_share / timely_bar).powi(2).min(1.0).powf(worth_exponent).max(0.1);
         kept >= 1.0 || self.rng.0.random::<f64>() < kept
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -381,16 +381,16 @@
     /// Sends `n` requests one after the other, each served 20 ms later, and counts the requests at each
     /// server.
     pub fn serve(&mut self, first: u64, n: u64, load: impl Fn(u32) -> Vec<f64>) -> BTreeMap<u32, u64> {
-        let mut got = BTreeMap::new();
+        let mut received = BTreeMap::new();
         for id in first..first + n {
             self.request(id, SAFE, Span(700 * MS));
             if self.attempts_of(id) > 0 {
                 let server = self.server_of(id).0;
-                *got.entry(server).or_insert(0) += 1;
+                *received.entry(server).or_insert(0) += 1;
                 self.advance(Span(20 * MS));
                 self.finish(id, Status::Ok, &load(server));
             }
         }
-        got
+        received
     }
 }
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -140,8 +140,8 @@
 #[test]
 fn single_server_gets_all_requests() {
     let mut host = TestHost::new(settings(), &members(1));
-    let got = host.serve(0, 50, |_| Vec::new());
-    assert_eq!(got[&0], 50);
+    let received = host.serve(0, 50, |_| Vec::new());
+    assert_eq!(received[&0], 50);
 }
 
 #[test]
--- a/tests/pheromone.rs
+++ b/tests/pheromone.rs
@@ -6,10 +6,10 @@
 use dunlincleat::api::*;
 use dunlincleat::rules::{saturated, window_step};
 
-fn close(got: &[f64], want: &[f64]) {
-    assert_eq!(got.len(), want.len());
-    for (g, w) in got.iter().zip(want) {
-        assert!((g - w).abs() < 1e-6, "{got:?} is not {want:?}");
+fn assert_close(actual: &[f64], expected: &[f64]) {
+    assert_eq!(actual.len(), expected.len());
+    for (a, e) in actual.iter().zip(expected) {
+        assert!((a - e).abs() < 1e-6, "{actual:?} is not {expected:?}");
     }
 }
 
@@ -18,7 +18,7 @@
     // Idle: 0.5 + 1 * (1 - 0.5) = 1. Silent: 0.5 - 0.2 * 0.5 = 0.4. Sum 1.4.
     let mut pheromone = [0.5, 0.5];
     window_step(&mut pheromone, &[Some(0.0), None], 1.0, 1.0);
-    close(&pheromone, &[1.0 / 1.4, 0.4 / 1.4]);
+    assert_close(&pheromone, &[1.0 / 1.4, 0.4 / 1.4]);
 }
 
 #[test]
@@ -27,7 +27,7 @@
     let mut pheromone = [0.25, 0.75];
     window_step(&mut pheromone, &[Some(0.5), Some(1.0)], 1.0, 1.0);
     let sum = 0.868_270_5 + 0.75;
-    close(&pheromone, &[0.868_270_5 / sum, 0.75 / sum]);
+    assert_close(&pheromone, &[0.868_270_5 / sum, 0.75 / sum]);
 }
 
 #[test]
@@ -35,7 +35,7 @@
     let mut pheromone = [0.5, 0.5];
     window_step(&mut pheromone, &[Some(0.0), None], 0.2, 0.2);
     // A fifth of the way from 0.5 to 0.7142857 and to 0.2857143.
-    close(&pheromone, &[0.542_857_1, 0.457_142_9]);
+    assert_close(&pheromone, &[0.542_857_1, 0.457_142_9]);
 }
 
 #[test]
@@ -53,7 +53,7 @@
 fn shares_are_unchanged_if_all_servers_are_silent() {
     let mut pheromone = [0.2, 0.3, 0.5];
     window_step(&mut pheromone, &[None, None, None], 1.0, 1.0);
-    close(&pheromone, &[0.2, 0.3, 0.5]);
+    assert_close(&pheromone, &[0.2, 0.3, 0.5]);
 }
 
 #[test]
@@ -69,10 +69,10 @@
 #[test]
 fn equal_servers_are_drawn_equally() {
     let mut host = TestHost::new(settings(), &members(4));
-    let got = host.serve(0, 4_000, |_| Vec::new());
+    let received = host.serve(0, 4_000, |_| Vec::new());
     for n in 0..4 {
-        let part = got[&n] as f64 / 4_000.0;
-        assert!((part - 0.25).abs() < 0.05, "{got:?}");
+        let part = received[&n] as f64 / 4_000.0;
+        assert!((part - 0.25).abs() < 0.05, "{received:?}");
     }
 }
 
@@ -83,10 +83,10 @@
     set.fields = vec![Field::Other, Field::Util];
     let mut host = TestHost::new(set, &members(4));
     host.serve(0, 500, |s| vec![50.0, if s == 0 { 0.1 } else { 0.9 }]);
-    let got = host.serve(500, 1_000, |s| vec![50.0, if s == 0 { 0.1 } else { 0.9 }]);
-    assert!(got[&0] > 500, "the server with the lowest load is drawn most: {got:?}");
-    let least = (1..4).map(|n| got.get(&n).copied().unwrap_or(0)).min();
-    assert!(least > Some(0), "draws are weighted, no server is left out: {got:?}");
+    let received = host.serve(500, 1_000, |s| vec![50.0, if s == 0 { 0.1 } else { 0.9 }]);
+    assert!(received[&0] > 500, "the server with the lowest load is drawn most: {received:?}");
+    let least = (1..4).map(|n| received.get(&n).copied().unwrap_or(0)).min();
+    assert!(least > Some(0), "draws are weighted, no server is left out: {received:?}");
 }
 
 #[test]
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -12,8 +12,8 @@
         host.serve(0, 100, |_| Vec::new());
         host.deliver_list(ListKind::Changes, &[Member { state, ..member(1, 1, 0) }]);
         // The test host asserts that no request is sent there.
-        let got = host.serve(100, 200, |_| Vec::new());
-        assert!(!got.contains_key(&1));
+        let received = host.serve(100, 200, |_| Vec::new());
+        assert!(!received.contains_key(&1));
     }
 }
 
@@ -21,8 +21,8 @@
 fn server_missing_from_a_full_list_is_removed() {
     let mut host = TestHost::new(settings(), &members(3));
     host.deliver_list(ListKind::Full, &members(2));
-    let got = host.serve(0, 200, |_| Vec::new());
-    assert!(!got.contains_key(&2) && got.len() == 2);
+    let received = host.serve(0, 200, |_| Vec::new());
+    assert!(!received.contains_key(&2) && received.len() == 2);
 }
 
 #[test]
@@ -30,8 +30,8 @@
     let mut host = TestHost::new(settings(), &members(3));
     host.serve(0, 100, |_| Vec::new());
     host.deliver_list(ListKind::Changes, &[member(3, 1, 1)]);
-    let got = host.serve(100, 1_000, |_| Vec::new());
-    assert!(got[&3] > 150 && got[&3] < 400, "{got:?}");
+    let received = host.serve(100, 1_000, |_| Vec::new());
+    assert!(received[&3] > 150 && received[&3] < 400, "{received:?}");
 }
 
 #[test]
@@ -91,9 +91,9 @@
     host.serve(0, 200, |_| Vec::new());
     let born = host.now;
     host.deliver_list(ListKind::Changes, &[Member { started_at: born, ..member(0, 0, 0) }]);
-    let got = host.serve(200, 100, |_| Vec::new());
+    let received = host.serve(200, 100, |_| Vec::new());
     // Warmth 0.3 to 0.5 beside two warm servers: at most about 100 * 1.25 * 0.5 / 2.5.
-    assert!(got.get(&0).copied().unwrap_or(0) <= 28, "{got:?}");
+    assert!(received.get(&0).copied().unwrap_or(0) <= 28, "{received:?}");
 }
 
 #[test]
@@ -101,16 +101,16 @@
     let mut list = members(4);
     list[0].started_at = START;
     let mut host = TestHost::new(settings(), &list);
-    let got = host.serve(0, 40, |_| Vec::new());
-    assert!(got.get(&0).copied().unwrap_or(0) <= 8, "{got:?}");
+    let received = host.serve(0, 40, |_| Vec::new());
+    assert!(received.get(&0).copied().unwrap_or(0) <= 8, "{received:?}");
 }
 
 #[test]
 fn requests_are_served_if_all_servers_are_cold() {
     let list: Vec<Member> = members(4).iter().map(|m| Member { started_at: START, ..*m }).collect();
     let mut host = TestHost::new(settings(), &list);
-    let got = host.serve(0, 200, |_| Vec::new());
-    assert!(got.values().sum::<u64>() > 180, "{got:?}");
+    let received = host.serve(0, 200, |_| Vec::new());
+    assert!(received.values().sum::<u64>() > 180, "{received:?}");
 }
 
 fn watches(host: &TestHost) -> usize {
@@ -154,8 +154,8 @@
     set.discovery = Discovery::OnRequest;
     let mut host = TestHost::new(set, &members(3));
     host.deliver_list(ListKind::Failed, &[]);
-    let got = host.serve(0, 300, |_| Vec::new());
-    assert_eq!(got.len(), 3);
+    let received = host.serve(0, 300, |_| Vec::new());
+    assert_eq!(received.len(), 3);
 }
 
 #[test]
@@ -285,7 +285,7 @@
 fn sent_by_many(cold: u32) -> Vec<u32> {
     let mut list = members(50);
     list.iter_mut().take(cold as usize).for_each(|m| m.started_at = START);
-    let mut got = vec![0; list.len()];
+    let mut received = vec![0; list.len()];
     for me in 0..200 {
         let mut set = counting();
         (set.instance_count, set.instance_index) = (200, me);
@@ -300,18 +300,18 @@
             host.finish(id, Status::Ok, &[0.0, 0.0, 0.3]);
             host.advance(Span(180 * MS));
         }
-        host.sends.iter().for_each(|(_, s)| got[s.0 as usize] += 1);
+        host.sends.iter().for_each(|(_, s)| received[s.0 as usize] += 1);
     }
-    got
+    received
 }
 
 /// Hundreds of balancers each start with a random credit: together they must stay within the cold budget.
 #[test]
 fn many_low_traffic_balancers_keep_the_cold_budget_together() {
-    let got = sent_by_many(10);
-    let mean = got.iter().sum::<u32>() / 50;
-    let most = *got[..10].iter().max().unwrap();
-    let total: u32 = got[..10].iter().sum();
+    let received = sent_by_many(10);
+    let mean = received.iter().sum::<u32>() / 50;
+    let most = *received[..10].iter().max().unwrap();
+    let total: u32 = received[..10].iter().sum();
     // Warmth goes from 0.3 to 0.65 meanwhile; a quarter on top.
     assert!(
         f64::from(total) < 10.0 * 0.65 * 1.25 * f64::from(mean),
@@ -325,10 +325,10 @@
 /// evenly.
 #[test]
 fn many_low_traffic_balancers_spread_work_over_an_all_cold_fleet() {
-    let got = sent_by_many(50);
-    let mean = got.iter().sum::<u32>() / 50;
+    let received = sent_by_many(50);
+    let mean = received.iter().sum::<u32>() / 50;
     assert!(mean > 60, "{mean} of 80 requests per server were sent");
-    assert!(*got.iter().max().unwrap() < 2 * mean, "{got:?}");
+    assert!(*received.iter().max().unwrap() < 2 * mean, "{received:?}");
 }
 
 #[test]
@@ -351,8 +351,8 @@
     }
     host.deliver_list(ListKind::Changes, &[Member { state: State::Removed, ..member(1, 1, 0) }]);
     host.deliver_list(ListKind::Changes, &[Member { global_id: 4711, ..member(1, 1, 0) }]);
-    let got = host.serve(id + 1, 100, |_| Vec::new());
-    assert!(got.get(&1).is_some_and(|n| *n > 10), "{got:?}");
+    let received = host.serve(id + 1, 100, |_| Vec::new());
+    assert!(received.get(&1).is_some_and(|n| *n > 10), "{received:?}");
 }
 
 /// Guards against slow request bodies: counted as load before a server had them, they had requests refused at
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -22,17 +22,17 @@
 fn live_weights_give_size_and_load_and_invalid_ones_are_ignored() {
     let mut host =
         TestHost::new(live_weights(), &[weighed(0, 2.0), weighed(1, 1.0), weighed(2, 1.0), weighed(3, 1.0)]);
-    let got = host.serve(0, 400, |_| Vec::new());
-    assert!(got[&0] > 130, "the server of double size, of 400: {got:?}");
+    let received = host.serve(0, 400, |_| Vec::new());
+    assert!(received[&0] > 130, "the server of double size, of 400: {received:?}");
     for n in 0..40 {
         let crowded = weighed(1, 0.05 + f64::from(n) * 1e-4);
         host.deliver_list(ListKind::Changes, &[crowded, weighed(0, 0.0), weighed(2, f64::NAN)]);
         host.advance(Span(50 * MS));
     }
-    let got = host.serve(1_000, 400, |_| Vec::new());
-    let of = |n: u32| got.get(&n).copied().unwrap_or(0);
-    assert!(of(1) < 30, "a server with 19 outstanding requests: {got:?}");
-    assert!(of(0) > 130 && of(2) > 20 && of(3) > 20, "all other servers are drawn: {got:?}");
+    let received = host.serve(1_000, 400, |_| Vec::new());
+    let of = |n: u32| received.get(&n).copied().unwrap_or(0);
+    assert!(of(1) < 30, "a server with 19 outstanding requests: {received:?}");
+    assert!(of(0) > 130 && of(2) > 20 && of(3) > 20, "all other servers are drawn: {received:?}");
 }
 
 fn with_key_affinity(me: u32) -> Settings {
@@ -40,14 +40,14 @@
 }
 
 fn servers_for_key(host: &mut TestHost, first: u64, n: u64, key: u64) -> BTreeMap<u32, u64> {
-    let mut got = BTreeMap::new();
+    let mut received = BTreeMap::new();
     for id in first..first + n {
         host.request_with_key(id, KEYED_ALL, Span(700 * MS), Some(key));
-        *got.entry(host.server_of(id).0).or_insert(0) += 1;
+        *received.entry(host.server_of(id).0).or_insert(0) += 1;
         host.advance(Span(10 * MS));
         host.finish(id, Status::Ok, &[]);
     }
-    got
+    received
 }
 
 /// Requests for a key were spread over all servers, so that none had served it before.
@@ -133,16 +133,16 @@
     assert!(used.len() < 6, "the balancer uses a subset: {used:?}");
     let name = |n: u32| (member(n, 0, 0).global_id as u32).to_le_bytes();
     let first = *used.first().unwrap();
-    let said = |n: u32| [name(n)[0], name(n)[1], name(n)[2], 0];
-    host.deliver(Event::Peer { from: 1, data: &said(first) });
+    let idle_report = |n: u32| [name(n)[0], name(n)[1], name(n)[2], 0];
+    host.deliver(Event::Peer { from: 1, data: &idle_report(first) });
     host.actions.clear();
     host.serve(100, 60, |_| Vec::new());
-    let told: BTreeSet<Option<u32>> = host
+    let reported_to: BTreeSet<Option<u32>> = host
         .actions
         .iter()
         .filter_map(|a| if let Action::SendToPeers { peer, .. } = a { Some(*peer) } else { None })
         .collect();
-    assert!(told.contains(&Some(1)) && !told.contains(&Some(2)), "reported to {told:?}");
+    assert!(reported_to.contains(&Some(1)) && !reported_to.contains(&Some(2)), "reported to {reported_to:?}");
 }
 
 /// Where other instances load a shared server, the other servers get the requests.
@@ -154,8 +154,8 @@
     host.serve(0, 60, |_| Vec::new());
     let [a, b, c, _] = (member(0, 0, 0).global_id as u32).to_le_bytes();
     host.deliver(Event::Peer { from: 1, data: &[a, b, c, 9] });
-    let got = host.serve(100, 30, |_| Vec::new());
-    assert!(!got.contains_key(&0) && got[&1] == 30, "{got:?}");
+    let received = host.serve(100, 30, |_| Vec::new());
+    assert!(!received.contains_key(&0) && received[&1] == 30, "{received:?}");
 }
 
 /// The size of a removed server was carried over to the next one with its number.
@@ -164,6 +164,6 @@
     let mut host = TestHost::new(live_weights(), &[weighed(0, 8.0), weighed(1, 1.0)]);
     host.deliver_list(ListKind::Full, &[weighed(1, 1.0)]);
     host.deliver_list(ListKind::Full, &[Member { global_id: 99, ..weighed(0, 1.0) }, weighed(1, 1.0)]);
-    let got = host.serve(0, 200, |_| Vec::new());
-    assert!(got[&0] < 140 && got[&1] > 60, "two servers of one size: {got:?}");
+    let received = host.serve(0, 200, |_| Vec::new());
+    assert!(received[&0] < 140 && received[&1] > 60, "two servers of one size: {received:?}");
 }
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -148,8 +148,8 @@
             host.deliver(Event::Peer { from, data });
         }
     }
-    let got = host.serve(0, 300, |_| Vec::new());
-    assert_eq!(got.len(), 3);
+    let received = host.serve(0, 300, |_| Vec::new());
+    assert_eq!(received.len(), 3);
 }
 
 /// A client about to leave had to wait for probe answers beyond its time.
@@ -330,16 +330,16 @@
     host.serve(0, 100, |_| vec![1.0, 0.0, 0.3]);
     // Server 1 answers at once, nearly always with an error, and so looks idle; its probes are answered. The
     // others take 40 ms for each request.
-    let mut got = [0; 4];
+    let mut received = [0; 4];
     for id in 1000..2000 {
         host.request(id, UNSAFE, Span(700 * MS));
         host.answer_probes(|s| if s == 1 { 0.0 } else { 3.0 });
         host.advance(Span(2 * MS));
         if host.attempts_of(id) > 0 {
             let server = host.server_of(id).0 as usize;
-            got[server] += 1;
+            received[server] += 1;
             if server == 1 {
-                let status = if got[1] % 8 == 0 { Status::Ok } else { Status::Error };
+                let status = if received[1] % 8 == 0 { Status::Ok } else { Status::Error };
                 host.finish(id, status, &[0.0, 0.0, 0.0]);
             }
         }
@@ -347,7 +347,7 @@
             host.finish(id - 20, Status::Ok, &[3.0, 2.0, 0.9]);
         }
     }
-    assert!(got[1] * 10 < got.iter().sum::<u32>(), "{got:?}");
+    assert!(received[1] * 10 < received.iter().sum::<u32>(), "{received:?}");
 }
 
 #[test]
