--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -5,7 +5,7 @@
 use crate::core::{Answer, Completion, Counters, Endpoint, Engine, Input, Output, RequestInfo};
 use crate::pools::PoolId;
 use crate::shadow::ShadowCounts;
-use dunlincleat::api::{Attempt, ListKind, RequestId, ServerId, Settings, State, Status, Time};
+use dunlincleat::api::{Attempt, ListKind, RequestId, ServerId, Settings, State, Time};
 use dunlincleat_directory::{Cause, Delivery, Health};
 use dunlincleat_limits::RuleSet;
 use dunlincleat_settings::InstanceSettings;
@@ -293,11 +293,11 @@
             Input::ResponseStarted { id, attempt, server, completion }
             | Input::AttemptEnded { id, attempt, server, completion } => {
                 tracing::debug!(
-                    "attempt {} of request {} at {}: {} after {} us, load {:?}",
+                    "attempt {} of request {} at {}: {:?} after {} us, load {:?}",
                     attempt.0,
                     id.0,
                     self.engine.servers().uid(*server),
-                    status_text(completion.status),
+                    completion.status,
                     completion.latency.0,
                     completion.load
                 )
@@ -435,17 +435,3 @@
         );
     }
 }
-
-/// Text of a status in log lines. Two statuses keep their earlier names there.
-fn status_text(status: Status) -> &'static str {
-    match status {
-        Status::Ok => "Ok",
-        Status::Error => "Error",
-        Status::Rejected => "Full",
-        Status::Timeout => "Timeout",
-        Status::ConnectFailed => "ConnectFailed",
-        Status::Reset => "Reset",
-        Status::Cancelled => "Cancelled",
-        Status::NotSent => "Moot",
-    }
-}
