--- a/crates/dutyshell/src/lib.rs
+++ b/crates/dutyshell/src/lib.rs
@@ -17,8 +17,8 @@
 };
 use dunlincleat_engine::Answer;
 use dunlincleat_http::Handle;
-use dunlincleat_http::front::InForce;
-use dunlincleat_http::message::{Errand, Request, class_of};
+use dunlincleat_http::front::ActiveSettings;
+use dunlincleat_http::message::{FenceRejection, FencedTask, Request, class_of};
 use dunlincleat_limits::Fleet;
 use dunlincleat_limits::fleet::Call;
 use dunlincleat_status::desk::{Desk, Order};
@@ -61,7 +61,7 @@
     fleet: Arc<Fleet>,
     name: String,
     engine: Handle,
-    in_force: watch::Receiver<Rc<InForce>>,
+    in_force: watch::Receiver<Rc<ActiveSettings>>,
     desk: Arc<Desk>,
     orders: mpsc::UnboundedReceiver<Order>,
     next_request_id: u64,
@@ -84,7 +84,7 @@
         fleet: Arc<Fleet>,
         name: &str,
         engine: Handle,
-        in_force: watch::Receiver<Rc<InForce>>,
+        in_force: watch::Receiver<Rc<ActiveSettings>>,
         desk: Arc<Desk>,
         orders: mpsc::UnboundedReceiver<Order>,
     ) -> Result<DutyDriver> {
@@ -210,22 +210,24 @@
         let id = RequestId(self.next_request_id);
         self.next_request_id += 1;
         let request_id = format!("duty-{:016x}-{}-{period}", self.member.incarnation(), fence.0);
-        let (request, errand) =
-            match effect_request(&permit, &call.path, &request_id, remaining_us, &in_force) {
-                Ok(request) => request,
-                Err(error) => {
-                    tracing::warn!("duty {}: cannot build the request of its effect: {error:#}", permit.duty);
-                    return report(EffectOutcome::NotStarted);
-                }
-            };
+        let (request, task) = match effect_request(&permit, &call.path, &request_id, remaining_us, &in_force)
+        {
+            Ok(request) => request,
+            Err(error) => {
+                tracing::warn!("duty {}: cannot build the request of its effect: {error:#}", permit.duty);
+                return report(EffectOutcome::NotStarted);
+            }
+        };
         let (slot, answer) = oneshot::channel();
-        self.engine.request(id, request.ask.clone(), Rc::new(request), Instant::now(), slot);
+        self.engine.request(id, request.info.clone(), Rc::new(request), Instant::now(), slot);
         actix_rt::spawn(async move {
-            let outcome = match (answer.await, errand.told()) {
+            let outcome = match (answer.await, task.fence_rejection()) {
                 (Ok(Answer::Served(_)), _) => EffectOutcome::Done,
-                (_, Some((highest, period))) => EffectOutcome::Fenced { highest: Fence(highest), period },
+                (_, Some(FenceRejection { fence, period })) => {
+                    EffectOutcome::Fenced { highest: Fence(fence), period }
+                }
                 (Ok(Answer::Refused { .. }), None) => EffectOutcome::NotStarted,
-                (Ok(Answer::Failed) | Err(_), None) if !errand.begun() => EffectOutcome::NotStarted,
+                (Ok(Answer::Failed) | Err(_), None) if !task.started() => EffectOutcome::NotStarted,
                 (Ok(Answer::Failed) | Err(_), None) => EffectOutcome::Unknown,
             };
             report(outcome);
@@ -282,14 +284,14 @@
     member
 }
 
-/// The request of an effect, and the errand that tells whether it was sent and how the receiver judged its fence.
+/// The request of an effect, and the task that tells whether it was sent and how the receiver judged its fence.
 fn effect_request(
     permit: &EffectPermit,
     path: &str,
     request_id: &str,
     remaining_us: u64,
-    in_force: &InForce,
-) -> Result<(Request, Rc<Errand>)> {
+    in_force: &ActiveSettings,
+) -> Result<(Request, Rc<FencedTask>)> {
     let mut head = RequestHead::default();
     head.uri = path.parse().with_context(|| format!("invalid path '{path}'"))?;
     let class = class_of(head.uri.path(), &in_force.site)
@@ -310,10 +312,10 @@
         ("x-duty-period", permit.period.to_string()),
     ]);
     let permit = permit.clone();
-    let errand = Rc::new(Errand::new(headers, move || permit.is_valid_at(now())));
+    let task = Rc::new(FencedTask::new(headers, move || permit.is_valid_at(now())));
     let request = Request::decode(&head, &in_force.site, in_force.rules.as_deref());
-    let request = request.map_err(|malformed| anyhow::anyhow!("{}", malformed.what))?;
-    Ok((request.on(errand.clone()), errand))
+    let request = request.map_err(|malformed| anyhow::anyhow!("{}", malformed.reason))?;
+    Ok((request.with_task(task.clone()), task))
 }
 
 fn log(notice: &Notice) {
--- a/crates/hollow/src/sidecar.rs
+++ b/crates/hollow/src/sidecar.rs
@@ -12,8 +12,8 @@
 use dunlincleat_engine::{Completion, Endpoint, Engine, PoolId};
 use dunlincleat_http::Handle;
 use dunlincleat_http::list::{self, List};
-use dunlincleat_http::message::{Body, Parts, Request};
-use dunlincleat_http::own::Own;
+use dunlincleat_http::message::{BodyData, Request, ResponseBody};
+use dunlincleat_http::options::HttpOptions;
 use dunlincleat_settings::InstanceSettings;
 use dunlincleat_status::Metrics;
 use rand::rngs::SmallRng;
@@ -74,7 +74,7 @@
 /// What all sidecars of a process share, as the crates take it.
 pub struct Shared {
     site: Arc<InstanceSettings>,
-    own: Rc<Own>,
+    own: Rc<HttpOptions>,
     rate: f64,
 }
 
@@ -89,21 +89,21 @@
         // The program's defaults.
         let ms = Duration::from_millis;
         let watch = Timing::derive(Span(2_000_000), Span(6_000_000), site.drain_grace.unwrap_or_default());
-        let own = Own {
-            body_bytes: 64 << 10,
-            client_connections: 0,
-            client_request: ms(2600),
-            client_idle: ms(3000),
-            server_connections: 0,
-            requests: REQUESTS as usize,
-            idle: ms(2500),
-            connect: ms(1000),
-            probe: ms(100),
-            answer_stall: ms(100),
-            watch,
+        let own = HttpOptions {
+            max_body_bytes: 64 << 10,
+            max_client_connections: 0,
+            client_request_timeout: ms(2600),
+            client_idle_timeout: ms(3000),
+            max_server_connections: 0,
+            max_requests: REQUESTS as usize,
+            server_idle_timeout: ms(2500),
+            connect_timeout: ms(1000),
+            probe_timeout: ms(100),
+            response_stall_timeout: ms(100),
+            watch_timing: watch,
             interest: Interest::default(),
             list_file: None,
-            halved: Rc::default(),
+            limits_halved: Rc::default(),
         };
         Ok(Shared { site: Arc::new(site), own: Rc::new(own), rate: told.rate })
     }
@@ -117,7 +117,7 @@
 
 impl Transports for Servers {
     type Payload = Rc<Request>;
-    type Body = Body;
+    type Body = ResponseBody;
 
     fn open(&mut self, _: ServerId, _: Endpoint) {}
 
@@ -134,8 +134,8 @@
         _: Instant,
         _: Option<Duration>,
     ) {
-        let parts = Parts::Whole(Vec::new().into());
-        let body = Some(Body { parts, content_type: None });
+        let data = BodyData::Complete(Vec::new().into());
+        let body = Some(ResponseBody { data, content_type: None });
         let ended = Completion { status: Status::Ok, latency: Span(5000), load: vec![1.0, 0.0, 0.5], body };
         self.engine.attempt_ended(id, attempt, server, ended);
     }
@@ -171,9 +171,10 @@
     let known = Listing { whole: true, ..Listing::default() };
     let mode = site.settings.discovery;
     let interest = if spec.services.is_empty() { Interest::default() } else { Interest::of(spec.services) };
-    let own = Rc::new(Own { interest: interest.clone(), ..Own::clone(own) });
+    let own = Rc::new(HttpOptions { interest: interest.clone(), ..HttpOptions::clone(own) });
     let (at, seed) = (spec.discovery, spec.seed);
-    let (follower, known) = Follower::with_interest(clock.now(), own.watch, mode, at, seed, known, interest);
+    let (follower, known) =
+        Follower::with_interest(clock.now(), own.watch_timing, mode, at, seed, known, interest);
     List::start(follower, clock, own.clone(), engine.clone(), calls);
     let decides = Engine::new(site, spec.seed, REQUESTS);
     let gauges = Gauges { metrics: Arc::new(Metrics::default()), sample_avoided: false };
@@ -210,7 +211,7 @@
         head.headers.insert(HeaderName::from_static("x-request-id"), id);
         let Ok(request) = Request::decode(&head, &site, None) else { return };
         let (slot, answer) = oneshot::channel();
-        engine.request(RequestId(number), request.ask.clone(), Rc::new(request), Instant::now(), slot);
+        engine.request(RequestId(number), request.info.clone(), Rc::new(request), Instant::now(), slot);
         // Whatever the answer is, the next is asked for later.
         let _ = answer.await;
     }
@@ -219,14 +220,14 @@
 /// How often a planted fault looks whether its time has come.
 const LOOK: Duration = Duration::from_millis(100);
 
-async fn to_and_fro(account: Rc<Account>, caller: list::Caller, places: [SocketAddr; 2]) {
+async fn to_and_fro(account: Rc<Account>, caller: list::ListHandle, places: [SocketAddr; 2]) {
     let mut seen = 0;
     for at in places.iter().cycle() {
         // Of each two the one is the whole list that the other brought.
         while account.deliveries() <= seen {
             sleep(LOOK).await;
         }
-        caller.moved(*at);
+        caller.set_discovery(*at);
         let told = account.deliveries();
         while account.deliveries() == told {
             sleep(LOOK).await;
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -1,8 +1,11 @@
 //! The server that the application speaks to: it accepts connections, takes requests, and gives each exactly
 //! one answer.
 
-use crate::message::{Body, Coming, HEALTH, Malformed, Parts, Request, Rest, class_of, encode, read_body};
-use crate::own::Own;
+use crate::message::{
+    BodyChunks, BodyData, HEALTH_PATH, Malformed, RemainingBody, Request, ResponseBody, class_of,
+    encode_answer, read_body,
+};
+use crate::options::HttpOptions;
 use crate::{Answer, Handle};
 use actix_http::body::{BodySize, BoxBody, MessageBody};
 use actix_http::error::{DispatchError, PayloadError};
@@ -62,7 +65,7 @@
 const SILENT: Duration = Duration::from_millis(500);
 
 /// What requests are taken under; replaced in one step by a reload.
-pub struct InForce {
+pub struct ActiveSettings {
     /// The settings.
     pub site: Arc<InstanceSettings>,
     /// The operator's limits, where there are any.
@@ -71,38 +74,42 @@
     ends: Vec<Arc<Ends>>,
 }
 
-impl InForce {
+impl ActiveSettings {
     /// These settings and limits.
-    pub fn new(site: Arc<InstanceSettings>, rules: Option<Arc<RuleSet>>, metrics: &Metrics) -> InForce {
+    pub fn new(
+        site: Arc<InstanceSettings>,
+        rules: Option<Arc<RuleSet>>,
+        metrics: &Metrics,
+    ) -> ActiveSettings {
         // A number that no class has now counts nowhere.
         let ends = |name: &String| if name.is_empty() { Arc::default() } else { metrics.class(name) };
-        InForce { ends: site.classes.iter().map(ends).collect(), site, rules }
+        ActiveSettings { ends: site.classes.iter().map(ends).collect(), site, rules }
     }
 }
 
 /// Where clients connect.
 pub enum Listener {
     /// An address of this process alone.
-    Own(SocketAddr),
+    Bind(SocketAddr),
     /// A listening socket that other processes hold too.
     Shared(std::net::TcpListener),
 }
 
 /// What the front is told.
-pub struct Told {
+pub struct FrontConfig {
     /// What is in force, now and later.
-    pub in_force: watch::Receiver<Rc<InForce>>,
+    pub active: watch::Receiver<Rc<ActiveSettings>>,
     /// Its bounds and times.
-    pub own: Rc<Own>,
+    pub options: Rc<HttpOptions>,
     /// Where it counts.
     pub metrics: Arc<Metrics>,
 }
 
 /// What the handlers of requests share.
 struct Front {
-    in_force: watch::Receiver<Rc<InForce>>,
+    active: watch::Receiver<Rc<ActiveSettings>>,
     metrics: Arc<Metrics>,
-    own: Rc<Own>,
+    options: Rc<HttpOptions>,
     engine: Handle,
     clients: Rc<Clients>,
     /// Requests that may still be taken.
@@ -117,12 +124,17 @@
 }
 
 /// Accepts and serves until the stage is `Closing` and every connection has ended.
-pub async fn serve(listener: Listener, told: Told, engine: Handle, lifecycle: Arc<Lifecycle>) -> Result<()> {
-    let Told { in_force, own, metrics } = told;
+pub async fn serve(
+    listener: Listener,
+    config: FrontConfig,
+    engine: Handle,
+    lifecycle: Arc<Lifecycle>,
+) -> Result<()> {
+    let FrontConfig { active, options, metrics } = config;
     let mut stage = lifecycle.follow();
-    let most = own.client_connections + OVER;
+    let most = options.max_client_connections + OVER;
     let (listener, shared) = match listener {
-        Listener::Own(listen) => {
+        Listener::Bind(listen) => {
             (bind(listen, most).with_context(|| format!("EDGE_LISTEN: {listen}"))?, false)
         }
         Listener::Shared(listener) => (TcpListener::from_std(listener).context("EDGE_INHERITED_FD")?, true),
@@ -130,17 +142,17 @@
     // What comes to a shared listener waits for the other process too: this one's part ends at once.
     let over = move |stage: &Stage| *stage >= Stage::Closing || shared && stage.ends();
     let connections = Arc::new(Semaphore::new(most));
-    let requests = Arc::new(Semaphore::new(own.requests));
+    let requests = Arc::new(Semaphore::new(options.max_requests));
     let clients = Rc::new(Clients {
-        own: own.clone(),
+        options: options.clone(),
         seats: RefCell::default(),
         next: Cell::new(0),
         accepting: Cell::new(true),
     });
     let front = Rc::new(Front {
-        in_force,
+        active,
         metrics,
-        own,
+        options,
         engine,
         clients: clients.clone(),
         requests,
@@ -277,7 +289,7 @@
         sleep(SWEEP).await;
         let (now, stage) = (Instant::now(), lifecycle.stage());
         for state in clients.seats.borrow().values() {
-            if state.due(&clients.own, stage).is_some_and(|due| due <= now) {
+            if state.due(&clients.options, stage).is_some_and(|due| due <= now) {
                 state.close();
             }
             state.swept(now);
@@ -306,7 +318,7 @@
     let mut passes_on = false;
     // Under the settings that it came under: its class may be dropped meanwhile.
     let ends = front.ends(request.path());
-    let mut response = if request.method() == Method::GET && request.path() == HEALTH {
+    let mut response = if request.method() == Method::GET && request.path() == HEALTH_PATH {
         if front.stage.borrow().ready() {
             Response::with_body(StatusCode::OK, BoxBody::new("ok\n"))
         } else {
@@ -315,24 +327,24 @@
     } else if over {
         seldom!(front.full, warn, Crowd(&front.clients));
         ends.dropped.count();
-        encode(Answer::Refused { retry_after: None })
+        encode_answer(Answer::Refused { retry_after: None })
     } else {
         match front.take(&mut request, state.as_ref()).await {
             Ok(answer) => {
                 match &answer {
                     // Counted when it has come to its end.
-                    Answer::Served(Body { parts: Parts::Passing { .. }, .. }) => passes_on = true,
+                    Answer::Served(ResponseBody { data: BodyData::Streaming { .. }, .. }) => passes_on = true,
                     Answer::Served(_) => ends.passed.count(),
                     Answer::Refused { .. } => ends.dropped.count(),
                     Answer::Failed => ends.failed.count(),
                 }
-                encode(answer)
+                encode_answer(answer)
             }
             Err(malformed) => {
-                if malformed.taken {
+                if malformed.counts_as_failed {
                     ends.failed.count();
                 }
-                let line = format!("request not taken: {} ({})", malformed.what, malformed.status.as_u16());
+                let line = format!("request not taken: {} ({})", malformed.reason, malformed.status.as_u16());
                 seldom!(front.malformed, info, line);
                 turned_away = true;
                 malformed.encode()
@@ -359,7 +371,7 @@
 }
 
 /// The rest of a request's body, as it comes; a client that stops in the middle has gone.
-fn uploading(payload: Payload, state: Option<Rc<ClientState>>) -> Coming {
+fn uploading(payload: Payload, state: Option<Rc<ClientState>>) -> BodyChunks {
     let parts = stream::unfold((payload, state), |(mut payload, state)| async move {
         let part = timeout(UPLOAD_STALL, payload.next()).await;
         let part = part.unwrap_or_else(|_| Some(Err(PayloadError::Incomplete(None))));
@@ -416,8 +428,8 @@
     /// Where the final answer to a request of the class that its path names is counted; one that names none is
     /// counted nowhere.
     fn ends(&self, path: &str) -> Arc<Ends> {
-        let in_force = self.in_force.borrow();
-        let class = class_of(path, &in_force.site).and_then(|class| in_force.ends.get(class));
+        let active = self.active.borrow();
+        let class = class_of(path, &active.site).and_then(|class| active.ends.get(class));
         class.cloned().unwrap_or_default()
     }
 
@@ -426,13 +438,13 @@
         request: &mut actix_http::Request,
         state: Option<&Rc<ClientState>>,
     ) -> Result<Answer, Malformed> {
-        let in_force = self.in_force.borrow().clone();
-        let (site, rules) = (&in_force.site, in_force.rules.as_deref());
+        let active = self.active.borrow().clone();
+        let (site, rules) = (&active.site, active.rules.as_deref());
         let decoded = Request::decode(request.head(), site, rules)?;
-        let length = Request::length(request.head());
+        let length = Request::content_length(request.head());
         state.into_iter().for_each(|state| state.enter(Phase::Body));
         let mut payload = request.take_payload();
-        let (body, whole) = read_body(&mut payload, self.own.body_bytes).await?;
+        let (body, whole) = read_body(&mut payload, self.options.max_body_bytes).await?;
         let Ok(permit) = self.requests.clone().try_acquire_owned() else {
             seldom!(self.full, warn, "request refused: the bound on requests in hand is reached");
             return Ok(Answer::Refused { retry_after: None });
@@ -441,8 +453,8 @@
         if !self.ids.borrow_mut().insert(decoded.id.clone()) {
             return Err(Malformed {
                 status: StatusCode::CONFLICT,
-                what: "X-Request-ID is in use",
-                taken: whole,
+                reason: "X-Request-ID is in use",
+                counts_as_failed: whole,
             });
         }
         let id = RequestId(self.next.replace(self.next.get() + 1));
@@ -464,12 +476,12 @@
             None
         } else {
             state.into_iter().for_each(|state| state.uploads.set(true));
-            Some(Rest::new(uploading(payload, state.cloned()), length))
+            Some(RemainingBody::new(uploading(payload, state.cloned()), length))
         };
         // Its time counts from its last byte: a slow body once left none for the servers.
         let received = Instant::now();
-        let ask = decoded.ask.clone();
-        self.engine.request(id, ask, Rc::new(decoded.with_body(body, rest)), received, slot);
+        let info = decoded.info.clone();
+        self.engine.request(id, info, Rc::new(decoded.with_body(body, rest)), received, slot);
         let mut stage = self.stage.clone();
         let answer = tokio::select! {
             biased;
@@ -605,18 +617,18 @@
     }
 
     /// When the client has had its time.
-    fn due(&self, own: &Own, stage: Stage) -> Option<Instant> {
+    fn due(&self, options: &HttpOptions, stage: Stage) -> Option<Instant> {
         let time = match self.phase.get() {
             // Sent away, and nothing has told it so: no answer was due.
             Phase::Idle if matches!(stage, Stage::Emptying | Stage::Parting) => Duration::ZERO,
             Phase::Silent if stage == Stage::Emptying => SILENT,
             // All that can be read of it is answered.
             Phase::Idle | Phase::Reading if self.flooded.get() => Duration::ZERO,
-            Phase::Silent | Phase::Reading => own.client_request,
+            Phase::Silent | Phase::Reading => options.client_request_timeout,
             Phase::Body if self.uploads.get() => return None,
-            Phase::Body => own.client_request + self.earned(),
+            Phase::Body => options.client_request_timeout + self.earned(),
             Phase::InHand => return None,
-            Phase::Idle => own.client_idle,
+            Phase::Idle => options.client_idle_timeout,
             Phase::Draining => DRAIN,
         };
         Some(self.since.get() + time)
@@ -659,7 +671,7 @@
 
 /// The clients' connections.
 struct Clients {
-    own: Rc<Own>,
+    options: Rc<HttpOptions>,
     seats: RefCell<FxHashMap<u64, Rc<ClientState>>>,
     next: Cell<u64>,
     /// New ones are still taken: there is somebody to make room for.
@@ -671,7 +683,7 @@
     /// that connect and say nothing, or asked once and stay, keep nobody out.
     fn seat(self: &Rc<Clients>, permit: OwnedSemaphorePermit) -> Seat {
         let held = self.seats.borrow().values().filter(|state| state.closing.get().is_none()).count();
-        let over = held >= self.own.clients_now() && !self.make_room(Instant::now());
+        let over = held >= self.options.client_connection_limit() && !self.make_room(Instant::now());
         let state = Rc::new(ClientState::new(over));
         let number = self.next.replace(self.next.get() + 1);
         self.seats.borrow_mut().insert(number, state.clone());
@@ -680,7 +692,7 @@
 
     /// Three quarters of the places are taken.
     fn crowded(&self) -> bool {
-        4 * self.seats.borrow().len() >= 3 * self.own.clients_now().max(4)
+        4 * self.seats.borrow().len() >= 3 * self.options.client_connection_limit().max(4)
     }
 
     fn make_room(&self, now: Instant) -> bool {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -11,17 +11,17 @@
 mod line;
 pub mod list;
 pub mod message;
-pub mod own;
+pub mod options;
 pub mod peer;
 mod written;
 
 use std::rc::Rc;
 
 /// The engine's handle as HTTP uses it.
-pub type Handle = dunlincleat_engine::shell::Handle<Rc<message::Request>, message::Body>;
+pub type Handle = dunlincleat_engine::shell::Handle<Rc<message::Request>, message::ResponseBody>;
 /// The engine's mailbox as HTTP uses it.
-pub type Mailbox = dunlincleat_engine::shell::Mailbox<Rc<message::Request>, message::Body>;
+pub type Mailbox = dunlincleat_engine::shell::Mailbox<Rc<message::Request>, message::ResponseBody>;
 /// The engine as HTTP uses it.
-pub type Engine = dunlincleat_engine::Engine<Rc<message::Request>, message::Body>;
-type Answer = dunlincleat_engine::Answer<message::Body>;
-type Ended = dunlincleat_engine::Completion<message::Body>;
+pub type Engine = dunlincleat_engine::Engine<Rc<message::Request>, message::ResponseBody>;
+type Answer = dunlincleat_engine::Answer<message::ResponseBody>;
+type Completion = dunlincleat_engine::Completion<message::ResponseBody>;
--- a/crates/http/src/line.rs
+++ b/crates/http/src/line.rs
@@ -3,7 +3,7 @@
 
 use crate::frame::{Frame, Spoilt};
 use crate::message::authority;
-use crate::own::Own;
+use crate::options::HttpOptions;
 use crate::written::Written;
 use actix_rt::net::{ActixStream, Ready, TcpStream};
 use actix_service::Service;
@@ -163,7 +163,7 @@
 #[derive(Clone)]
 pub struct Means {
     /// Bounds and times.
-    pub own: Rc<Own>,
+    pub options: Rc<HttpOptions>,
     /// Connections to servers that may still be opened.
     pub sockets: Arc<Semaphore>,
     /// Closes the connection that has been idle for longest, to whichever server: whether there was one.
@@ -187,8 +187,8 @@
 
     /// Every place is taken. With another process beside this one a part of the places is its.
     fn full(&self) -> bool {
-        let open = self.own.server_connections.saturating_sub(self.sockets.available_permits());
-        open >= self.own.servers_now()
+        let open = self.options.max_server_connections.saturating_sub(self.sockets.available_permits());
+        open >= self.options.server_connection_limit()
     }
 }
 
@@ -213,7 +213,7 @@
         let never = Duration::from_secs(1 << 30);
         let connector = awc::Connector::new()
             .connector(dial)
-            .timeout(means.own.connect)
+            .timeout(means.options.connect_timeout)
             .conn_keep_alive(never)
             .conn_lifetime(never)
             .limit(0);
@@ -263,7 +263,7 @@
                 waits: None,
                 timer: None,
                 unread: None,
-                stall: dial.means.own.answer_stall,
+                stall: dial.means.options.response_stall_timeout,
                 gate: dial.gate,
                 wire: dial.wire,
                 metrics: dial.means.metrics.clone(),
--- a/crates/http/src/list.rs
+++ b/crates/http/src/list.rs
@@ -2,8 +2,8 @@
 //! one task a watch, dropped with its entry in `tasks`, and tells the engine what the list has become.
 
 use crate::Handle;
-use crate::message::{Broken, list_uri, read_body, watch_uri};
-use crate::own::Own;
+use crate::message::{BodyAborted, list_uri, read_body, watch_uri};
+use crate::options::HttpOptions;
 use anyhow::Context;
 use awc::error::{ConnectError, SendRequestError};
 use awc::{Client, ClientResponse};
@@ -36,31 +36,31 @@
     /// The module wants a watch, where the site's lists come only on request.
     Watch,
     /// Discovery answers elsewhere from now on.
-    Moved(SocketAddr),
+    DiscoveryMoved(SocketAddr),
 }
 
 /// The actor's mailbox; it holds one word a call of the module's or a reload.
 #[derive(Clone)]
-pub struct Caller(mpsc::UnboundedSender<Msg>);
+pub struct ListHandle(mpsc::UnboundedSender<Msg>);
 
 /// The other end of the mailbox.
-pub struct Calls(mpsc::UnboundedReceiver<Msg>);
+pub struct ListMailbox(mpsc::UnboundedReceiver<Msg>);
 
 /// A mailbox.
-pub fn mailbox() -> (Caller, Calls) {
-    let (caller, calls) = mpsc::unbounded_channel();
-    (Caller(caller), Calls(calls))
+pub fn mailbox() -> (ListHandle, ListMailbox) {
+    let (handle, mailbox) = mpsc::unbounded_channel();
+    (ListHandle(handle), ListMailbox(mailbox))
 }
 
-impl Caller {
+impl ListHandle {
     /// Discovery answers elsewhere from now on.
-    pub fn moved(&self, discovery: SocketAddr) {
+    pub fn set_discovery(&self, discovery: SocketAddr) {
         // The actor lives as long as the process.
-        let _ = self.0.send(Msg::Moved(discovery));
+        let _ = self.0.send(Msg::DiscoveryMoved(discovery));
     }
 }
 
-impl Directory for Caller {
+impl Directory for ListHandle {
     fn watch(&mut self) {
         let _ = self.0.send(Msg::Watch);
     }
@@ -70,7 +70,7 @@
 pub struct List {
     follower: Follower,
     clock: Clock,
-    own: Rc<Own>,
+    options: Rc<HttpOptions>,
     engine: Handle,
     client: Client,
     tasks: FxHashMap<WatchId, Task>,
@@ -91,14 +91,20 @@
 
 impl List {
     /// Starts the actor behind its mailbox, from the list as last held.
-    pub fn start(follower: Follower, clock: Clock, own: Rc<Own>, engine: Handle, calls: Calls) {
+    pub fn start(
+        follower: Follower,
+        clock: Clock,
+        options: Rc<HttpOptions>,
+        engine: Handle,
+        mailbox: ListMailbox,
+    ) {
         let (heard, hearing) = mpsc::channel(WAITING);
         // A call is ended by the follower, when its time is over.
         let connector = awc::Connector::new().timeout(Duration::from_secs(1 << 30));
         let client = Client::builder().connector(connector).disable_timeout().disable_redirects().finish();
         let (tasks, keep_at) = (FxHashMap::default(), Instant::now());
-        let list = List { follower, clock, own, engine, client, tasks, heard, unkept: false, keep_at };
-        actix_rt::spawn(list.run(calls.0, hearing));
+        let list = List { follower, clock, options, engine, client, tasks, heard, unkept: false, keep_at };
+        actix_rt::spawn(list.run(mailbox.0, hearing));
     }
 
     async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<Msg>, mut hearing: mpsc::Receiver<Input>) {
@@ -114,7 +120,7 @@
                 msg = mailbox.recv() => match msg {
                     None => return,
                     Some(Msg::Watch) => Input::WatchRequested,
-                    Some(Msg::Moved(discovery)) => Input::AddressChanged(discovery),
+                    Some(Msg::DiscoveryMoved(discovery)) => Input::AddressChanged(discovery),
                 },
                 Some(input) = hearing.recv() => input,
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => continue,
@@ -136,9 +142,10 @@
             match output {
                 Output::Open { watch, at, kind } => {
                     tracing::debug!("watch {} of discovery at {at} opens: {kind:?}", watch.0);
-                    let (client, heard, own) = (self.client.clone(), self.heard.clone(), self.own.clone());
+                    let (client, heard, options) =
+                        (self.client.clone(), self.heard.clone(), self.options.clone());
                     let task = actix_rt::spawn(async move {
-                        let cause = watched(&client, watch, at, kind, &own.interest, &heard).await;
+                        let cause = watched(&client, watch, at, kind, &options.interest, &heard).await;
                         // The actor ends with the process.
                         let _ = heard.send(Input::Ended(watch, cause)).await;
                     });
@@ -169,16 +176,16 @@
                 delivery.rev
             );
         }
-        self.unkept = self.own.list_file.is_some();
+        self.unkept = self.options.list_file.is_some();
         self.engine.server_list(delivery);
     }
 
     /// Writes the list as held to its file, off this thread.
     fn keep(&mut self) {
         (self.unkept, self.keep_at) = (false, Instant::now() + KEEP);
-        let Some(path) = self.own.list_file.clone() else { return };
+        let Some(path) = self.options.list_file.clone() else { return };
         let fresh_at = self.follower.health().fresh_at;
-        let (listing, interest) = (self.follower.table().listing(), self.own.interest.clone());
+        let (listing, interest) = (self.follower.table().listing(), self.options.interest.clone());
         let bytes = Snapshot { fresh_at, listing, interest }.encode();
         tokio::task::spawn_blocking(move || {
             if let Err(error) = replace(&path, &bytes) {
@@ -216,7 +223,7 @@
                 let mut answer = call(client, list_uri(at, interest)).await?;
                 let (body, whole) = read_body(&mut answer, MAX_LINE_BYTES)
                     .await
-                    .map_err(|Broken| Cause::Broke("within the whole list".to_owned()))?;
+                    .map_err(|BodyAborted| Cause::Broke("within the whole list".to_owned()))?;
                 if !whole {
                     return Err(Cause::TooLong);
                 }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -27,9 +27,9 @@
 use tokio::sync::mpsc;
 
 /// Where clients ask whether the sidecar serves, and sidecars whether a server does.
-pub const HEALTH: &str = "/healthz";
+pub const HEALTH_PATH: &str = "/healthz";
 /// A probe that brings the load report.
-pub const LOAD: &str = "/load";
+pub const LOAD_PATH: &str = "/load";
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 const TENANT: HeaderName = HeaderName::from_static("x-tenant-id");
@@ -54,80 +54,99 @@
     content_type: Option<HeaderValue>,
     body: Bytes,
     /// What follows the bytes held, where the body is passed on as it comes.
-    rest: Option<Rc<Rest>>,
+    rest: Option<Rc<RemainingBody>>,
     /// What the engine is told of it.
-    pub ask: RequestInfo,
+    pub info: RequestInfo,
     /// What it is sent for, where it is no client's.
-    errand: Option<Rc<Errand>>,
+    task: Option<Rc<FencedTask>>,
 }
 
-/// A request of the sidecar's own: what goes with it, whether it may still go, and what a server said that turned it down.
-pub struct Errand {
+/// A request that the sidecar sends on behalf of a duty: extra headers, a check whether it may still be sent, and the
+/// fence with which a server rejected it.
+pub struct FencedTask {
     headers: BTreeMap<&'static str, String>,
-    may: Box<dyn Fn() -> bool>,
-    begun: Cell<bool>,
-    told: Cell<Option<(u64, u64)>>,
+    permitted: Box<dyn Fn() -> bool>,
+    started: Cell<bool>,
+    rejection: Cell<Option<FenceRejection>>,
 }
 
-impl Errand {
-    /// One with these headers that may go as long as this says so.
-    pub fn new(headers: BTreeMap<&'static str, String>, may: impl Fn() -> bool + 'static) -> Errand {
-        Errand { headers, may: Box::new(may), begun: Cell::new(false), told: Cell::new(None) }
+/// The newest fence and period that a server has seen, as reported in its rejection of an older one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FenceRejection {
+    /// The highest fence.
+    pub fence: u64,
+    /// The period reported with it; 0 if the server reported none.
+    pub period: u64,
+}
+
+impl FencedTask {
+    /// Creates a task with these headers; it may be sent as long as `permitted` returns true.
+    pub fn new(
+        headers: BTreeMap<&'static str, String>,
+        permitted: impl Fn() -> bool + 'static,
+    ) -> FencedTask {
+        FencedTask {
+            headers,
+            permitted: Box::new(permitted),
+            started: Cell::new(false),
+            rejection: Cell::new(None),
+        }
     }
 
-    /// An attempt was let go out.
-    pub fn begun(&self) -> bool {
-        self.begun.get()
+    /// Whether an attempt was permitted to start.
+    pub fn started(&self) -> bool {
+        self.started.get()
     }
 
-    /// The fence and the period that a server had seen that turned it down.
-    pub fn told(&self) -> Option<(u64, u64)> {
-        self.told.get()
+    /// The fence and period reported by a server that rejected the task.
+    pub fn fence_rejection(&self) -> Option<FenceRejection> {
+        self.rejection.get()
     }
 
-    /// Whether an attempt may go out now; asked where its first byte is about to.
-    pub fn may(&self) -> bool {
-        let may = (self.may)();
-        self.begun.set(self.begun.get() || may);
-        may
+    /// Whether an attempt may start now; checked immediately before its first byte is written.
+    pub fn try_start(&self) -> bool {
+        let permitted = (self.permitted)();
+        self.started.set(self.started.get() || permitted);
+        permitted
     }
 
-    /// A server's answer.
-    pub fn hears(&self, status: StatusCode, headers: &HeaderMap) {
+    /// Records the response of a server: status 409 with a fence is a rejection.
+    pub fn record_response(&self, status: StatusCode, headers: &HeaderMap) {
         let number = |name| text(headers, &name).and_then(|n| n.parse::<u64>().ok());
         if status == StatusCode::CONFLICT
             && let Some(fence) = number(DUTY_FENCE)
         {
-            self.told.set(Some((fence, number(DUTY_PERIOD).unwrap_or(0))));
+            let period = number(DUTY_PERIOD).unwrap_or(0);
+            self.rejection.set(Some(FenceRejection { fence, period }));
         }
     }
 }
 
 /// A server's answer.
-pub struct Body {
+pub struct ResponseBody {
     /// As the server sent it.
-    pub parts: Parts,
+    pub data: BodyData,
     /// What it says the body is.
     pub content_type: Option<HeaderValue>,
 }
 
 /// The bytes of an answer.
-pub enum Parts {
+pub enum BodyData {
     /// All of them.
-    Whole(Bytes),
+    Complete(Bytes),
     /// What came first; the rest is passed on as it comes.
-    Passing {
+    Streaming {
         /// The first bytes.
         first: Bytes,
         /// What follows; an end without the last word is one that broke off.
-        rest: mpsc::Receiver<Part>,
+        rest: mpsc::Receiver<BodyChunk>,
         /// How long it is in all, where that was told.
         length: Option<u64>,
     },
 }
 
 /// A part of an answer that is passed on.
-pub enum Part {
+pub enum BodyChunk {
     /// Bytes.
     Bytes(Bytes),
     /// It came to its end.
@@ -135,22 +154,22 @@
 }
 
 /// The parts of a request's body, as they come.
-pub type Coming = LocalBoxStream<'static, Result<Bytes, PayloadError>>;
+pub type BodyChunks = LocalBoxStream<'static, Result<Bytes, PayloadError>>;
 
 /// The part of a request's body that has not come yet. It can be read once: an attempt that failed before it read any
 /// of it leaves it to the next.
-pub struct Rest {
+pub struct RemainingBody {
     /// Where it comes from.
-    parts: RefCell<Coming>,
+    parts: RefCell<BodyChunks>,
     read: Cell<bool>,
     /// How long the whole body is, where that was told.
     pub length: Option<u64>,
 }
 
-impl Rest {
+impl RemainingBody {
     /// The rest of a body of this length.
-    pub fn new(parts: Coming, length: Option<u64>) -> Rest {
-        Rest { parts: RefCell::new(parts), read: Cell::new(false), length }
+    pub fn new(parts: BodyChunks, length: Option<u64>) -> RemainingBody {
+        RemainingBody { parts: RefCell::new(parts), read: Cell::new(false), length }
     }
 
     /// Some of it was read: what is left is not the whole of it any more.
@@ -171,9 +190,9 @@
     /// The status of the answer.
     pub status: StatusCode,
     /// What was wrong, for the body of the answer.
-    pub what: &'static str,
+    pub reason: &'static str,
     /// Its last byte came: it counts as one that failed.
-    pub taken: bool,
+    pub counts_as_failed: bool,
 }
 
 impl Request {
@@ -183,9 +202,10 @@
         site: &InstanceSettings,
         rules: Option<&RuleSet>,
     ) -> Result<Request, Malformed> {
-        let bad = |what| Malformed { status: StatusCode::BAD_REQUEST, what, taken: true };
+        let bad = |reason| Malformed { status: StatusCode::BAD_REQUEST, reason, counts_as_failed: true };
         let path = head.uri.path();
-        let unknown = Malformed { status: StatusCode::NOT_FOUND, what: "no such class", taken: true };
+        let unknown =
+            Malformed { status: StatusCode::NOT_FOUND, reason: "no such class", counts_as_failed: true };
         let class = class_of(path, site).ok_or(unknown)?;
         let settings = &site.settings.classes[class];
         let key = head.headers.get(&KEY).cloned();
@@ -195,7 +215,11 @@
         };
         if head.method != method {
             let status = StatusCode::METHOD_NOT_ALLOWED;
-            return Err(Malformed { status, what: "the class is not asked for by this method", taken: true });
+            return Err(Malformed {
+                status,
+                reason: "the class is not asked for by this method",
+                counts_as_failed: true,
+            });
         }
         if matches!(settings.effect, Effect::Keyed { .. }) && key.is_none() {
             return Err(bad("Idempotency-Key is missing"));
@@ -216,7 +240,7 @@
         let hint = text(&head.headers, &COST).and_then(|c| c.parse::<f64>().ok());
         let mut attrs = text(&head.headers, &ATTRS).into_iter().flat_map(|attrs| attrs.split(','));
         let object = attrs.find_map(|attr| attr.trim().strip_prefix("object="));
-        let ask = RequestInfo {
+        let info = RequestInfo {
             class: class as u32,
             tenant: tenant.unwrap_or(site.tenants.len()) as u32,
             wait,
@@ -227,11 +251,11 @@
         };
         let rule = rules.map(|rules| {
             let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-            let (class, tenant) = (ask.class, ask.tenant);
+            let (class, tenant) = (info.class, info.tenant);
             let facts = RequestAttributes { path, method: method.as_str(), class, tenant, header: &header };
             rules.find(&facts).clone()
         });
-        let ask = RequestInfo { rule, ..ask };
+        let info = RequestInfo { rule, ..info };
         Ok(Request {
             id,
             method,
@@ -240,40 +264,40 @@
             content_type: head.headers.get(header::CONTENT_TYPE).cloned(),
             body: Bytes::new(),
             rest: None,
-            ask,
-            errand: None,
+            info,
+            task: None,
         })
     }
 
     /// The same with its body.
-    pub fn with_body(mut self, body: Bytes, rest: Option<Rest>) -> Request {
+    pub fn with_body(mut self, body: Bytes, rest: Option<RemainingBody>) -> Request {
         (self.body, self.rest) = (body, rest.map(Rc::new));
         self
     }
 
     /// The same on an errand of the sidecar's own.
-    pub fn on(mut self, errand: Rc<Errand>) -> Request {
-        self.errand = Some(errand);
+    pub fn with_task(mut self, task: Rc<FencedTask>) -> Request {
+        self.task = Some(task);
         self
     }
 
     /// What it is sent for, where it is no client's.
-    pub fn errand(&self) -> Option<&Errand> {
-        self.errand.as_deref()
+    pub fn task(&self) -> Option<&FencedTask> {
+        self.task.as_deref()
     }
 
     /// What had not come of its body when it was taken; none where it is whole.
-    pub fn rest(&self) -> Option<Rc<Rest>> {
+    pub fn rest(&self) -> Option<Rc<RemainingBody>> {
         self.rest.clone()
     }
 
     /// The bytes of its body that are held.
-    pub fn held(&self) -> &Bytes {
+    pub fn buffered_body(&self) -> &Bytes {
         &self.body
     }
 
     /// The length of its body, in bytes, as the head told it.
-    pub fn length(head: &RequestHead) -> Option<u64> {
+    pub fn content_length(head: &RequestHead) -> Option<u64> {
         text(&head.headers, &header::CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok())
     }
 
@@ -283,7 +307,7 @@
         client: &awc::Client,
         server: SocketAddr,
         left: Duration,
-        rest: Option<Coming>,
+        rest: Option<BodyChunks>,
     ) -> awc::SendClientRequest {
         let uri = format!("http://{server}{}", self.target);
         let request = client
@@ -298,7 +322,7 @@
             Some(kind) => request.insert_header((header::CONTENT_TYPE, kind.clone())),
             None => request,
         };
-        let own = self.errand.iter().flat_map(|errand| &errand.headers);
+        let own = self.task.iter().flat_map(|task| &task.headers);
         let request =
             own.fold(request, |request, (name, value)| request.insert_header((*name, value.as_str())));
         let first = self.body.clone();
@@ -323,13 +347,13 @@
 }
 
 /// Encodes the final answer to a client.
-pub fn encode(answer: Answer) -> Response<BoxBody> {
+pub fn encode_answer(answer: Answer) -> Response<BoxBody> {
     match answer {
-        Answer::Served(Body { parts, content_type }) => {
-            let body = match parts {
-                Parts::Whole(body) => BoxBody::new(body),
-                Parts::Passing { first, rest, length } => {
-                    BoxBody::new(Passing { first, rest, length, ended: false })
+        Answer::Served(ResponseBody { data, content_type }) => {
+            let body = match data {
+                BodyData::Complete(body) => BoxBody::new(body),
+                BodyData::Streaming { first, rest, length } => {
+                    BoxBody::new(StreamingBody { first, rest, length, ended: false })
                 }
             };
             let mut response = Response::with_body(StatusCode::OK, body);
@@ -352,14 +376,14 @@
 
 /// An answer that is passed on as it comes. Where it breaks off, so does the client's connection: it is never taken for
 /// a whole one.
-struct Passing {
+struct StreamingBody {
     first: Bytes,
-    rest: mpsc::Receiver<Part>,
+    rest: mpsc::Receiver<BodyChunk>,
     length: Option<u64>,
     ended: bool,
 }
 
-impl MessageBody for Passing {
+impl MessageBody for StreamingBody {
     type Error = io::Error;
 
     fn size(&self) -> BodySize {
@@ -374,8 +398,8 @@
             return Poll::Ready(None);
         }
         match ready!(self.rest.poll_recv(cx)) {
-            Some(Part::Bytes(bytes)) => Poll::Ready(Some(Ok(bytes))),
-            Some(Part::End) => {
+            Some(BodyChunk::Bytes(bytes)) => Poll::Ready(Some(Ok(bytes))),
+            Some(BodyChunk::End) => {
                 self.ended = true;
                 Poll::Ready(None)
             }
@@ -384,16 +408,16 @@
     }
 }
 
-impl From<Broken> for Malformed {
-    fn from(Broken: Broken) -> Malformed {
-        Malformed { status: StatusCode::BAD_REQUEST, what: "the body broke off", taken: false }
+impl From<BodyAborted> for Malformed {
+    fn from(BodyAborted: BodyAborted) -> Malformed {
+        Malformed { status: StatusCode::BAD_REQUEST, reason: "the body broke off", counts_as_failed: false }
     }
 }
 
 impl Malformed {
     /// Encodes the answer.
     pub fn encode(self) -> Response<BoxBody> {
-        Response::with_body(self.status, BoxBody::new(Bytes::from_static(self.what.as_bytes())))
+        Response::with_body(self.status, BoxBody::new(Bytes::from_static(self.reason.as_bytes())))
     }
 }
 
@@ -452,17 +476,17 @@
 
 /// The connection of a body broke off.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Broken;
+pub struct BodyAborted;
 
 /// Reads a body until it is whole or over so many bytes; tells whether it is whole.
 pub async fn read_body<E>(
     parts: &mut (impl Stream<Item = Result<Bytes, E>> + Unpin),
     most: usize,
-) -> Result<(Bytes, bool), Broken> {
+) -> Result<(Bytes, bool), BodyAborted> {
     let mut whole = BytesMut::new();
     while whole.len() <= most {
         let Some(part) = parts.next().await else { return Ok((whole.freeze(), true)) };
-        let part = part.map_err(|_| Broken)?;
+        let part = part.map_err(|_| BodyAborted)?;
         if whole.is_empty() {
             whole = BytesMut::from(part);
         } else {
@@ -494,7 +518,7 @@
 
 /// The address of a probe.
 pub fn probe_uri(server: SocketAddr, with_load: bool) -> String {
-    format!("http://{server}{}", if with_load { LOAD } else { HEALTH })
+    format!("http://{server}{}", if with_load { LOAD_PATH } else { HEALTH_PATH })
 }
 
 /// The address and port of a URI that this program made.
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -6,10 +6,13 @@
 
 use crate::idle::{AllIdle, Idle};
 use crate::line::{Gate, Line, Means, Unsent, Wire};
-use crate::message::{Body, Broken, Coming, Part, Parts, Reply, Request, Rest, probe_uri, read_body};
-use crate::own::Own;
+use crate::message::{
+    BodyAborted, BodyChunk, BodyChunks, BodyData, RemainingBody, Reply, Request, ResponseBody, probe_uri,
+    read_body,
+};
+use crate::options::HttpOptions;
 use crate::written::Written;
-use crate::{Ended, Handle};
+use crate::{Completion, Handle};
 use awc::error::SendRequestError;
 use bytes::{Bytes, BytesMut};
 use dunlincleat::api::{Attempt, RequestId, ServerId, Span, State, Status};
@@ -95,17 +98,17 @@
 impl Peers {
     /// Transports that tell `engine` what became of each attempt and probe.
     pub fn new(
-        own: Rc<Own>,
+        options: Rc<HttpOptions>,
         fields: Rc<[String]>,
         load_probes: bool,
         engine: Handle,
         metrics: Arc<Metrics>,
     ) -> Peers {
-        let sockets = Arc::new(Semaphore::new(own.server_connections));
+        let sockets = Arc::new(Semaphore::new(options.max_server_connections));
         let idle = AllIdle::default();
         let all = idle.clone();
         let close_idle = Rc::new(move || all.close_oldest());
-        let means = Means { own, sockets, close_idle, full: Rc::default(), metrics };
+        let means = Means { options, sockets, close_idle, full: Rc::default(), metrics };
         let common = Common { means, fields, load_probes, idle, spoilt: Rc::default(), engine };
         Peers { common, mailboxes: FxHashMap::default() }
     }
@@ -117,7 +120,7 @@
 
 impl Transports for Peers {
     type Payload = Rc<Request>;
-    type Body = Body;
+    type Body = ResponseBody;
 
     fn open(&mut self, server: ServerId, endpoint: Endpoint) {
         self.mailboxes.insert(server, start(server, endpoint.address, endpoint.boot_ms, self.common.clone()));
@@ -146,7 +149,7 @@
                 id,
                 attempt,
                 server,
-                Ended::without_response(Status::ConnectFailed),
+                Completion::without_response(Status::ConnectFailed),
             );
         }
     }
@@ -161,7 +164,11 @@
 
     fn probe(&mut self, server: ServerId, asked: PoolId) {
         if !self.tell(server, Msg::Probe(asked)) {
-            self.common.engine.probe_ended(server, asked, Ended::without_response(Status::ConnectFailed));
+            self.common.engine.probe_ended(
+                server,
+                asked,
+                Completion::without_response(Status::ConnectFailed),
+            );
         }
     }
 
@@ -199,7 +206,7 @@
 struct Done {
     what: What,
     started: Instant,
-    ended: Ended,
+    ended: Completion,
     line: Option<Line>,
 }
 
@@ -226,7 +233,8 @@
 impl Peer {
     async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<Msg>) {
         loop {
-            let oldest = self.idle.oldest().map(|since| since + self.common.means.own.idle);
+            let oldest =
+                self.idle.oldest().map(|since| since + self.common.means.options.server_idle_timeout);
             tokio::select! {
                 biased;
                 msg = mailbox.recv() => match msg {
@@ -236,7 +244,7 @@
                 Some(done) = self.out.next(), if !self.out.is_empty() => self.done(done),
                 () = self.idle.ended(), if !self.idle.is_empty() => {}
                 () = sleep_until(oldest.unwrap_or_else(Instant::now)), if oldest.is_some() => {
-                    self.idle.close_older(self.common.means.own.idle);
+                    self.idle.close_older(self.common.means.options.server_idle_timeout);
                 }
             }
         }
@@ -258,9 +266,11 @@
                     let sending = send(line, endpoint, &request, (until, connect), &common, of);
                     let (mut ended, line) = match Abortable::new(sending, registration).await {
                         Ok(end) => end,
-                        Err(Aborted) if wire.withdrawn() => (Ended::without_response(Status::NotSent), None),
+                        Err(Aborted) if wire.withdrawn() => {
+                            (Completion::without_response(Status::NotSent), None)
+                        }
                         Err(Aborted) => {
-                            (Ended::without_response(wire.unless_written(Status::Cancelled)), None)
+                            (Completion::without_response(wire.unless_written(Status::Cancelled)), None)
                         }
                     };
                     if ended.latency == Span(0) {
@@ -391,7 +401,7 @@
 
 impl Sending {
     /// The rest of the body as awc reads it: with its end the attempt's own time begins.
-    fn parts(self: Rc<Sending>, rest: Rc<Rest>, wire: Rc<Wire>) -> Coming {
+    fn parts(self: Rc<Sending>, rest: Rc<RemainingBody>, wire: Rc<Wire>) -> BodyChunks {
         let parts = stream::poll_fn(move |cx| {
             let part = ready!(rest.poll(cx));
             if part.is_none() {
@@ -426,21 +436,21 @@
     (until, connect): (Instant, Option<Duration>),
     common: &Common,
     of: Of,
-) -> (Ended, Option<Line>) {
+) -> (Completion, Option<Line>) {
     let started = Instant::now();
     let left = until.saturating_duration_since(started);
     let rest = request.rest();
     // Guards against a part of a body sent for the whole: what an attempt has read of it is not there for another.
     if rest.as_ref().is_some_and(|rest| rest.read()) {
-        return (Ended::without_response(Status::NotSent), Some(line));
+        return (Completion::without_response(Status::NotSent), Some(line));
     }
     // Its permission is asked here, where the effect begins, and not where it was given.
-    if request.errand().is_some_and(|errand| !errand.may()) {
-        return (Ended::without_response(Status::NotSent), Some(line));
+    if request.task().is_some_and(|task| !task.try_start()) {
+        return (Completion::without_response(Status::NotSent), Some(line));
     }
     let length = match &rest {
         Some(rest) => rest.length,
-        None => Some(request.held().len() as u64),
+        None => Some(request.buffered_body().len() as u64),
     };
     line.wire.begin(Some(Written::new(length)));
     let body = Rc::new(Sending {
@@ -451,8 +461,11 @@
     let exchange = async {
         let response = request.encode(&line.client, endpoint, left, rest).await.map_err(failure)?;
         let reply = Reply::decode(response.status(), response.headers(), &common.fields);
-        request.errand().into_iter().for_each(|errand| errand.hears(response.status(), response.headers()));
-        let (first, rest) = hold(response, reply.length, &common.means.own, &line.wire).await?;
+        request
+            .task()
+            .into_iter()
+            .for_each(|task| task.record_response(response.status(), response.headers()));
+        let (first, rest) = hold(response, reply.length, &common.means.options, &line.wire).await?;
         Ok::<_, Status>((reply, first, rest))
     };
     // Nothing was written in time: the connection did not come up, and nothing can have run.
@@ -489,34 +502,39 @@
     match exchange.await {
         Some(Ok((reply, _, rest))) if reply.status != Status::Ok => {
             let line = rest.is_none().then_some(line);
-            (Ended { status: reply.status, latency: Span(0), load: reply.load, body: None }, line)
+            (Completion { status: reply.status, latency: Span(0), load: reply.load, body: None }, line)
         }
         Some(Ok((reply, first, rest))) => {
             let since = body.whole.get().unwrap_or(started);
             let latency = Span((since.elapsed().as_micros() as u64).max(1));
             let Reply { status, load, content_type, length } = reply;
             let Some(mut response) = rest else {
-                let body = Some(Body { parts: Parts::Whole(first), content_type });
-                return (Ended { status, latency, load, body }, Some(line));
+                let body = Some(ResponseBody { data: BodyData::Complete(first), content_type });
+                return (Completion { status, latency, load, body }, Some(line));
             };
             let (sender, receiver) = mpsc::channel(PARTS);
-            let body = Some(Body { parts: Parts::Passing { first, rest: receiver, length }, content_type });
+            let body = Some(ResponseBody {
+                data: BodyData::Streaming { first, rest: receiver, length },
+                content_type,
+            });
             line.wire.pass_on();
             common.engine.response_started(
                 of.id,
                 of.attempt,
                 of.server,
-                Ended { status, latency, load, body },
+                Completion { status, latency, load, body },
             );
             let status = pass_on(&mut response, &sender, &line.wire).await;
-            (Ended::without_response(status), (status == Status::Ok).then_some(line))
+            (Completion::without_response(status), (status == Status::Ok).then_some(line))
         }
         // One that broke off in the middle of its body never ran.
         Some(Err(Status::Reset)) if line.wire.spoilt().is_none() => {
-            (Ended::without_response(line.wire.unless_written(Status::Reset)), None)
+            (Completion::without_response(line.wire.unless_written(Status::Reset)), None)
         }
-        Some(Err(status)) => (Ended::without_response(judged(status, endpoint, &line.wire, common)), None),
-        None => (Ended::without_response(line.wire.unless_written(Status::Timeout)), None),
+        Some(Err(status)) => {
+            (Completion::without_response(judged(status, endpoint, &line.wire, common)), None)
+        }
+        None => (Completion::without_response(line.wire.unless_written(Status::Timeout)), None),
     }
 }
 
@@ -526,11 +544,15 @@
 async fn hold(
     mut response: awc::ClientResponse,
     length: Option<u64>,
-    own: &Own,
+    options: &HttpOptions,
     wire: &Wire,
 ) -> Result<(Bytes, Option<awc::ClientResponse>), Status> {
-    let most = if length.is_some_and(|length| length > own.body_bytes as u64) { 0 } else { own.body_bytes };
-    let until = Instant::now() + own.answer_stall.mul_f64(HOLD);
+    let most = if length.is_some_and(|length| length > options.max_body_bytes as u64) {
+        0
+    } else {
+        options.max_body_bytes
+    };
+    let until = Instant::now() + options.response_stall_timeout.mul_f64(HOLD);
     let mut first = BytesMut::new();
     while first.len() <= most {
         let part = if length.is_some() || first.is_empty() {
@@ -553,7 +575,11 @@
 }
 
 /// Passes the rest of an answer on as fast as its client reads: what does not fit is not read from the server.
-async fn pass_on(response: &mut awc::ClientResponse, client: &mpsc::Sender<Part>, wire: &Wire) -> Status {
+async fn pass_on(
+    response: &mut awc::ClientResponse,
+    client: &mpsc::Sender<BodyChunk>,
+    wire: &Wire,
+) -> Status {
     loop {
         let part = tokio::select! {
             biased;
@@ -562,11 +588,11 @@
             () = client.closed() => return Status::Cancelled,
         };
         let part = match part {
-            Some(Ok(part)) => Part::Bytes(part),
-            None if wire.whole() => Part::End,
+            Some(Ok(part)) => BodyChunk::Bytes(part),
+            None if wire.whole() => BodyChunk::End,
             Some(Err(_)) | None => return Status::Reset,
         };
-        let ends = matches!(part, Part::End);
+        let ends = matches!(part, BodyChunk::End);
         match timeout(CLIENT_STALL, client.send(part)).await {
             Ok(Ok(())) if ends => return Status::Ok,
             Ok(Ok(())) => {}
@@ -575,7 +601,7 @@
     }
 }
 
-async fn probe(line: Line, endpoint: SocketAddr, common: &Common) -> (Ended, Option<Line>) {
+async fn probe(line: Line, endpoint: SocketAddr, common: &Common) -> (Completion, Option<Line>) {
     line.wire.begin(None);
     let exchange = async {
         let request = line.client.get(probe_uri(endpoint, common.load_probes));
@@ -584,13 +610,13 @@
         let body = whole_body(response, common, &line.wire).await?;
         Ok::<_, Status>(Reply::decode_probe(status, &headers, &body, &common.fields))
     };
-    match timeout_at(Instant::now() + common.means.own.probe, exchange).await {
+    match timeout_at(Instant::now() + common.means.options.probe_timeout, exchange).await {
         Ok(Ok(reply)) => {
             let Reply { status, load, .. } = reply;
-            (Ended { status, latency: Span(0), load, body: None }, Some(line))
+            (Completion { status, latency: Span(0), load, body: None }, Some(line))
         }
-        Ok(Err(status)) => (Ended::without_response(judged(status, endpoint, &line.wire, common)), None),
-        Err(_) => (Ended::without_response(Status::Timeout), None),
+        Ok(Err(status)) => (Completion::without_response(judged(status, endpoint, &line.wire, common)), None),
+        Err(_) => (Completion::without_response(Status::Timeout), None),
     }
 }
 
@@ -609,10 +635,10 @@
     common: &Common,
     wire: &Wire,
 ) -> Result<Bytes, Status> {
-    match read_body(&mut response, common.means.own.body_bytes).await {
+    match read_body(&mut response, common.means.options.max_body_bytes).await {
         Ok((_, false)) => Err(Status::Error),
         Ok((body, true)) if wire.whole() => Ok(body),
-        Ok((_, true)) | Err(Broken) => Err(Status::Reset),
+        Ok((_, true)) | Err(BodyAborted) => Err(Status::Reset),
     }
 }
 
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context, Result, anyhow, bail};
 use dunlincleat::api::{Settings, Span};
 use dunlincleat_directory::{Backoff, Interest, Listing, Timing};
-use dunlincleat_http::own::Own;
+use dunlincleat_http::options::HttpOptions;
 use dunlincleat_settings::{InstanceSettings, first_missing_key};
 use serde::Deserialize;
 use serde_json::{Map, Value};
@@ -42,7 +42,7 @@
     /// The settings object.
     pub site: Arc<InstanceSettings>,
     /// The figures that the deployment does not tell, from the object `sidecar`, each with a default.
-    pub own: Rc<Own>,
+    pub own: Rc<HttpOptions>,
     /// The least level of log lines.
     pub log: LevelFilter,
     /// How log lines are written.
@@ -268,7 +268,7 @@
 
 /// What the object `sidecar` says.
 struct Told {
-    own: Own,
+    own: HttpOptions,
     log: LevelFilter,
     form: Form,
     accept_after_term: Duration,
@@ -362,25 +362,25 @@
         // Half of the memory for bodies: a request's and its answer's, each once more in a buffer on its way.
         let bodies = ((limits.memory_mb << 20) / 2 / (4 * body_bytes)).max(1);
         let requests = site.max_open.unwrap_or(u64::MAX).min(half).min(bodies);
-        let own = Own {
-            body_bytes: body_bytes as usize,
-            requests: number("requests", requests, 1)? as usize,
-            client_connections,
-            client_request: millis("client_request_ms", 2600, 1)?,
-            client_idle: millis("client_idle_ms", 3000, 2000)?,
-            server_connections,
+        let own = HttpOptions {
+            max_body_bytes: body_bytes as usize,
+            max_requests: number("requests", requests, 1)? as usize,
+            max_client_connections: client_connections,
+            client_request_timeout: millis("client_request_ms", 2600, 1)?,
+            client_idle_timeout: millis("client_idle_ms", 3000, 2000)?,
+            max_server_connections: server_connections,
             // The server closes one that is as old as the site's figure at the latest: four fifths of it are before, and
             // half of it had quiet sidecars open a connection for every other request.
-            idle: millis("idle_ms", site.conn_idle.map_or(2500, |s| ms(s) * 4 / 5), 1)?,
-            connect: millis("connect_ms", connect, 1)?,
+            server_idle_timeout: millis("idle_ms", site.conn_idle.map_or(2500, |s| ms(s) * 4 / 5), 1)?,
+            connect_timeout: millis("connect_ms", connect, 1)?,
             // A probe that takes a quarter of the tightest aim tells nothing that is of use any more.
-            probe: millis("probe_ms", connect.min(aim / 4).max(1), 1)?,
+            probe_timeout: millis("probe_ms", connect.min(aim / 4).max(1), 1)?,
             // An answer is written in one go: one that stops for longer will not come in time.
-            answer_stall: millis("answer_stall_ms", (aim / 4).max(1), 1)?,
-            watch,
+            response_stall_timeout: millis("answer_stall_ms", (aim / 4).max(1), 1)?,
+            watch_timing: watch,
             interest,
             list_file,
-            halved: Rc::default(),
+            limits_halved: Rc::default(),
         };
         let accept_after_term = millis("accept_after_term_ms", 600, 0)?;
         let end_after_term = millis("end_after_term_ms", longest + 600, 1)?;
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn own(limits: &str, sidecar: &str) -> Result<Rc<Own>> {
+fn own(limits: &str, sidecar: &str) -> Result<Rc<HttpOptions>> {
     Ok(config(limits, sidecar)?.own)
 }
 
@@ -41,19 +41,22 @@
 fn what_is_not_told_follows_from_the_settings() -> Result<()> {
     let own = own("{}", "{}")?;
     let ms = Duration::from_millis;
-    assert_eq!((own.idle, own.connect, own.probe), (ms(4000), ms(200), ms(75)));
+    assert_eq!(
+        (own.server_idle_timeout, own.connect_timeout, own.probe_timeout),
+        (ms(4000), ms(200), ms(75))
+    );
     let config = config("{}", "{}")?;
     assert_eq!((config.accept_after_term, config.end_after_term), (ms(600), ms(2600)));
-    assert_eq!((own.client_connections, own.server_connections), (492, 492));
+    assert_eq!((own.max_client_connections, own.max_server_connections), (492, 492));
     Ok(())
 }
 
 #[test]
 fn requests_in_hand_fit_the_memory() -> Result<()> {
     // 492 requests, as many as connections, could hold more in bodies than the memory there is.
-    assert_eq!(own(r#"{"memory_mb":192}"#, "{}")?.requests, 384);
-    assert_eq!(own(r#"{"memory_mb":16}"#, "{}")?.requests, 32);
-    assert_eq!(own(r#"{"memory_mb":2048}"#, "{}")?.requests, 492);
-    assert_eq!(own(r#"{"memory_mb":192}"#, r#"{"requests":7}"#)?.requests, 7);
+    assert_eq!(own(r#"{"memory_mb":192}"#, "{}")?.max_requests, 384);
+    assert_eq!(own(r#"{"memory_mb":16}"#, "{}")?.max_requests, 32);
+    assert_eq!(own(r#"{"memory_mb":2048}"#, "{}")?.max_requests, 492);
+    assert_eq!(own(r#"{"memory_mb":192}"#, r#"{"requests":7}"#)?.max_requests, 7);
     Ok(())
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -16,9 +16,9 @@
 use dunlincleat_engine::clock::Clock;
 use dunlincleat_engine::shell::{Actor, Gauges, mailbox};
 use dunlincleat_http::Engine;
-use dunlincleat_http::front::{self, InForce};
+use dunlincleat_http::front::{self, ActiveSettings};
 use dunlincleat_http::list::{self, List};
-use dunlincleat_http::own::Own;
+use dunlincleat_http::options::HttpOptions;
 use dunlincleat_http::peer::Peers;
 use dunlincleat_limits::{Checked, Fleet, RuleSet, Severity};
 use dunlincleat_settings::{ClassNumbering, InstanceSettings};
@@ -75,7 +75,7 @@
     let console = config.console.map(|at| dunlincleat_console::bind(at).context("console")).transpose()?;
     let listener = match inherited {
         Some(listener) => shared(listener, &config)?,
-        None => front::Listener::Own(config.listen),
+        None => front::Listener::Bind(config.listen),
     };
     let metrics = Arc::new(Metrics::default());
     let desk = Arc::new(Desk::default());
@@ -92,12 +92,12 @@
     let mode = site.settings.discovery;
     let (at, interest) = (config.discovery, own.interest.clone());
     let (follower, known) =
-        Follower::with_interest(clock.now(), own.watch, mode, at, config.seed, known, interest);
+        Follower::with_interest(clock.now(), own.watch_timing, mode, at, config.seed, known, interest);
     List::start(follower, clock, own.clone(), engine.clone(), calls);
     let load_probes = site.settings.reports != Reports::Off;
     let peers =
         Peers::new(own.clone(), site.fields.clone().into(), load_probes, engine.clone(), metrics.clone());
-    let most = u32::try_from(own.requests).unwrap_or(u32::MAX);
+    let most = u32::try_from(own.max_requests).unwrap_or(u32::MAX);
     let mut decides = Engine::new(&site, config.seed, most);
     if let Some(settings) = config.watch.take() {
         tracing::info!("watch: other settings are counted against those in force, and decide nothing");
@@ -113,12 +113,12 @@
     if let Some(rules) = &rules {
         engine.rules(rules.clone());
     }
-    let (in_force, followed) = watch::channel(Rc::new(InForce::new(site, rules, &metrics)));
+    let (in_force, followed) = watch::channel(Rc::new(ActiveSettings::new(site, rules, &metrics)));
     let fleet = in_force.borrow().rules.as_ref().and_then(|rules| rules.fleet().cloned());
     let duties = fleet
         .map(|fleet| stand_for(fleet, &config.name, engine.clone(), followed.clone(), &desk))
         .transpose()?;
-    let told = front::Told { in_force: followed, own: own.clone(), metrics: metrics.clone() };
+    let told = front::FrontConfig { active: followed, options: own.clone(), metrics: metrics.clone() };
     let succession = ClassNumbering::default();
     let (list, handle) = (caller, engine.clone());
     let mut reloads = Reload { named, succession, engine: handle, list, in_force, metrics, clock };
@@ -164,7 +164,7 @@
     fleet: Arc<Fleet>,
     name: &str,
     engine: dunlincleat_http::Handle,
-    in_force: watch::Receiver<Rc<InForce>>,
+    in_force: watch::Receiver<Rc<ActiveSettings>>,
     desk: &Arc<Desk>,
 ) -> Result<mpsc::UnboundedSender<Order>> {
     let (send, orders) = mpsc::unbounded_channel();
@@ -191,11 +191,11 @@
 const LOOK: Duration = Duration::from_millis(200);
 
 /// Keeps to half of the bounds for as long as another process of this sidecar runs.
-async fn beside_another(presence: dunlincleat_handover::Presence, own: Rc<Own>) {
+async fn beside_another(presence: dunlincleat_handover::Presence, own: Rc<HttpOptions>) {
     loop {
         let other = presence.accompanied();
-        if own.halved.replace(other) != other {
-            let (clients, servers) = (own.clients_now(), own.servers_now());
+        if own.limits_halved.replace(other) != other {
+            let (clients, servers) = (own.client_connection_limit(), own.server_connection_limit());
             let is = if other { "runs" } else { "runs no more" };
             tracing::info!(
                 "another process of this sidecar {is}: {clients} connections of clients, {servers} to servers"
@@ -211,8 +211,8 @@
     named: Option<PathBuf>,
     succession: ClassNumbering,
     engine: dunlincleat_http::Handle,
-    list: list::Caller,
-    in_force: watch::Sender<Rc<InForce>>,
+    list: list::ListHandle,
+    in_force: watch::Sender<Rc<ActiveSettings>>,
     metrics: Arc<Metrics>,
     clock: Clock,
 }
@@ -255,7 +255,7 @@
             tracing::warn!("SIGHUP: taken up only at the next start: {}", later.join(", "));
         }
         if new.discovery != config.discovery {
-            self.list.moved(new.discovery);
+            self.list.set_discovery(new.discovery);
         }
         // The engine hears of all of it before any request under it.
         let watched = new.watch.clone().map(|watched| beside(watched, &new.site, &site));
@@ -272,7 +272,7 @@
         if let Some(rules) = &rules {
             self.engine.rules(rules.clone());
         }
-        self.in_force.send_replace(Rc::new(InForce::new(site.clone(), rules, &self.metrics)));
+        self.in_force.send_replace(Rc::new(ActiveSettings::new(site.clone(), rules, &self.metrics)));
         config.took(new, site);
         Ok(())
     }
@@ -308,7 +308,7 @@
 }
 
 /// The list to start from: the one that was kept on disk, where that is of a later version than the one told.
-fn kept_list(own: &Own, told: Listing, now: Time) -> Listing {
+fn kept_list(own: &HttpOptions, told: Listing, now: Time) -> Listing {
     let Some(path) = &own.list_file else { return told };
     let read = match std::fs::read(path) {
         Ok(bytes) => Snapshot::decode(&bytes),
