--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod message;
 pub mod options;
 pub mod peer;
-mod written;
+mod write_progress;
 
 use std::rc::Rc;
 
--- a/crates/http/src/list.rs
+++ b/crates/http/src/list.rs
@@ -25,14 +25,14 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Lines of all watches that wait to be taken in; a watch that floods is read no faster.
-const WAITING: usize = 16;
+const INPUT_QUEUE_CAPACITY: usize = 16;
 /// So many odd things of one list are told one by one.
-const ODD_LINES: usize = 5;
+const MAX_LOGGED_ANOMALIES: usize = 5;
 /// The file of the list is replaced at most this often.
-const KEEP: Duration = Duration::from_secs(2);
+const SAVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// What the actor is told.
-enum Msg {
+enum Message {
     /// The module wants a watch, where the site's lists come only on request.
     Watch,
     /// Discovery answers elsewhere from now on.
@@ -41,10 +41,10 @@
 
 /// The actor's mailbox; it holds one word a call of the module's or a reload.
 #[derive(Clone)]
-pub struct ListHandle(mpsc::UnboundedSender<Msg>);
+pub struct ListHandle(mpsc::UnboundedSender<Message>);
 
 /// The other end of the mailbox.
-pub struct ListMailbox(mpsc::UnboundedReceiver<Msg>);
+pub struct ListMailbox(mpsc::UnboundedReceiver<Message>);
 
 /// A mailbox.
 pub fn mailbox() -> (ListHandle, ListMailbox) {
@@ -56,13 +56,13 @@
     /// Discovery answers elsewhere from now on.
     pub fn set_discovery(&self, discovery: SocketAddr) {
         // The actor lives as long as the process.
-        let _ = self.0.send(Msg::DiscoveryMoved(discovery));
+        let _ = self.0.send(Message::DiscoveryMoved(discovery));
     }
 }
 
 impl Directory for ListHandle {
     fn watch(&mut self) {
-        let _ = self.0.send(Msg::Watch);
+        let _ = self.0.send(Message::Watch);
     }
 }
 
@@ -73,17 +73,17 @@
     options: Rc<HttpOptions>,
     engine: Handle,
     client: Client,
-    tasks: FxHashMap<WatchId, Task>,
-    heard: mpsc::Sender<Input>,
+    tasks: FxHashMap<WatchId, WatchTask>,
+    inputs: mpsc::Sender<Input>,
     /// The list that is to be kept on disk, and when it may next be written there.
-    unkept: bool,
-    keep_at: Instant,
+    unsaved: bool,
+    next_save: Instant,
 }
 
 /// The task that reads a watch. Dropping it ends the watch and closes its connection.
-struct Task(JoinHandle<()>);
+struct WatchTask(JoinHandle<()>);
 
-impl Drop for Task {
+impl Drop for WatchTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -98,34 +98,39 @@
         engine: Handle,
         mailbox: ListMailbox,
     ) {
-        let (heard, hearing) = mpsc::channel(WAITING);
+        let (inputs, input_receiver) = mpsc::channel(INPUT_QUEUE_CAPACITY);
         // A call is ended by the follower, when its time is over.
         let connector = awc::Connector::new().timeout(Duration::from_secs(1 << 30));
         let client = Client::builder().connector(connector).disable_timeout().disable_redirects().finish();
-        let (tasks, keep_at) = (FxHashMap::default(), Instant::now());
-        let list = List { follower, clock, options, engine, client, tasks, heard, unkept: false, keep_at };
-        actix_rt::spawn(list.run(mailbox.0, hearing));
+        let (tasks, next_save) = (FxHashMap::default(), Instant::now());
+        let list =
+            List { follower, clock, options, engine, client, tasks, inputs, unsaved: false, next_save };
+        actix_rt::spawn(list.run(mailbox.0, input_receiver));
     }
 
-    async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<Msg>, mut hearing: mpsc::Receiver<Input>) {
-        let mut out = Vec::new();
+    async fn run(
+        mut self,
+        mut mailbox: mpsc::UnboundedReceiver<Message>,
+        mut input_receiver: mpsc::Receiver<Input>,
+    ) {
+        let mut outputs = Vec::new();
         loop {
-            self.follower.wake(self.clock.now(), &mut out);
-            self.carry_out(&mut out);
+            self.follower.wake(self.clock.now(), &mut outputs);
+            self.perform(&mut outputs);
             self.engine.list_health(self.follower.health());
             let due = self.follower.due().map(|at| self.clock.instant(at));
-            let keep = self.unkept.then_some(self.keep_at);
+            let save = self.unsaved.then_some(self.next_save);
             let input = tokio::select! {
                 biased;
-                msg = mailbox.recv() => match msg {
+                message = mailbox.recv() => match message {
                     None => return,
-                    Some(Msg::Watch) => Input::WatchRequested,
-                    Some(Msg::DiscoveryMoved(discovery)) => Input::AddressChanged(discovery),
+                    Some(Message::Watch) => Input::WatchRequested,
+                    Some(Message::DiscoveryMoved(discovery)) => Input::AddressChanged(discovery),
                 },
-                Some(input) = hearing.recv() => input,
+                Some(input) = input_receiver.recv() => input,
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => continue,
-                () = sleep_until(self.keep_at), if keep.is_some() => {
-                    self.keep();
+                () = sleep_until(self.next_save), if save.is_some() => {
+                    self.save();
                     continue;
                 }
             };
@@ -133,23 +138,23 @@
                 tracing::debug!("watch {} ended: {cause}", watch.0);
                 self.tasks.remove(watch);
             }
-            self.follower.input(self.clock.now(), input, &mut out);
+            self.follower.input(self.clock.now(), input, &mut outputs);
         }
     }
 
-    fn carry_out(&mut self, out: &mut Vec<Output>) {
-        for output in out.drain(..) {
+    fn perform(&mut self, outputs: &mut Vec<Output>) {
+        for output in outputs.drain(..) {
             match output {
                 Output::Open { watch, at, kind } => {
                     tracing::debug!("watch {} of discovery at {at} opens: {kind:?}", watch.0);
-                    let (client, heard, options) =
-                        (self.client.clone(), self.heard.clone(), self.options.clone());
+                    let (client, inputs, options) =
+                        (self.client.clone(), self.inputs.clone(), self.options.clone());
                     let task = actix_rt::spawn(async move {
-                        let cause = watched(&client, watch, at, kind, &options.interest, &heard).await;
+                        let cause = run_watch(&client, watch, at, kind, &options.interest, &inputs).await;
                         // The actor ends with the process.
-                        let _ = heard.send(Input::Ended(watch, cause)).await;
+                        let _ = inputs.send(Input::Ended(watch, cause)).await;
                     });
-                    self.tasks.insert(watch, Task(task));
+                    self.tasks.insert(watch, WatchTask(task));
                 }
                 Output::Close(watch) => drop(self.tasks.remove(&watch)),
                 Output::Deliver(delivery) => self.deliver(delivery),
@@ -168,21 +173,21 @@
 
     fn deliver(&mut self, delivery: Delivery) {
         // A list that is odd in every entry must not fill the log.
-        delivery.anomalies.iter().take(ODD_LINES).for_each(|odd| tracing::warn!("{odd}"));
-        if delivery.anomalies.len() > ODD_LINES {
+        delivery.anomalies.iter().take(MAX_LOGGED_ANOMALIES).for_each(|anomaly| tracing::warn!("{anomaly}"));
+        if delivery.anomalies.len() > MAX_LOGGED_ANOMALIES {
             tracing::warn!(
                 "and {} more odd things in revision {}",
-                delivery.anomalies.len() - ODD_LINES,
+                delivery.anomalies.len() - MAX_LOGGED_ANOMALIES,
                 delivery.rev
             );
         }
-        self.unkept = self.options.list_file.is_some();
+        self.unsaved = self.options.list_file.is_some();
         self.engine.server_list(delivery);
     }
 
     /// Writes the list as held to its file, off this thread.
-    fn keep(&mut self) {
-        (self.unkept, self.keep_at) = (false, Instant::now() + KEEP);
+    fn save(&mut self) {
+        (self.unsaved, self.next_save) = (false, Instant::now() + SAVE_INTERVAL);
         let Some(path) = self.options.list_file.clone() else { return };
         let fresh_at = self.follower.health().fresh_at;
         let (listing, interest) = (self.follower.table().listing(), self.options.interest.clone());
@@ -208,66 +213,66 @@
 }
 
 /// Opens a watch and tells what comes on it, until it ends.
-async fn watched(
+async fn run_watch(
     client: &Client,
     watch: WatchId,
     at: SocketAddr,
     kind: CallKind,
     interest: &Interest,
-    heard: &mpsc::Sender<Input>,
+    inputs: &mpsc::Sender<Input>,
 ) -> Cause {
     let follow = async {
         let after = match kind {
             CallKind::ChangesAfter(rev) => rev,
             CallKind::FullList | CallKind::Check => {
-                let mut answer = call(client, list_uri(at, interest)).await?;
-                let (body, whole) = read_body(&mut answer, MAX_LINE_BYTES)
+                let mut response = get(client, list_uri(at, interest)).await?;
+                let (body, complete) = read_body(&mut response, MAX_LINE_BYTES)
                     .await
                     .map_err(|BodyAborted| Cause::Broke("within the whole list".to_owned()))?;
-                if !whole {
+                if !complete {
                     return Err(Cause::TooLong);
                 }
-                let listing = Listing { whole: true, ..decode(&body)? };
+                let listing = Listing { whole: true, ..decode_listing(&body)? };
                 let rev = listing.rev;
-                tell(heard, Input::Line(watch, Some(listing))).await?;
+                send_input(inputs, Input::Line(watch, Some(listing))).await?;
                 if kind == CallKind::Check {
                     return Ok(());
                 }
                 rev
             }
         };
-        let mut answer = call(client, watch_uri(at, after, interest)).await?;
-        tell(heard, Input::Opened(watch)).await?;
+        let mut response = get(client, watch_uri(at, after, interest)).await?;
+        send_input(inputs, Input::Opened(watch)).await?;
         let mut lines = Lines::default();
         loop {
-            let part = match answer.next().await {
+            let part = match response.next().await {
                 Some(Ok(part)) => part,
                 Some(Err(error)) => return Err(Cause::Broke(error.to_string())),
                 None => return Err(Cause::Ended),
             };
             for line in lines.take(&part).map_err(|_| Cause::TooLong)? {
-                let listing = if line.is_empty() { None } else { Some(decode(&line)?) };
-                tell(heard, Input::Line(watch, listing)).await?;
+                let listing = if line.is_empty() { None } else { Some(decode_listing(&line)?) };
+                send_input(inputs, Input::Line(watch, listing)).await?;
             }
         }
     };
-    let ended: Result<(), Cause> = follow.await;
+    let result: Result<(), Cause> = follow.await;
     // A check that has come ends by itself.
-    ended.err().unwrap_or(Cause::Ended)
+    result.err().unwrap_or(Cause::Ended)
 }
 
-async fn tell(heard: &mpsc::Sender<Input>, input: Input) -> Result<(), Cause> {
-    heard.send(input).await.map_err(|_| Cause::Ended)
+async fn send_input(inputs: &mpsc::Sender<Input>, input: Input) -> Result<(), Cause> {
+    inputs.send(input).await.map_err(|_| Cause::Ended)
 }
 
-fn decode(line: &[u8]) -> Result<Listing, Cause> {
+fn decode_listing(line: &[u8]) -> Result<Listing, Cause> {
     Listing::decode(line).map_err(|error| Cause::Garbled(format!("{error:#}")))
 }
 
-async fn call(client: &Client, uri: String) -> Result<ClientResponse, Cause> {
+async fn get(client: &Client, uri: String) -> Result<ClientResponse, Cause> {
     match client.get(uri).send().await {
-        Ok(answer) if answer.status().is_success() => Ok(answer),
-        Ok(answer) => Err(Cause::Refused(answer.status().as_u16())),
+        Ok(response) if response.status().is_success() => Ok(response),
+        Ok(response) => Err(Cause::Refused(response.status().as_u16())),
         Err(error @ SendRequestError::Connect(ConnectError::Disconnected)) => {
             Err(Cause::Broke(error.to_string()))
         }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -37,7 +37,7 @@
 const RETRIED: HeaderName = HeaderName::from_static("x-retried");
 const COST: HeaderName = HeaderName::from_static("x-cost");
 const ATTRS: HeaderName = HeaderName::from_static("x-attrs");
-const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
 const DUTY_FENCE: HeaderName = HeaderName::from_static("x-duty-fence");
 const DUTY_PERIOD: HeaderName = HeaderName::from_static("x-duty-period");
@@ -112,7 +112,7 @@
 
     /// Records the response of a server: status 409 with a fence is a rejection.
     pub fn record_response(&self, status: StatusCode, headers: &HeaderMap) {
-        let number = |name| text(headers, &name).and_then(|n| n.parse::<u64>().ok());
+        let number = |name| header_text(headers, &name).and_then(|n| n.parse::<u64>().ok());
         if status == StatusCode::CONFLICT
             && let Some(fence) = number(DUTY_FENCE)
         {
@@ -160,27 +160,27 @@
 /// of it leaves it to the next.
 pub struct RemainingBody {
     /// Where it comes from.
-    parts: RefCell<BodyChunks>,
-    read: Cell<bool>,
+    chunks: RefCell<BodyChunks>,
+    read_started: Cell<bool>,
     /// How long the whole body is, where that was told.
     pub length: Option<u64>,
 }
 
 impl RemainingBody {
     /// The rest of a body of this length.
-    pub fn new(parts: BodyChunks, length: Option<u64>) -> RemainingBody {
-        RemainingBody { parts: RefCell::new(parts), read: Cell::new(false), length }
+    pub fn new(chunks: BodyChunks, length: Option<u64>) -> RemainingBody {
+        RemainingBody { chunks: RefCell::new(chunks), read_started: Cell::new(false), length }
     }
 
     /// Some of it was read: what is left is not the whole of it any more.
-    pub fn read(&self) -> bool {
-        self.read.get()
+    pub fn read_started(&self) -> bool {
+        self.read_started.get()
     }
 
     /// Reads on.
     pub fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, PayloadError>>> {
-        self.read.set(true);
-        self.parts.borrow_mut().poll_next_unpin(cx)
+        self.read_started.set(true);
+        self.chunks.borrow_mut().poll_next_unpin(cx)
     }
 }
 
@@ -208,7 +208,7 @@
             Malformed { status: StatusCode::NOT_FOUND, reason: "no such class", counts_as_failed: true };
         let class = class_of(path, site).ok_or(unknown)?;
         let settings = &site.settings.classes[class];
-        let key = head.headers.get(&KEY).cloned();
+        let key = head.headers.get(&IDEMPOTENCY_KEY).cloned();
         let method = match settings.effect {
             Effect::Safe => Method::GET,
             Effect::Keyed { .. } | Effect::Unsafe => Method::POST,
@@ -226,19 +226,19 @@
         }
         let id = head.headers.get(&REQUEST_ID).filter(|id| !id.is_empty()).cloned();
         let id = id.ok_or_else(|| bad("X-Request-ID is missing"))?;
-        let wait = match text(&head.headers, &TIMEOUT) {
+        let wait = match header_text(&head.headers, &TIMEOUT) {
             None => settings.deadline,
             // Nobody waits longer than the class allows over all tries: a huge one would hold its place for good.
             Some(wait) => {
-                let wait = seconds(wait).ok_or_else(|| bad("X-Timeout is no number of seconds"))?;
+                let wait = parse_seconds(wait).ok_or_else(|| bad("X-Timeout is no number of seconds"))?;
                 wait.min(settings.deadline)
             }
         };
-        let tenant = text(&head.headers, &TENANT);
+        let tenant = header_text(&head.headers, &TENANT);
         let tenant = site.tenants.iter().position(|t| Some(t.as_str()) == tenant);
         // A hint is advice: one that can't be read is none.
-        let hint = text(&head.headers, &COST).and_then(|c| c.parse::<f64>().ok());
-        let mut attrs = text(&head.headers, &ATTRS).into_iter().flat_map(|attrs| attrs.split(','));
+        let hint = header_text(&head.headers, &COST).and_then(|c| c.parse::<f64>().ok());
+        let mut attrs = header_text(&head.headers, &ATTRS).into_iter().flat_map(|attrs| attrs.split(','));
         let object = attrs.find_map(|attr| attr.trim().strip_prefix("object="));
         let info = RequestInfo {
             class: class as u32,
@@ -246,7 +246,7 @@
             wait,
             hint: hint.filter(|c| c.is_finite() && *c >= 0.0).map(|c| Span(c as u64)),
             key: object.filter(|object| !object.is_empty()).map(global_id),
-            repeat: text(&head.headers, &RETRIED) == Some("1"),
+            repeat: header_text(&head.headers, &RETRIED) == Some("1"),
             rule: None,
         };
         let rule = rules.map(|rules| {
@@ -287,7 +287,7 @@
     }
 
     /// What had not come of its body when it was taken; none where it is whole.
-    pub fn rest(&self) -> Option<Rc<RemainingBody>> {
+    pub fn remaining_body(&self) -> Option<Rc<RemainingBody>> {
         self.rest.clone()
     }
 
@@ -298,7 +298,7 @@
 
     /// The length of its body, in bytes, as the head told it.
     pub fn content_length(head: &RequestHead) -> Option<u64> {
-        text(&head.headers, &header::CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok())
+        header_text(&head.headers, &header::CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok())
     }
 
     /// Encodes it for a server; `left` is how long the sidecar will wait, `rest` what follows the bytes held.
@@ -315,23 +315,23 @@
             .insert_header((REQUEST_ID, self.id.clone()))
             .insert_header((TIMEOUT, format!("{:.6}", left.as_secs_f64())));
         let request = match &self.key {
-            Some(key) => request.insert_header((KEY, key.clone())),
+            Some(key) => request.insert_header((IDEMPOTENCY_KEY, key.clone())),
             None => request,
         };
         let request = match &self.content_type {
             Some(kind) => request.insert_header((header::CONTENT_TYPE, kind.clone())),
             None => request,
         };
-        let own = self.task.iter().flat_map(|task| &task.headers);
+        let extra = self.task.iter().flat_map(|task| &task.headers);
         let request =
-            own.fold(request, |request, (name, value)| request.insert_header((*name, value.as_str())));
+            extra.fold(request, |request, (name, value)| request.insert_header((*name, value.as_str())));
         let first = self.body.clone();
         match rest {
-            Some(parts) => {
-                let parts = once(async move { Ok(first) }).chain(parts);
+            Some(chunks) => {
+                let chunks = once(async move { Ok(first) }).chain(chunks);
                 match self.rest.as_ref().and_then(|rest| rest.length) {
-                    Some(length) => request.send_body(SizedStream::new(length, parts)),
-                    None => request.send_body(BodyStream::new(parts)),
+                    Some(length) => request.send_body(SizedStream::new(length, chunks)),
+                    None => request.send_body(BodyStream::new(chunks)),
                 }
             }
             None if self.method == Method::GET && first.is_empty() => request.send(),
@@ -436,15 +436,19 @@
 impl Reply {
     /// Reads the head of an answer.
     pub fn decode(status: StatusCode, headers: &HeaderMap, fields: &[String]) -> Reply {
-        let unseen = text(headers, &NOT_PROCESSED) == Some("1");
+        let not_processed = header_text(headers, &NOT_PROCESSED) == Some("1");
         let status = match status {
             StatusCode::OK => Status::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Status::Rejected,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => {
+                Status::Rejected
+            }
             // Whatever is no word of the protocol's may have run.
             _ => Status::Error,
         };
-        let load = text(headers, &SERVER_LOAD).map(|l| load(l.as_bytes(), fields)).unwrap_or_default();
-        let length = text(headers, &header::CONTENT_LENGTH).and_then(|l| l.parse().ok());
+        let load = header_text(headers, &SERVER_LOAD)
+            .map(|l| parse_load_report(l.as_bytes(), fields))
+            .unwrap_or_default();
+        let length = header_text(headers, &header::CONTENT_LENGTH).and_then(|l| l.parse().ok());
         Reply { status, load, content_type: headers.get(header::CONTENT_TYPE).cloned(), length }
     }
 
@@ -455,22 +459,22 @@
             reply.status = Status::Rejected;
         }
         if reply.load.is_empty() {
-            reply.load = load(body, fields);
+            reply.load = parse_load_report(body, fields);
         }
         reply
     }
 }
 
 /// No server has this much of anything that a load report counts.
-const LOAD_MOST: f64 = 1e9;
+const MAX_LOAD_VALUE: f64 = 1e9;
 
 /// Reads a load report; a figure that lacks becomes no number. A report without any of them is none, and so is one
 /// with a figure that can't be true: a load under nothing would draw every request there.
-fn load(json: &[u8], fields: &[String]) -> Vec<f64> {
+fn parse_load_report(json: &[u8], fields: &[String]) -> Vec<f64> {
     let Ok(Value::Object(report)) = serde_json::from_slice(json) else { return Vec::new() };
-    let figure = |name: &String| report.get(name).and_then(Value::as_f64).unwrap_or(f64::NAN);
-    let load: Vec<f64> = fields.iter().map(figure).collect();
-    let readable = load.iter().all(|v| v.is_nan() || (0.0..=LOAD_MOST).contains(v));
+    let value = |name: &String| report.get(name).and_then(Value::as_f64).unwrap_or(f64::NAN);
+    let load: Vec<f64> = fields.iter().map(value).collect();
+    let readable = load.iter().all(|v| v.is_nan() || (0.0..=MAX_LOAD_VALUE).contains(v));
     if readable && load.iter().any(|v| !v.is_nan()) { load } else { Vec::new() }
 }
 
@@ -480,39 +484,39 @@
 
 /// Reads a body until it is whole or over so many bytes; tells whether it is whole.
 pub async fn read_body<E>(
-    parts: &mut (impl Stream<Item = Result<Bytes, E>> + Unpin),
-    most: usize,
+    chunks: &mut (impl Stream<Item = Result<Bytes, E>> + Unpin),
+    limit: usize,
 ) -> Result<(Bytes, bool), BodyAborted> {
-    let mut whole = BytesMut::new();
-    while whole.len() <= most {
-        let Some(part) = parts.next().await else { return Ok((whole.freeze(), true)) };
-        let part = part.map_err(|_| BodyAborted)?;
-        if whole.is_empty() {
-            whole = BytesMut::from(part);
+    let mut body = BytesMut::new();
+    while body.len() <= limit {
+        let Some(chunk) = chunks.next().await else { return Ok((body.freeze(), true)) };
+        let chunk = chunk.map_err(|_| BodyAborted)?;
+        if body.is_empty() {
+            body = BytesMut::from(chunk);
         } else {
-            whole.extend_from_slice(&part);
+            body.extend_from_slice(&chunk);
         }
     }
-    Ok((whole.freeze(), false))
+    Ok((body.freeze(), false))
 }
 
 /// The address of the whole list, or of that of some services. Discovery may pass over which, and tell of all.
 pub fn list_uri(discovery: SocketAddr, interest: &Interest) -> String {
-    let models = models(interest).map(|models| format!("?{models}"));
+    let models = models_parameter(interest).map(|models| format!("?{models}"));
     format!("http://{discovery}/v1/servers{}", models.unwrap_or_default())
 }
 
 /// The address of a watch for what changed after a version, in the same way.
 pub fn watch_uri(discovery: SocketAddr, after: u64, interest: &Interest) -> String {
-    let models = models(interest).map(|models| format!("&{models}"));
+    let models = models_parameter(interest).map(|models| format!("&{models}"));
     format!("http://{discovery}/v1/servers?watch=1&after={after}{}", models.unwrap_or_default())
 }
 
 /// What a name needs no escape for in a query; a comma parts names.
-const PLAIN: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
+const QUERY_ESCAPES: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
-fn models(interest: &Interest) -> Option<String> {
-    let names = interest.services()?.map(|name| utf8_percent_encode(name, PLAIN).to_string());
+fn models_parameter(interest: &Interest) -> Option<String> {
+    let names = interest.services()?.map(|name| utf8_percent_encode(name, QUERY_ESCAPES).to_string());
     Some(format!("models={}", names.collect::<Vec<_>>().join(",")))
 }
 
@@ -522,15 +526,15 @@
 }
 
 /// The address and port of a URI that this program made.
-pub fn authority(uri: &Uri) -> Option<SocketAddr> {
+pub fn server_address(uri: &Uri) -> Option<SocketAddr> {
     uri.authority()?.as_str().parse().ok()
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim)
 }
 
-fn seconds(text: &str) -> Option<Span> {
+fn parse_seconds(text: &str) -> Option<Span> {
     let seconds: f64 = text.parse().ok()?;
     (seconds.is_finite() && seconds >= 0.0).then_some(Span((seconds * 1e6).min(1e15) as u64))
 }
--- a/crates/http/src/message/tests.rs
+++ b/crates/http/src/message/tests.rs
@@ -8,13 +8,16 @@
 
 #[test]
 fn a_load_report_is_read_in_the_order_of_the_settings() {
-    assert_eq!(load(br#"{"util":0.5,"queue":2,"inflight":7,"new":"x"}"#, &fields()), [7.0, 2.0, 0.5]);
-    let partial = load(br#"{"queue":2,"inflight":"many"}"#, &fields());
+    assert_eq!(
+        parse_load_report(br#"{"util":0.5,"queue":2,"inflight":7,"new":"x"}"#, &fields()),
+        [7.0, 2.0, 0.5]
+    );
+    let partial = parse_load_report(br#"{"queue":2,"inflight":"many"}"#, &fields());
     assert!(partial[0].is_nan() && partial[1] == 2.0 && partial[2].is_nan());
     for none in
         ["", "{}", "[1]", "not JSON", r#"{"new":1}"#, r#"{"queue":-1}"#, r#"{"util":0.5,"queue":1e300}"#]
     {
-        assert!(load(none.as_bytes(), &fields()).is_empty(), "{none}");
+        assert!(parse_load_report(none.as_bytes(), &fields()).is_empty(), "{none}");
     }
 }
 
@@ -31,9 +34,9 @@
 
 #[test]
 fn times_are_seconds_with_decimals() {
-    assert_eq!(seconds("0.480"), Some(Span(480_000)));
-    assert_eq!(seconds("3"), Some(Span(3_000_000)));
+    assert_eq!(parse_seconds("0.480"), Some(Span(480_000)));
+    assert_eq!(parse_seconds("3"), Some(Span(3_000_000)));
     for none in ["", "-1", "NaN", "inf", "1s"] {
-        assert_eq!(seconds(none), None, "{none}");
+        assert_eq!(parse_seconds(none), None, "{none}");
     }
 }
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -4,14 +4,16 @@
 //! are idle, since when, and that an attempt given up takes its connection with it. A connection that awc's
 //! own pool kept would stand idle until the next request, however old.
 
-use crate::idle::{AllIdle, Idle};
-use crate::line::{Gate, Line, Means, Unsent, Wire};
+use crate::idle::{IdleConnections, IdleRegistry};
+use crate::line::{
+    ConnectionContext, ConnectionState, NotSentError, SendGate, ServerConnection, ServerProcess,
+};
 use crate::message::{
     BodyAborted, BodyChunk, BodyChunks, BodyData, RemainingBody, Reply, Request, ResponseBody, probe_uri,
     read_body,
 };
 use crate::options::HttpOptions;
-use crate::written::Written;
+use crate::write_progress::WriteProgress;
 use crate::{Completion, Handle};
 use awc::error::SendRequestError;
 use bytes::{Bytes, BytesMut};
@@ -35,7 +37,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
 /// What a server's actor is told.
-enum Msg {
+enum Message {
     /// Start an attempt.
     Attempt {
         /// Of which request.
@@ -66,9 +68,9 @@
     /// Ask the server how it is, for whom.
     Probe(PoolId),
     /// What the list says of it.
-    Listed {
+    Updated {
         /// Where it is reached and when it last started; nothing where the list lacks it.
-        at: Option<(SocketAddr, u64)>,
+        process: Option<ServerProcess>,
         /// Whether it takes new work.
         state: State,
     },
@@ -76,23 +78,23 @@
 
 /// What all peers are given.
 #[derive(Clone)]
-struct Common {
-    means: Means,
+struct PeerContext {
+    connections: ConnectionContext,
     /// The names of the figures in a load report.
     fields: Rc<[String]>,
     /// Servers answer `/load` with a report.
     load_probes: bool,
     /// The idle connections to all servers.
-    idle: AllIdle,
+    idle: IdleRegistry,
     /// The line of the log for answers that are of no use.
-    spoilt: Rc<Seldom>,
+    invalid_log: Rc<Seldom>,
     engine: Handle,
 }
 
 /// The transports to all servers: the mailboxes of their actors, by number. An actor ends with its mailbox.
 pub struct Peers {
-    common: Common,
-    mailboxes: FxHashMap<ServerId, mpsc::UnboundedSender<Msg>>,
+    context: PeerContext,
+    mailboxes: FxHashMap<ServerId, mpsc::UnboundedSender<Message>>,
 }
 
 impl Peers {
@@ -104,17 +106,19 @@
         engine: Handle,
         metrics: Arc<Metrics>,
     ) -> Peers {
-        let sockets = Arc::new(Semaphore::new(options.max_server_connections));
-        let idle = AllIdle::default();
+        let permits = Arc::new(Semaphore::new(options.max_server_connections));
+        let idle = IdleRegistry::default();
         let all = idle.clone();
         let close_idle = Rc::new(move || all.close_oldest());
-        let means = Means { options, sockets, close_idle, full: Rc::default(), metrics };
-        let common = Common { means, fields, load_probes, idle, spoilt: Rc::default(), engine };
-        Peers { common, mailboxes: FxHashMap::default() }
+        let connections =
+            ConnectionContext { options, permits, close_idle, limit_log: Rc::default(), metrics };
+        let context =
+            PeerContext { connections, fields, load_probes, idle, invalid_log: Rc::default(), engine };
+        Peers { context, mailboxes: FxHashMap::default() }
     }
 
-    fn tell(&self, server: ServerId, msg: Msg) -> bool {
-        self.mailboxes.get(&server).is_some_and(|mailbox| mailbox.send(msg).is_ok())
+    fn send(&self, server: ServerId, message: Message) -> bool {
+        self.mailboxes.get(&server).is_some_and(|mailbox| mailbox.send(message).is_ok())
     }
 }
 
@@ -123,12 +127,12 @@
     type Body = ResponseBody;
 
     fn open(&mut self, server: ServerId, endpoint: Endpoint) {
-        self.mailboxes.insert(server, start(server, endpoint.address, endpoint.boot_ms, self.common.clone()));
+        self.mailboxes.insert(server, spawn_peer(server, server_process(endpoint), self.context.clone()));
     }
 
     fn update(&mut self, server: ServerId, endpoint: Option<Endpoint>, state: State) {
-        let at = endpoint.map(|endpoint| (endpoint.address, endpoint.boot_ms));
-        self.tell(server, Msg::Listed { at, state });
+        let process = endpoint.map(server_process);
+        self.send(server, Message::Updated { process, state });
     }
 
     fn close(&mut self, server: ServerId) {
@@ -144,8 +148,8 @@
         until: Instant,
         connect: Option<Duration>,
     ) {
-        if !self.tell(server, Msg::Attempt { id, attempt, request, until, connect }) {
-            self.common.engine.attempt_ended(
+        if !self.send(server, Message::Attempt { id, attempt, request, until, connect }) {
+            self.context.engine.attempt_ended(
                 id,
                 attempt,
                 server,
@@ -155,16 +159,16 @@
     }
 
     fn cancel(&mut self, id: RequestId, attempt: Attempt, server: ServerId) {
-        self.tell(server, Msg::Cancel { id, attempt });
+        self.send(server, Message::Cancel { id, attempt });
     }
 
     fn withdraw(&mut self, id: RequestId, attempt: Attempt, server: ServerId) {
-        self.tell(server, Msg::Withdraw { id, attempt });
+        self.send(server, Message::Withdraw { id, attempt });
     }
 
     fn probe(&mut self, server: ServerId, asked: PoolId) {
-        if !self.tell(server, Msg::Probe(asked)) {
-            self.common.engine.probe_ended(
+        if !self.send(server, Message::Probe(asked)) {
+            self.context.engine.probe_ended(
                 server,
                 asked,
                 Completion::without_response(Status::ConnectFailed),
@@ -173,23 +177,30 @@
     }
 
     fn free_connections(&self) -> usize {
-        self.common.means.sockets.available_permits()
+        self.context.connections.permits.available_permits()
     }
 }
 
+fn server_process(endpoint: Endpoint) -> ServerProcess {
+    ServerProcess { address: endpoint.address, boot_ms: endpoint.boot_ms }
+}
+
 /// Starts the actor of a server.
-fn start(server: ServerId, endpoint: SocketAddr, boot_ms: u64, common: Common) -> mpsc::UnboundedSender<Msg> {
+fn spawn_peer(
+    server: ServerId,
+    process: ServerProcess,
+    context: PeerContext,
+) -> mpsc::UnboundedSender<Message> {
     let (handle, mailbox) = mpsc::unbounded_channel();
-    let gate = Rc::new(Gate::default());
+    let gate = Rc::new(SendGate::default());
     let peer = Peer {
         server,
-        endpoint,
-        boot_ms,
+        process,
         gate,
-        heard: Instant::now(),
-        idle: common.idle.server(),
-        common,
-        out: FuturesUnordered::new(),
+        last_response: Instant::now(),
+        idle: context.idle.add_server(),
+        context,
+        in_flight: FuturesUnordered::new(),
         aborts: FxHashMap::default(),
     };
     actix_rt::spawn(peer.run(mailbox));
@@ -201,118 +212,121 @@
 const ENFILE: i32 = 23;
 const EADDRNOTAVAIL: i32 = 99;
 
-type Job = LocalBoxFuture<'static, Done>;
+type Job = LocalBoxFuture<'static, Finished>;
 
-struct Done {
-    what: What,
+struct Finished {
+    operation: Operation,
     started: Instant,
-    ended: Completion,
-    line: Option<Line>,
+    completion: Completion,
+    connection: Option<ServerConnection>,
 }
 
 #[derive(Clone, Copy)]
-enum What {
+enum Operation {
     Attempt(RequestId, Attempt),
     Probe(PoolId),
 }
 
 struct Peer {
     server: ServerId,
-    endpoint: SocketAddr,
-    boot_ms: u64,
-    common: Common,
-    gate: Rc<Gate>,
+    process: ServerProcess,
+    context: PeerContext,
+    gate: Rc<SendGate>,
     /// When it last sent anything.
-    heard: Instant,
-    idle: Idle,
-    out: FuturesUnordered<Job>,
+    last_response: Instant,
+    idle: IdleConnections,
+    in_flight: FuturesUnordered<Job>,
     /// What ends an attempt, and whether it has begun.
-    aborts: FxHashMap<(RequestId, Attempt), (AbortHandle, Rc<Wire>)>,
+    aborts: FxHashMap<(RequestId, Attempt), (AbortHandle, Rc<ConnectionState>)>,
 }
 
 impl Peer {
-    async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<Msg>) {
+    async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<Message>) {
         loop {
-            let oldest =
-                self.idle.oldest().map(|since| since + self.common.means.options.server_idle_timeout);
+            let oldest = self
+                .idle
+                .oldest_since()
+                .map(|since| since + self.context.connections.options.server_idle_timeout);
             tokio::select! {
                 biased;
-                msg = mailbox.recv() => match msg {
-                    Some(msg) => self.take(msg),
+                message = mailbox.recv() => match message {
+                    Some(message) => self.handle(message),
                     None => return,
                 },
-                Some(done) = self.out.next(), if !self.out.is_empty() => self.done(done),
-                () = self.idle.ended(), if !self.idle.is_empty() => {}
+                Some(finished) = self.in_flight.next(), if !self.in_flight.is_empty() => self.finish(finished),
+                () = self.idle.remove_closed(), if !self.idle.is_empty() => {}
                 () = sleep_until(oldest.unwrap_or_else(Instant::now)), if oldest.is_some() => {
-                    self.idle.close_older(self.common.means.options.server_idle_timeout);
+                    self.idle.close_idle_for(self.context.connections.options.server_idle_timeout);
                 }
             }
         }
     }
 
-    fn take(&mut self, msg: Msg) {
-        match msg {
-            Msg::Attempt { id, attempt, request, until, connect } => {
-                let line = self.line();
+    fn handle(&mut self, message: Message) {
+        match message {
+            Message::Attempt { id, attempt, request, until, connect } => {
+                let connection = self.connection();
                 // What the connection carried before is not taken for this one, which may be called off unbegun.
-                line.wire.begin(None);
-                let (endpoint, common, server) = (self.endpoint, self.common.clone(), self.server);
+                connection.state.begin(None);
+                let (endpoint, context, server) = (self.process.address, self.context.clone(), self.server);
                 let (abort, registration) = AbortHandle::new_pair();
-                self.aborts.insert((id, attempt), (abort, line.wire.clone()));
+                self.aborts.insert((id, attempt), (abort, connection.state.clone()));
                 let started = Instant::now();
-                self.out.push(Box::pin(async move {
-                    let wire = line.wire.clone();
-                    let of = Of { id, attempt, server };
-                    let sending = send(line, endpoint, &request, (until, connect), &common, of);
-                    let (mut ended, line) = match Abortable::new(sending, registration).await {
+                self.in_flight.push(Box::pin(async move {
+                    let state = connection.state.clone();
+                    let of = AttemptId { id, attempt, server };
+                    let sending = send(connection, endpoint, &request, (until, connect), &context, of);
+                    let (mut completion, connection) = match Abortable::new(sending, registration).await {
                         Ok(end) => end,
-                        Err(Aborted) if wire.withdrawn() => {
+                        Err(Aborted) if state.is_withdrawn() => {
                             (Completion::without_response(Status::NotSent), None)
                         }
                         Err(Aborted) => {
-                            (Completion::without_response(wire.unless_written(Status::Cancelled)), None)
+                            (Completion::without_response(state.status_if_written(Status::Cancelled)), None)
                         }
                     };
-                    if ended.latency == Span(0) {
-                        ended.latency = Span(started.elapsed().as_micros() as u64);
+                    if completion.latency == Span(0) {
+                        completion.latency = Span(started.elapsed().as_micros() as u64);
                     }
-                    Done { what: What::Attempt(id, attempt), started, ended, line }
+                    Finished { operation: Operation::Attempt(id, attempt), started, completion, connection }
                 }));
             }
-            Msg::Cancel { id, attempt } => {
+            Message::Cancel { id, attempt } => {
                 if let Some((abort, _)) = self.aborts.get(&(id, attempt)) {
                     abort.abort();
                 }
             }
-            Msg::Withdraw { id, attempt } => {
+            Message::Withdraw { id, attempt } => {
                 // Written in part it has not begun either: a server begins with the last byte.
-                if let Some((abort, wire)) = self.aborts.get(&(id, attempt)).filter(|(_, w)| !w.written()) {
-                    wire.withdraw();
+                if let Some((abort, state)) =
+                    self.aborts.get(&(id, attempt)).filter(|(_, w)| !w.request_written())
+                {
+                    state.withdraw();
                     abort.abort();
                 }
             }
-            Msg::Probe(asked) => {
-                let line = self.line();
-                let (endpoint, common) = (self.endpoint, self.common.clone());
+            Message::Probe(asked) => {
+                let connection = self.connection();
+                let (endpoint, context) = (self.process.address, self.context.clone());
                 let started = Instant::now();
-                self.out.push(Box::pin(async move {
-                    let (mut ended, line) = probe(line, endpoint, &common).await;
-                    ended.latency = Span(started.elapsed().as_micros() as u64);
-                    Done { what: What::Probe(asked), started, ended, line }
+                self.in_flight.push(Box::pin(async move {
+                    let (mut completion, connection) = probe(connection, endpoint, &context).await;
+                    completion.latency = Span(started.elapsed().as_micros() as u64);
+                    Finished { operation: Operation::Probe(asked), started, completion, connection }
                 }));
             }
-            Msg::Listed { at, state } => {
+            Message::Updated { process, state } => {
                 // Connections to an old process or place are dead, though nothing may have told of that: what
                 // is written to one ends as a reset, after which an unsafe request must not be sent again.
-                let (endpoint, boot_ms) = at.unwrap_or((self.endpoint, self.boot_ms));
-                let moved = (endpoint, boot_ms) != (self.endpoint, self.boot_ms);
+                let process = process.unwrap_or(self.process);
+                let moved = process != self.process;
                 // One that leaves gets nothing more, and at the bound its idle connections had kept the servers that came in
                 // its place out of reach until they were too old.
                 if moved || state != State::Ready {
                     self.idle.clear();
                 }
-                (self.endpoint, self.boot_ms) = (endpoint, boot_ms);
-                self.listed(state, moved);
+                self.process = process;
+                self.apply_state(state, moved);
             }
         }
     }
@@ -320,94 +334,102 @@
     /// A server that leaves gets nothing new from this moment on. Its drain may have been told long before it was
     /// heard, so no grace is left to spend: what has not begun there ends as never sent, and is drawn again.
     /// The same holds for what has not begun at a process that it replaced, whose address may be another server's by now.
-    fn listed(&mut self, state: State, moved: bool) {
+    fn apply_state(&mut self, state: State, moved: bool) {
         let leaves = state != State::Ready;
         self.gate.closed.set(leaves);
         if leaves || moved {
-            for (abort, wire) in self.aborts.values().filter(|(_, wire)| wire.unsent()) {
-                wire.withdraw();
+            for (abort, state) in self.aborts.values().filter(|(_, state)| state.nothing_sent()) {
+                state.withdraw();
                 abort.abort();
             }
         }
     }
 
-    fn done(&mut self, done: Done) {
-        if let Some(line) = done.line {
+    fn finish(&mut self, finished: Finished) {
+        if let Some(connection) = finished.connection {
             // One that was in use while its server moved or started anew leads to what was there before.
-            let here = line.to == (self.endpoint, self.boot_ms);
-            if line.wire.fit() && here && !self.gate.closed.get() {
-                self.idle.keep(line);
+            let here = connection.process == self.process;
+            if connection.state.is_reusable() && here && !self.gate.closed.get() {
+                self.idle.insert(connection);
             }
         }
-        match done.ended.status {
-            Status::Ok | Status::Error | Status::Rejected | Status::Reset => self.heard = Instant::now(),
+        match finished.completion.status {
+            Status::Ok | Status::Error | Status::Rejected | Status::Reset => {
+                self.last_response = Instant::now()
+            }
             // Nothing at all came since the attempt went out: its machine may have vanished, and the idle
             // connections only look alive. What is written to one ends as a request that may have run.
-            Status::Timeout if matches!(done.what, What::Attempt(..)) && self.heard < done.started => {
+            Status::Timeout
+                if matches!(finished.operation, Operation::Attempt(..))
+                    && self.last_response < finished.started =>
+            {
                 self.idle.clear();
             }
             Status::Timeout | Status::ConnectFailed | Status::Cancelled | Status::NotSent => {}
         }
-        match done.what {
-            What::Attempt(id, attempt) => {
+        match finished.operation {
+            Operation::Attempt(id, attempt) => {
                 self.aborts.remove(&(id, attempt));
-                self.common.engine.attempt_ended(id, attempt, self.server, done.ended);
+                self.context.engine.attempt_ended(id, attempt, self.server, finished.completion);
+            }
+            Operation::Probe(asked) => {
+                self.context.engine.probe_ended(self.server, asked, finished.completion)
             }
-            What::Probe(asked) => self.common.engine.probe_ended(self.server, asked, done.ended),
         }
     }
 
     /// An idle connection, or a new one, which is opened when it is first sent on.
-    fn line(&self) -> Line {
-        let to = (self.endpoint, self.boot_ms);
-        self.idle.take().unwrap_or_else(|| Line::new(&self.common.means, self.gate.clone(), to))
+    fn connection(&self) -> ServerConnection {
+        self.idle.take().unwrap_or_else(|| {
+            ServerConnection::new(&self.context.connections, self.gate.clone(), self.process)
+        })
     }
 }
 
 /// Which attempt.
 #[derive(Clone, Copy)]
-struct Of {
+struct AttemptId {
     id: RequestId,
     attempt: Attempt,
     server: ServerId,
 }
 
 /// A body that still comes, told to the engine for as long as this lives.
-struct Uploads {
-    of: Of,
+struct UploadGuard {
+    of: AttemptId,
     engine: Handle,
 }
 
-impl Uploads {
-    fn new(of: Of, common: &Common) -> Uploads {
-        common.engine.upload(of.id, of.server, false);
-        Uploads { of, engine: common.engine.clone() }
+impl UploadGuard {
+    fn new(of: AttemptId, context: &PeerContext) -> UploadGuard {
+        context.engine.upload(of.id, of.server, false);
+        UploadGuard { of, engine: context.engine.clone() }
     }
 }
 
-impl Drop for Uploads {
+impl Drop for UploadGuard {
     fn drop(&mut self) {
         self.engine.upload(self.of.id, self.of.server, true);
     }
 }
 
 /// The body of an attempt, where it still came when the attempt began.
-struct Sending {
+struct RequestBody {
     /// Until its last byte was handed on.
-    comes: RefCell<Option<Uploads>>,
+    upload: RefCell<Option<UploadGuard>>,
     /// When that was.
-    whole: Cell<Option<Instant>>,
+    completed_at: Cell<Option<Instant>>,
 }
 
-impl Sending {
+impl RequestBody {
     /// The rest of the body as awc reads it: with its end the attempt's own time begins.
-    fn parts(self: Rc<Sending>, rest: Rc<RemainingBody>, wire: Rc<Wire>) -> BodyChunks {
+    fn into_chunks(self: Rc<RequestBody>, rest: Rc<RemainingBody>, state: Rc<ConnectionState>) -> BodyChunks {
         let parts = stream::poll_fn(move |cx| {
             let part = ready!(rest.poll(cx));
             if part.is_none() {
-                drop(self.comes.borrow_mut().take());
-                self.whole.set(Some(Instant::now()));
-                wire.last();
+                drop(self.upload.borrow_mut().take());
+                self.completed_at.set(Some(Instant::now()));
+                state.set_body_ended();
             }
             Poll::Ready(part)
         });
@@ -416,56 +438,58 @@
 }
 
 /// How often it is looked at whether a body that is still coming has come.
-const UPLOAD_LOOK: Duration = Duration::from_millis(50);
+const UPLOAD_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long the beginning of an answer of untold length is held back to see its end, against how long it may stand
 /// still: one that breaks off or stops while it is held can be tried again.
-const HOLD: f64 = 4.0 / 3.0;
+const BUFFER_TIME_FACTOR: f64 = 4.0 / 3.0;
 /// How long a client may take for the next part of an answer.
-const CLIENT_STALL: Duration = Duration::from_secs(20);
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Parts of an answer on their way to the client.
-const PARTS: usize = 1;
+const STREAM_CHANNEL_CAPACITY: usize = 1;
 
 /// Sends a request and waits for the answer. The line comes back where it can be used again.
 ///
 /// A request whose body is still coming has its time from its last byte on, as its client counts it. An answer is held
 /// up to the bound; a longer one is passed on from its first bytes, and from then on no deadline cuts it.
 async fn send(
-    line: Line,
+    connection: ServerConnection,
     endpoint: SocketAddr,
     request: &Request,
     (until, connect): (Instant, Option<Duration>),
-    common: &Common,
-    of: Of,
-) -> (Completion, Option<Line>) {
+    context: &PeerContext,
+    of: AttemptId,
+) -> (Completion, Option<ServerConnection>) {
     let started = Instant::now();
     let left = until.saturating_duration_since(started);
-    let rest = request.rest();
+    let rest = request.remaining_body();
     // Guards against a part of a body sent for the whole: what an attempt has read of it is not there for another.
-    if rest.as_ref().is_some_and(|rest| rest.read()) {
-        return (Completion::without_response(Status::NotSent), Some(line));
+    if rest.as_ref().is_some_and(|rest| rest.read_started()) {
+        return (Completion::without_response(Status::NotSent), Some(connection));
     }
     // Its permission is asked here, where the effect begins, and not where it was given.
     if request.task().is_some_and(|task| !task.try_start()) {
-        return (Completion::without_response(Status::NotSent), Some(line));
+        return (Completion::without_response(Status::NotSent), Some(connection));
     }
     let length = match &rest {
         Some(rest) => rest.length,
         None => Some(request.buffered_body().len() as u64),
     };
-    line.wire.begin(Some(Written::new(length)));
-    let body = Rc::new(Sending {
-        comes: RefCell::new(rest.is_some().then(|| Uploads::new(of, common))),
-        whole: Cell::new(None),
+    connection.state.begin(Some(WriteProgress::new(length)));
+    let body = Rc::new(RequestBody {
+        upload: RefCell::new(rest.is_some().then(|| UploadGuard::new(of, context))),
+        completed_at: Cell::new(None),
     });
-    let rest = rest.map(|rest| body.clone().parts(rest, line.wire.clone()));
+    let rest = rest.map(|rest| body.clone().into_chunks(rest, connection.state.clone()));
     let exchange = async {
-        let response = request.encode(&line.client, endpoint, left, rest).await.map_err(failure)?;
-        let reply = Reply::decode(response.status(), response.headers(), &common.fields);
+        let response =
+            request.encode(&connection.client, endpoint, left, rest).await.map_err(error_status)?;
+        let reply = Reply::decode(response.status(), response.headers(), &context.fields);
         request
             .task()
             .into_iter()
             .for_each(|task| task.record_response(response.status(), response.headers()));
-        let (first, rest) = hold(response, reply.length, &common.means.options, &line.wire).await?;
+        let (first, rest) =
+            buffer_response(response, reply.length, &context.connections.options, &connection.state).await?;
         Ok::<_, Status>((reply, first, rest))
     };
     // Nothing was written in time: the connection did not come up, and nothing can have run.
@@ -474,21 +498,21 @@
             Some(connect) => sleep(connect).await,
             None => pending().await,
         }
-        if !line.wire.unsent() {
+        if !connection.state.nothing_sent() {
             pending::<()>().await;
         }
         Status::ConnectFailed
     };
     let over = async {
-        while body.comes.borrow().is_some() {
-            sleep(UPLOAD_LOOK).await;
-            if line.wire.unsent() && Instant::now() >= until {
+        while body.upload.borrow().is_some() {
+            sleep(UPLOAD_POLL_INTERVAL).await;
+            if connection.state.nothing_sent() && Instant::now() >= until {
                 return;
             }
         }
         sleep_until(until).await;
-        if let Some(whole) = body.whole.get() {
-            sleep_until(whole + left).await;
+        if let Some(completed_at) = body.completed_at.get() {
+            sleep_until(completed_at + left).await;
         }
     };
     let exchange = async {
@@ -501,58 +525,59 @@
     };
     match exchange.await {
         Some(Ok((reply, _, rest))) if reply.status != Status::Ok => {
-            let line = rest.is_none().then_some(line);
-            (Completion { status: reply.status, latency: Span(0), load: reply.load, body: None }, line)
+            let connection = rest.is_none().then_some(connection);
+            (Completion { status: reply.status, latency: Span(0), load: reply.load, body: None }, connection)
         }
         Some(Ok((reply, first, rest))) => {
-            let since = body.whole.get().unwrap_or(started);
+            let since = body.completed_at.get().unwrap_or(started);
             let latency = Span((since.elapsed().as_micros() as u64).max(1));
             let Reply { status, load, content_type, length } = reply;
             let Some(mut response) = rest else {
                 let body = Some(ResponseBody { data: BodyData::Complete(first), content_type });
-                return (Completion { status, latency, load, body }, Some(line));
+                return (Completion { status, latency, load, body }, Some(connection));
             };
-            let (sender, receiver) = mpsc::channel(PARTS);
+            let (sender, receiver) = mpsc::channel(STREAM_CHANNEL_CAPACITY);
             let body = Some(ResponseBody {
                 data: BodyData::Streaming { first, rest: receiver, length },
                 content_type,
             });
-            line.wire.pass_on();
-            common.engine.response_started(
+            connection.state.set_streaming();
+            context.engine.response_started(
                 of.id,
                 of.attempt,
                 of.server,
                 Completion { status, latency, load, body },
             );
-            let status = pass_on(&mut response, &sender, &line.wire).await;
-            (Completion::without_response(status), (status == Status::Ok).then_some(line))
+            let status = stream_response(&mut response, &sender, &connection.state).await;
+            (Completion::without_response(status), (status == Status::Ok).then_some(connection))
         }
         // One that broke off in the middle of its body never ran.
-        Some(Err(Status::Reset)) if line.wire.spoilt().is_none() => {
-            (Completion::without_response(line.wire.unless_written(Status::Reset)), None)
-        }
-        Some(Err(status)) => {
-            (Completion::without_response(judged(status, endpoint, &line.wire, common)), None)
+        Some(Err(Status::Reset)) if connection.state.invalid_response().is_none() => {
+            (Completion::without_response(connection.state.status_if_written(Status::Reset)), None)
         }
-        None => (Completion::without_response(line.wire.unless_written(Status::Timeout)), None),
+        Some(Err(status)) => (
+            Completion::without_response(classify_failure(status, endpoint, &connection.state, context)),
+            None,
+        ),
+        None => (Completion::without_response(connection.state.status_if_written(Status::Timeout)), None),
     }
 }
 
 /// Holds an answer to its end, so that one that breaks off can be tried again, or until it has to be passed on: what
 /// is told to be longer than the bound from its first bytes, another once it is longer, or has come for too long. Gives
 /// what came, and the answer itself where more is to come.
-async fn hold(
+async fn buffer_response(
     mut response: awc::ClientResponse,
     length: Option<u64>,
     options: &HttpOptions,
-    wire: &Wire,
+    state: &ConnectionState,
 ) -> Result<(Bytes, Option<awc::ClientResponse>), Status> {
     let most = if length.is_some_and(|length| length > options.max_body_bytes as u64) {
         0
     } else {
         options.max_body_bytes
     };
-    let until = Instant::now() + options.response_stall_timeout.mul_f64(HOLD);
+    let until = Instant::now() + options.response_stall_timeout.mul_f64(BUFFER_TIME_FACTOR);
     let mut first = BytesMut::new();
     while first.len() <= most {
         let part = if length.is_some() || first.is_empty() {
@@ -567,7 +592,7 @@
             Some(Ok(part)) => first.extend_from_slice(&part),
             // Guards against half an answer served as a whole one: awc ends a body whose connection broke off
             // without an error.
-            None if wire.whole() => return Ok((first.freeze(), None)),
+            None if state.response_complete() => return Ok((first.freeze(), None)),
             Some(Err(_)) | None => return Err(Status::Reset),
         }
     }
@@ -575,10 +600,10 @@
 }
 
 /// Passes the rest of an answer on as fast as its client reads: what does not fit is not read from the server.
-async fn pass_on(
+async fn stream_response(
     response: &mut awc::ClientResponse,
     client: &mpsc::Sender<BodyChunk>,
-    wire: &Wire,
+    state: &ConnectionState,
 ) -> Status {
     loop {
         let part = tokio::select! {
@@ -589,11 +614,11 @@
         };
         let part = match part {
             Some(Ok(part)) => BodyChunk::Bytes(part),
-            None if wire.whole() => BodyChunk::End,
+            None if state.response_complete() => BodyChunk::End,
             Some(Err(_)) | None => return Status::Reset,
         };
         let ends = matches!(part, BodyChunk::End);
-        match timeout(CLIENT_STALL, client.send(part)).await {
+        match timeout(CLIENT_STALL_TIMEOUT, client.send(part)).await {
             Ok(Ok(())) if ends => return Status::Ok,
             Ok(Ok(())) => {}
             Ok(Err(_)) | Err(_) => return Status::Cancelled,
@@ -601,52 +626,64 @@
     }
 }
 
-async fn probe(line: Line, endpoint: SocketAddr, common: &Common) -> (Completion, Option<Line>) {
-    line.wire.begin(None);
+async fn probe(
+    connection: ServerConnection,
+    endpoint: SocketAddr,
+    context: &PeerContext,
+) -> (Completion, Option<ServerConnection>) {
+    connection.state.begin(None);
     let exchange = async {
-        let request = line.client.get(probe_uri(endpoint, common.load_probes));
-        let response = request.send().await.map_err(failure)?;
+        let request = connection.client.get(probe_uri(endpoint, context.load_probes));
+        let response = request.send().await.map_err(error_status)?;
         let (status, headers) = (response.status(), response.headers().clone());
-        let body = whole_body(response, common, &line.wire).await?;
-        Ok::<_, Status>(Reply::decode_probe(status, &headers, &body, &common.fields))
+        let body = read_probe_body(response, context, &connection.state).await?;
+        Ok::<_, Status>(Reply::decode_probe(status, &headers, &body, &context.fields))
     };
-    match timeout_at(Instant::now() + common.means.options.probe_timeout, exchange).await {
+    match timeout_at(Instant::now() + context.connections.options.probe_timeout, exchange).await {
         Ok(Ok(reply)) => {
             let Reply { status, load, .. } = reply;
-            (Completion { status, latency: Span(0), load, body: None }, Some(line))
+            (Completion { status, latency: Span(0), load, body: None }, Some(connection))
         }
-        Ok(Err(status)) => (Completion::without_response(judged(status, endpoint, &line.wire, common)), None),
+        Ok(Err(status)) => (
+            Completion::without_response(classify_failure(status, endpoint, &connection.state, context)),
+            None,
+        ),
         Err(_) => (Completion::without_response(Status::Timeout), None),
     }
 }
 
 /// What an attempt without an answer says. A spoilt answer is a server's word all the same: it lives and may
 /// have run the request. Taken for a broken connection, it had servers left out that were like all others.
-fn judged(status: Status, endpoint: SocketAddr, wire: &Wire, common: &Common) -> Status {
-    let Some(why) = wire.spoilt() else { return status };
+fn classify_failure(
+    status: Status,
+    endpoint: SocketAddr,
+    state: &ConnectionState,
+    context: &PeerContext,
+) -> Status {
+    let Some(why) = state.invalid_response() else { return status };
     let line = format!("answer of {endpoint} is of no use: {why}");
-    seldom!(common.spoilt, warn, line);
+    seldom!(context.invalid_log, warn, line);
     Status::Error
 }
 
 /// Reads the body of a probe's answer. One that breaks off is a reset, one that is too long an error.
-async fn whole_body(
+async fn read_probe_body(
     mut response: awc::ClientResponse,
-    common: &Common,
-    wire: &Wire,
+    context: &PeerContext,
+    state: &ConnectionState,
 ) -> Result<Bytes, Status> {
-    match read_body(&mut response, common.means.options.max_body_bytes).await {
+    match read_body(&mut response, context.connections.options.max_body_bytes).await {
         Ok((_, false)) => Err(Status::Error),
-        Ok((body, true)) if wire.whole() => Ok(body),
+        Ok((body, true)) if state.response_complete() => Ok(body),
         Ok((_, true)) | Err(BodyAborted) => Err(Status::Reset),
     }
 }
 
 /// What an error of awc's says about whether the request has run. In doubt it may have.
-fn failure(error: SendRequestError) -> Status {
+fn error_status(error: SendRequestError) -> Status {
     let here = |error: &io::Error| {
         let bound = matches!(error.raw_os_error(), Some(EMFILE | ENFILE | EADDRNOTAVAIL));
-        bound || error.get_ref().is_some_and(|e| e.is::<Unsent>())
+        bound || error.get_ref().is_some_and(|e| e.is::<NotSentError>())
     };
     match error {
         // awc says this of a connection that ended before the answer, after the request was written.
--- a/crates/http/src/peer/tests.rs
+++ b/crates/http/src/peer/tests.rs
@@ -8,26 +8,26 @@
 
 #[test]
 fn a_write_that_failed_was_not_whole_and_never_ran() {
-    assert_eq!(failure(io(io::ErrorKind::ConnectionReset.into())), Status::ConnectFailed);
-    assert_eq!(failure(io(io::ErrorKind::BrokenPipe.into())), Status::ConnectFailed);
+    assert_eq!(error_status(io(io::ErrorKind::ConnectionReset.into())), Status::ConnectFailed);
+    assert_eq!(error_status(io(io::ErrorKind::BrokenPipe.into())), Status::ConnectFailed);
 }
 
 #[test]
 fn what_was_not_sent_for_reasons_of_our_own_is_no_fault_of_the_servers() {
-    assert_eq!(failure(io(io::Error::other(Unsent("x")))), Status::NotSent);
+    assert_eq!(error_status(io(io::Error::other(NotSentError("x")))), Status::NotSent);
     for code in [EMFILE, ENFILE, EADDRNOTAVAIL] {
         let error = awc::error::ConnectError::Io(io::Error::from_raw_os_error(code));
-        assert_eq!(failure(SendRequestError::Connect(error)), Status::NotSent);
+        assert_eq!(error_status(SendRequestError::Connect(error)), Status::NotSent);
     }
     let refused = awc::error::ConnectError::Io(io::ErrorKind::ConnectionRefused.into());
-    assert_eq!(failure(SendRequestError::Connect(refused)), Status::ConnectFailed);
+    assert_eq!(error_status(SendRequestError::Connect(refused)), Status::ConnectFailed);
 }
 
 #[test]
 fn in_doubt_it_may_have_run() {
     let ended = SendRequestError::Connect(awc::error::ConnectError::Disconnected);
-    assert_eq!(failure(ended), Status::Reset);
+    assert_eq!(error_status(ended), Status::Reset);
     let garbled = SendRequestError::Response(actix_http::error::ParseError::Header);
-    assert_eq!(failure(garbled), Status::Reset);
-    assert_eq!(failure(SendRequestError::Timeout), Status::Reset);
+    assert_eq!(error_status(garbled), Status::Reset);
+    assert_eq!(error_status(SendRequestError::Timeout), Status::Reset);
 }
--- a/crates/http/src/written/tests.rs
+++ b/crates/http/src/write_progress/tests.rs
@@ -9,16 +9,16 @@
     for (body, told) in [("", true), ("body\r\n\r\nmore", true), ("1\r\nx\r\n0\r\n\r\n", false)] {
         let bytes = format!("{head}{body}");
         for piece in 1..bytes.len() {
-            let mut written = Written::new(told.then_some(body.len() as u64));
+            let mut progress = WriteProgress::new(told.then_some(body.len() as u64));
             let (last, before) = bytes.as_bytes().split_last().unwrap();
-            assert!(before.chunks(piece).all(|part| !written.more(part, true)), "{piece}");
-            assert!(written.more(&[*last], true));
-            assert!(!written.more(b"x", true) && written.whole(), "once");
+            assert!(before.chunks(piece).all(|part| !progress.record(part, true)), "{piece}");
+            assert!(progress.record(&[*last], true));
+            assert!(!progress.record(b"x", true) && progress.is_complete(), "once");
         }
     }
-    let mut written = Written::new(None);
+    let mut progress = WriteProgress::new(None);
     assert!(
-        !written.more(format!("{head}0\r\n\r\n").as_bytes(), false),
+        !progress.record(format!("{head}0\r\n\r\n").as_bytes(), false),
         "bytes of a chunk may look like its end"
     );
 }
