--- /dev/null
+++ b/crates/http/src/front/streaming.rs
@@ -0,0 +1,73 @@
+//! Bodies that are streamed: a request's from its client, a response's to its client.
+
+use super::clients::{ClientConnection, Phase};
+use crate::message::BodyChunks;
+use actix_http::Payload;
+use actix_http::body::{BodySize, BoxBody, MessageBody};
+use actix_http::error::PayloadError;
+use bytes::Bytes;
+use dunlincleat_status::metrics::{Ends, InProgress};
+use futures_util::{StreamExt, stream};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// How long a client may stand still in the middle of a body that goes on to a server.
+pub(super) const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// The rest of a request's body, as it comes; a client that stops in the middle has gone.
+pub(super) fn upload_chunks(payload: Payload, state: Option<Rc<ClientConnection>>) -> BodyChunks {
+    let parts = stream::unfold((payload, state), |(mut payload, state)| async move {
+        let part = timeout(UPLOAD_STALL_TIMEOUT, payload.next()).await;
+        let part = part.unwrap_or_else(|_| Some(Err(PayloadError::Incomplete(None))));
+        if part.is_none()
+            && let Some(state) = state.as_ref().filter(|state| state.phase.get() == Phase::ReadingBody)
+        {
+            state.enter(Phase::Processing);
+        }
+        part.map(|part| (part, (payload, state)))
+    });
+    parts.boxed_local()
+}
+
+/// An answer that is passed on as it comes, to its end.
+pub(super) struct CountedBody {
+    pub(super) body: BoxBody,
+    pub(super) guard: ResponseGuard,
+}
+
+impl MessageBody for CountedBody {
+    type Error = Box<dyn std::error::Error>;
+
+    fn size(&self) -> BodySize {
+        self.body.size()
+    }
+
+    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Self::Error>>> {
+        let part = ready!(Pin::new(&mut self.body).poll_next(cx));
+        self.guard.complete |= part.is_none();
+        Poll::Ready(part)
+    }
+}
+
+/// The end of an answer that is passed on: counted, and its connection's next phase begun, when this is dropped.
+pub(super) struct ResponseGuard {
+    pub(super) state: Option<Rc<ClientConnection>>,
+    pub(super) next_phase: Phase,
+    pub(super) outcomes: Arc<Ends>,
+    pub(super) complete: bool,
+    pub(super) _counted: InProgress,
+}
+
+impl Drop for ResponseGuard {
+    fn drop(&mut self) {
+        let count = if self.complete { &self.outcomes.passed } else { &self.outcomes.failed };
+        count.count();
+        if let Some(state) = &self.state {
+            state.enter(self.next_phase);
+        }
+    }
+}
--- a/crates/http/src/line.rs
+++ b/crates/http/src/line.rs
@@ -1,35 +1,29 @@
 //! A connection to a server: the thin I/O under awc, which does what awc can't. It keeps to the bound on
 //! descriptors and to drains, counts what was written, and frames what is read.
 
-use crate::frame::{InvalidResponse, ResponseFramer};
+mod server_io;
+mod state;
+
+use crate::frame::ResponseFramer;
 use crate::message::server_address;
 use crate::options::HttpOptions;
-use crate::write_progress::WriteProgress;
-use actix_rt::net::{ActixStream, Ready, TcpStream};
+use actix_rt::net::TcpStream;
 use actix_service::Service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
 use awc::http::Uri;
-use dunlincleat::api::Status;
 use dunlincleat_status::{Metrics, Seldom, seldom};
 use futures_util::future::LocalBoxFuture;
-use std::cell::{Cell, RefCell};
-use std::future::Future;
+use server_io::ServerIo;
+pub use state::ConnectionState;
+use std::cell::Cell;
 use std::io;
-use std::mem::MaybeUninit;
 use std::net::SocketAddr;
-use std::pin::Pin;
-use std::rc::{Rc, Weak};
+use std::rc::Rc;
 use std::sync::Arc;
-use std::task::{Context, Poll, ready};
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
-use tokio::time::{Instant, Sleep, sleep, sleep_until, timeout};
+use tokio::time::{Instant, timeout};
 
-/// How long a server may stand still in the middle of an answer that is being passed on.
-const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a server may read nothing of a request that is being written to it.
-const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long an idle connection that is closed to make room may take to give its place back.
 const IDLE_RELEASE_TIMEOUT: Duration = Duration::from_millis(100);
 
@@ -52,113 +46,6 @@
     pub closed: Cell<bool>,
 }
 
-/// What is seen of a connection from outside awc, which owns it.
-#[derive(Default)]
-pub struct ConnectionState {
-    stream: RefCell<Weak<TcpStream>>,
-    /// Bytes of the present request that the kernel took.
-    bytes_sent: Cell<usize>,
-    /// How far the present attempt is written; none for a probe.
-    progress: Cell<Option<WriteProgress>>,
-    /// Of a body whose length nobody told nothing more comes.
-    body_ended: Cell<bool>,
-    /// The answer came to its end.
-    response_complete: Cell<bool>,
-    /// Why it is of no use.
-    invalid: Cell<Option<InvalidResponse>>,
-    /// The answer is being passed on: what was begun may stand still for longer.
-    streaming: Cell<bool>,
-    /// The present request was taken back before it began.
-    withdrawn: Cell<bool>,
-    /// Bytes came that belong to no answer: what comes next could be read as another request's answer.
-    stray_bytes: Cell<bool>,
-}
-
-impl ConnectionState {
-    /// Begins a new attempt, or a probe.
-    pub fn begin(&self, attempt: Option<WriteProgress>) {
-        self.bytes_sent.set(0);
-        self.body_ended.set(false);
-        self.progress.set(attempt);
-        self.withdrawn.set(false);
-        self.response_complete.set(false);
-        self.streaming.set(false);
-        self.invalid.set(None);
-    }
-
-    /// Nothing of the present request was written.
-    pub fn nothing_sent(&self) -> bool {
-        self.bytes_sent.get() == 0
-    }
-
-    /// The answer is passed on as it comes from here on.
-    pub fn set_streaming(&self) {
-        self.streaming.set(true);
-    }
-
-    /// The last byte of a body whose length nobody told has been handed to awc.
-    pub fn set_body_ended(&self) {
-        self.body_ended.set(true);
-    }
-
-    /// Takes the present request back, which has not begun.
-    pub fn withdraw(&self) {
-        self.withdrawn.set(true);
-    }
-
-    /// Whether the present request was taken back.
-    pub fn is_withdrawn(&self) -> bool {
-        self.withdrawn.get()
-    }
-
-    /// The answer came to its end.
-    pub fn response_complete(&self) -> bool {
-        self.response_complete.get()
-    }
-
-    /// Why the answer is of no use.
-    pub fn invalid_response(&self) -> Option<InvalidResponse> {
-        self.invalid.get()
-    }
-
-    /// Whether another request may be sent on it: it is open, and nothing waits to be read. The kernel is asked,
-    /// as what came a moment ago has not been told yet.
-    pub fn is_reusable(&self) -> bool {
-        let Some(stream) = self.stream.borrow().upgrade() else { return false };
-        let peeked = socket2::SockRef::from(&*stream).peek(&mut [MaybeUninit::uninit()]);
-        if peeked.as_ref().is_ok_and(|bytes| *bytes > 0) {
-            self.stray_bytes.set(true);
-        }
-        !self.stray_bytes.get() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
-    }
-
-    /// Whether an idle connection has ended, or is of no use any more: nothing is due to come on it.
-    pub fn is_closed(&self, cx: &mut Context<'_>) -> bool {
-        let Some(stream) = self.stream.borrow().upgrade() else { return true };
-        while stream.poll_read_ready(cx).is_ready() {
-            match stream.try_read(&mut [0]) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Ok(0) | Err(_) => return true,
-                Ok(_) => {
-                    self.stray_bytes.set(true);
-                    return true;
-                }
-            }
-        }
-        false
-    }
-
-    /// The present request was written to its last byte.
-    pub fn request_written(&self) -> bool {
-        self.bytes_sent.get() > 0 && self.progress.get().is_none_or(|progress| progress.is_complete())
-    }
-
-    /// This status where the request was written to its last byte, else the one that says that nothing can have run.
-    pub fn status_if_written(&self, status: Status) -> Status {
-        if self.request_written() { status } else { Status::ConnectFailed }
-    }
-}
-
 /// What connections to servers are made of.
 #[derive(Clone)]
 pub struct ConnectionContext {
@@ -282,150 +169,3 @@
         })
     }
 }
-
-/// A connection to a server. Dropping it closes the socket and gives its descriptor back.
-struct ServerIo {
-    stream: Rc<TcpStream>,
-    framer: ResponseFramer,
-    /// Since when the next byte of an answer that began is waited for, and the timer for it.
-    waiting_since: Option<Instant>,
-    stall_timer: Option<Pin<Box<Sleep>>>,
-    /// The end of the time within which the server has to read more of the request.
-    write_stall_timer: Option<Pin<Box<Sleep>>>,
-    stall_timeout: Duration,
-    gate: Rc<SendGate>,
-    state: Rc<ConnectionState>,
-    metrics: Arc<Metrics>,
-    _permit: OwnedSemaphorePermit,
-}
-
-impl std::fmt::Debug for ServerIo {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        self.stream.fmt(f)
-    }
-}
-
-impl ServerIo {
-    fn fail_invalid(&self, invalid: InvalidResponse) -> Poll<io::Result<()>> {
-        self.state.invalid.set(Some(invalid));
-        Poll::Ready(Err(io::Error::other(invalid)))
-    }
-
-    /// An answer that began and does not go on is of no use: waited for to its deadline, it kept a request that
-    /// may be repeated until it was too late for that.
-    fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if !self.framer.has_started() {
-            return Poll::Pending;
-        }
-        let timeout = if self.state.streaming.get() { STREAM_STALL_TIMEOUT } else { self.stall_timeout };
-        let due = *self.waiting_since.get_or_insert_with(Instant::now) + timeout;
-        let timer = self.stall_timer.get_or_insert_with(|| Box::pin(sleep_until(due)));
-        if timer.deadline() != due {
-            timer.as_mut().reset(due);
-        }
-        ready!(timer.as_mut().poll(cx));
-        self.fail_invalid(InvalidResponse("it began and does not go on"))
-    }
-
-    /// A server that reads no more of a body, while its client still sends: no deadline runs before the last byte, and
-    /// the attempt, its connection and its client were held for as long as both stayed.
-    fn poll_write_stalled(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let timer = self.write_stall_timer.get_or_insert_with(|| Box::pin(sleep(WRITE_STALL_TIMEOUT)));
-        ready!(timer.as_mut().poll(cx));
-        Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
-    }
-}
-
-impl AsyncRead for ServerIo {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let this = self.get_mut();
-        loop {
-            let ready = this.framer.output();
-            if !ready.is_empty() {
-                let part = ready.split_to(ready.len().min(buf.remaining()));
-                buf.put_slice(&part);
-                return Poll::Ready(Ok(()));
-            }
-            // awc drops an idle connection that fails when it looks whether anything came on it.
-            if this.framer.has_stray_bytes() {
-                return Poll::Ready(Err(io::Error::other(NotSentError(
-                    "bytes came that belong to no answer",
-                ))));
-            }
-            match this.stream.poll_read_ready(cx) {
-                Poll::Ready(ready) => ready?,
-                Poll::Pending => return this.poll_stalled(cx),
-            };
-            match this.stream.try_read_buf(this.framer.input_buffer()) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => continue,
-                Err(error) => return Poll::Ready(Err(error)),
-                Ok(0) => {
-                    if this.framer.connection_closed() {
-                        this.state.response_complete.set(true);
-                    }
-                    return Poll::Ready(Ok(()));
-                }
-                Ok(_) => this.waiting_since = None,
-            }
-            if let Err(invalid) = this.framer.parse_input() {
-                return this.fail_invalid(invalid);
-            }
-            this.state.response_complete.set(this.framer.is_complete());
-            if this.framer.has_stray_bytes() {
-                this.state.stray_bytes.set(true);
-            }
-        }
-    }
-}
-
-impl AsyncWrite for ServerIo {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if self.state.bytes_sent.get() == 0 {
-            self.framer.expect_response();
-        }
-        // Guards the drain: an attempt that waited for its connection must not begin once the server leaves.
-        if self.state.bytes_sent.get() == 0 && self.gate.closed.get() {
-            return Poll::Ready(Err(io::Error::other(NotSentError("the server leaves"))));
-        }
-        loop {
-            match self.stream.poll_write_ready(cx) {
-                Poll::Ready(ready) => ready?,
-                Poll::Pending => return self.poll_write_stalled(cx),
-            }
-            match self.stream.try_write(buf) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(error) => return Poll::Ready(Err(error)),
-                Ok(n) => {
-                    self.write_stall_timer = None;
-                    self.state.bytes_sent.set(self.state.bytes_sent.get() + n);
-                    if let Some(mut progress) = self.state.progress.get() {
-                        if progress.record(&buf[..n], self.state.body_ended.get()) {
-                            self.metrics.tries.count();
-                        }
-                        self.state.progress.set(Some(progress));
-                    }
-                    return Poll::Ready(Ok(n));
-                }
-            }
-        }
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
-    }
-
-    /// The socket is closed when it is dropped, which comes next.
-    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
-    }
-}
-
-impl ActixStream for ServerIo {
-    fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        ActixStream::poll_read_ready(&*self.stream, cx)
-    }
-
-    fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        ActixStream::poll_write_ready(&*self.stream, cx)
-    }
-}
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,30 +1,29 @@
 //! The protocol's messages: headers and bodies are decoded once into small typed values, and encoded once.
 
+mod body;
+mod fenced_task;
+mod reply;
+mod uri;
+
 use crate::Answer;
-use actix_http::body::{BodySize, BodyStream, BoxBody, MessageBody, SizedStream};
-use actix_http::error::PayloadError;
+use actix_http::body::{BodyStream, BoxBody, SizedStream};
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead, Response, StatusCode};
-use awc::http::Uri;
-use bytes::{Bytes, BytesMut};
-use dunlincleat::api::{Effect, Span, Status};
-use dunlincleat_directory::Interest;
+use body::StreamingBody;
+pub use body::{BodyAborted, BodyChunk, BodyChunks, BodyData, RemainingBody, ResponseBody, read_body};
+use bytes::Bytes;
+use dunlincleat::api::{Effect, Span};
 use dunlincleat_engine::RequestInfo;
 use dunlincleat_limits::{RequestAttributes, RuleSet};
 use dunlincleat_settings::{InstanceSettings, global_id};
-use futures_util::stream::{LocalBoxStream, once};
-use futures_util::{Stream, StreamExt};
-use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
-use serde_json::Value;
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
-use std::io;
+pub use fenced_task::{FenceRejection, FencedTask};
+use futures_util::StreamExt;
+use futures_util::stream::once;
+pub use reply::Reply;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll, ready};
 use std::time::Duration;
-use tokio::sync::mpsc;
+pub use uri::{list_uri, probe_uri, server_address, watch_uri};
 
 /// Where clients ask whether the sidecar serves, and sidecars whether a server does.
 pub const HEALTH_PATH: &str = "/healthz";
@@ -61,129 +60,6 @@
     task: Option<Rc<FencedTask>>,
 }
 
-/// A request that the sidecar sends on behalf of a duty: extra headers, a check whether it may still be sent, and the
-/// fence with which a server rejected it.
-pub struct FencedTask {
-    headers: BTreeMap<&'static str, String>,
-    permitted: Box<dyn Fn() -> bool>,
-    started: Cell<bool>,
-    rejection: Cell<Option<FenceRejection>>,
-}
-
-/// The newest fence and period that a server has seen, as reported in its rejection of an older one.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FenceRejection {
-    /// The highest fence.
-    pub fence: u64,
-    /// The period reported with it; 0 if the server reported none.
-    pub period: u64,
-}
-
-impl FencedTask {
-    /// Creates a task with these headers; it may be sent as long as `permitted` returns true.
-    pub fn new(
-        headers: BTreeMap<&'static str, String>,
-        permitted: impl Fn() -> bool + 'static,
-    ) -> FencedTask {
-        FencedTask {
-            headers,
-            permitted: Box::new(permitted),
-            started: Cell::new(false),
-            rejection: Cell::new(None),
-        }
-    }
-
-    /// Whether an attempt was permitted to start.
-    pub fn started(&self) -> bool {
-        self.started.get()
-    }
-
-    /// The fence and period reported by a server that rejected the task.
-    pub fn fence_rejection(&self) -> Option<FenceRejection> {
-        self.rejection.get()
-    }
-
-    /// Whether an attempt may start now; checked immediately before its first byte is written.
-    pub fn try_start(&self) -> bool {
-        let permitted = (self.permitted)();
-        self.started.set(self.started.get() || permitted);
-        permitted
-    }
-
-    /// Records the response of a server: status 409 with a fence is a rejection.
-    pub fn record_response(&self, status: StatusCode, headers: &HeaderMap) {
-        let number = |name| header_text(headers, &name).and_then(|n| n.parse::<u64>().ok());
-        if status == StatusCode::CONFLICT
-            && let Some(fence) = number(DUTY_FENCE)
-        {
-            let period = number(DUTY_PERIOD).unwrap_or(0);
-            self.rejection.set(Some(FenceRejection { fence, period }));
-        }
-    }
-}
-
-/// A server's answer.
-pub struct ResponseBody {
-    /// As the server sent it.
-    pub data: BodyData,
-    /// What it says the body is.
-    pub content_type: Option<HeaderValue>,
-}
-
-/// The bytes of an answer.
-pub enum BodyData {
-    /// All of them.
-    Complete(Bytes),
-    /// What came first; the rest is passed on as it comes.
-    Streaming {
-        /// The first bytes.
-        first: Bytes,
-        /// What follows; an end without the last word is one that broke off.
-        rest: mpsc::Receiver<BodyChunk>,
-        /// How long it is in all, where that was told.
-        length: Option<u64>,
-    },
-}
-
-/// A part of an answer that is passed on.
-pub enum BodyChunk {
-    /// Bytes.
-    Bytes(Bytes),
-    /// It came to its end.
-    End,
-}
-
-/// The parts of a request's body, as they come.
-pub type BodyChunks = LocalBoxStream<'static, Result<Bytes, PayloadError>>;
-
-/// The part of a request's body that has not come yet. It can be read once: an attempt that failed before it read any
-/// of it leaves it to the next.
-pub struct RemainingBody {
-    /// Where it comes from.
-    chunks: RefCell<BodyChunks>,
-    read_started: Cell<bool>,
-    /// How long the whole body is, where that was told.
-    pub length: Option<u64>,
-}
-
-impl RemainingBody {
-    /// The rest of a body of this length.
-    pub fn new(chunks: BodyChunks, length: Option<u64>) -> RemainingBody {
-        RemainingBody { chunks: RefCell::new(chunks), read_started: Cell::new(false), length }
-    }
-
-    /// Some of it was read: what is left is not the whole of it any more.
-    pub fn read_started(&self) -> bool {
-        self.read_started.get()
-    }
-
-    /// Reads on.
-    pub fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, PayloadError>>> {
-        self.read_started.set(true);
-        self.chunks.borrow_mut().poll_next_unpin(cx)
-    }
-}
-
 /// Why a request was not taken.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed {
@@ -374,40 +250,6 @@
     }
 }
 
-/// An answer that is passed on as it comes. Where it breaks off, so does the client's connection: it is never taken for
-/// a whole one.
-struct StreamingBody {
-    first: Bytes,
-    rest: mpsc::Receiver<BodyChunk>,
-    length: Option<u64>,
-    ended: bool,
-}
-
-impl MessageBody for StreamingBody {
-    type Error = io::Error;
-
-    fn size(&self) -> BodySize {
-        self.length.map_or(BodySize::Stream, BodySize::Sized)
-    }
-
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        if !self.first.is_empty() {
-            return Poll::Ready(Some(Ok(std::mem::take(&mut self.first))));
-        }
-        if self.ended {
-            return Poll::Ready(None);
-        }
-        match ready!(self.rest.poll_recv(cx)) {
-            Some(BodyChunk::Bytes(bytes)) => Poll::Ready(Some(Ok(bytes))),
-            Some(BodyChunk::End) => {
-                self.ended = true;
-                Poll::Ready(None)
-            }
-            None => Poll::Ready(Some(Err(io::Error::other("the server's answer broke off")))),
-        }
-    }
-}
-
 impl From<BodyAborted> for Malformed {
     fn from(BodyAborted: BodyAborted) -> Malformed {
         Malformed { status: StatusCode::BAD_REQUEST, reason: "the body broke off", counts_as_failed: false }
@@ -421,115 +263,6 @@
     }
 }
 
-/// A server's answer to a request or a probe, without its body.
-pub struct Reply {
-    /// What it means.
-    pub status: Status,
-    /// The load report, in the order of the settings' fields; empty where none came.
-    pub load: Vec<f64>,
-    /// What it says its body is.
-    pub content_type: Option<HeaderValue>,
-    /// How long it says its body is, in bytes.
-    pub length: Option<u64>,
-}
-
-impl Reply {
-    /// Reads the head of an answer.
-    pub fn decode(status: StatusCode, headers: &HeaderMap, fields: &[String]) -> Reply {
-        let not_processed = header_text(headers, &NOT_PROCESSED) == Some("1");
-        let status = match status {
-            StatusCode::OK => Status::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => {
-                Status::Rejected
-            }
-            // Whatever is no word of the protocol's may have run.
-            _ => Status::Error,
-        };
-        let load = header_text(headers, &SERVER_LOAD)
-            .map(|l| parse_load_report(l.as_bytes(), fields))
-            .unwrap_or_default();
-        let length = header_text(headers, &header::CONTENT_LENGTH).and_then(|l| l.parse().ok());
-        Reply { status, load, content_type: headers.get(header::CONTENT_TYPE).cloned(), length }
-    }
-
-    /// Reads the head and the body of a probe's answer: 503 is a probe's word for a server that is busy.
-    pub fn decode_probe(status: StatusCode, headers: &HeaderMap, body: &[u8], fields: &[String]) -> Reply {
-        let mut reply = Reply::decode(status, headers, fields);
-        if status == StatusCode::SERVICE_UNAVAILABLE {
-            reply.status = Status::Rejected;
-        }
-        if reply.load.is_empty() {
-            reply.load = parse_load_report(body, fields);
-        }
-        reply
-    }
-}
-
-/// No server has this much of anything that a load report counts.
-const MAX_LOAD_VALUE: f64 = 1e9;
-
-/// Reads a load report; a figure that lacks becomes no number. A report without any of them is none, and so is one
-/// with a figure that can't be true: a load under nothing would draw every request there.
-fn parse_load_report(json: &[u8], fields: &[String]) -> Vec<f64> {
-    let Ok(Value::Object(report)) = serde_json::from_slice(json) else { return Vec::new() };
-    let value = |name: &String| report.get(name).and_then(Value::as_f64).unwrap_or(f64::NAN);
-    let load: Vec<f64> = fields.iter().map(value).collect();
-    let readable = load.iter().all(|v| v.is_nan() || (0.0..=MAX_LOAD_VALUE).contains(v));
-    if readable && load.iter().any(|v| !v.is_nan()) { load } else { Vec::new() }
-}
-
-/// The connection of a body broke off.
-#[derive(Debug, PartialEq, Eq)]
-pub struct BodyAborted;
-
-/// Reads a body until it is whole or over so many bytes; tells whether it is whole.
-pub async fn read_body<E>(
-    chunks: &mut (impl Stream<Item = Result<Bytes, E>> + Unpin),
-    limit: usize,
-) -> Result<(Bytes, bool), BodyAborted> {
-    let mut body = BytesMut::new();
-    while body.len() <= limit {
-        let Some(chunk) = chunks.next().await else { return Ok((body.freeze(), true)) };
-        let chunk = chunk.map_err(|_| BodyAborted)?;
-        if body.is_empty() {
-            body = BytesMut::from(chunk);
-        } else {
-            body.extend_from_slice(&chunk);
-        }
-    }
-    Ok((body.freeze(), false))
-}
-
-/// The address of the whole list, or of that of some services. Discovery may pass over which, and tell of all.
-pub fn list_uri(discovery: SocketAddr, interest: &Interest) -> String {
-    let models = models_parameter(interest).map(|models| format!("?{models}"));
-    format!("http://{discovery}/v1/servers{}", models.unwrap_or_default())
-}
-
-/// The address of a watch for what changed after a version, in the same way.
-pub fn watch_uri(discovery: SocketAddr, after: u64, interest: &Interest) -> String {
-    let models = models_parameter(interest).map(|models| format!("&{models}"));
-    format!("http://{discovery}/v1/servers?watch=1&after={after}{}", models.unwrap_or_default())
-}
-
-/// What a name needs no escape for in a query; a comma parts names.
-const QUERY_ESCAPES: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
-
-fn models_parameter(interest: &Interest) -> Option<String> {
-    let names = interest.services()?.map(|name| utf8_percent_encode(name, QUERY_ESCAPES).to_string());
-    Some(format!("models={}", names.collect::<Vec<_>>().join(",")))
-}
-
-/// The address of a probe.
-pub fn probe_uri(server: SocketAddr, with_load: bool) -> String {
-    format!("http://{server}{}", if with_load { LOAD_PATH } else { HEALTH_PATH })
-}
-
-/// The address and port of a URI that this program made.
-pub fn server_address(uri: &Uri) -> Option<SocketAddr> {
-    uri.authority()?.as_str().parse().ok()
-}
-
 fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim)
 }
