--- a/crates/http/src/frame.rs
+++ b/crates/http/src/frame.rs
@@ -1,23 +1,23 @@
-//! Where a server's answer begins and ends. awc reads answers, but it takes a 1xx answer for the final one,
-//! reads no answer that lasts until its connection ends, and drops bytes that come behind an answer with its buffer. So
-//! what a connection brings is framed here first: awc sees one final answer, or an error. Nothing is held for its length:
-//! what has come is handed on before more is read.
+//! Framing of server responses. awc parses responses, but it takes a 1xx response for the final one, does not read
+//! responses that last until the connection closes, and drops bytes that follow a response along with its buffer. So
+//! the bytes received on a connection are framed here first, and awc sees exactly one final response, or an error.
+//! Nothing is buffered because of its length: received bytes are forwarded before more are read.
 
 use bytes::{Buf, BytesMut};
 use httparse::Status::{Complete, Partial};
 
-/// The longest head of an answer, and of a chunk with its trailers.
+/// Maximum size of a response head, of a chunk size line, and of the trailers.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The version whose answers last until the end of their connection.
+/// The version whose responses may last until the connection closes.
 const HTTP_1_0: &[u8; 8] = b"HTTP/1.0";
-/// What is read at once.
+/// Minimum free space in the buffer for each read.
 const READ_BYTES: usize = 16 * 1024;
-/// The most headers of an answer.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 64;
-/// The most 1xx answers ahead of the final one.
+/// Maximum number of 1xx responses before the final one.
 const MAX_INFORMATIONAL_RESPONSES: usize = 16;
 
-/// Why an answer is of no use. The request has run, or may have.
+/// Why a response is invalid. The request has run, or may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidResponse(pub &'static str);
 
@@ -29,52 +29,52 @@
 
 impl std::error::Error for InvalidResponse {}
 
-/// What is due next.
+/// What is expected next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Head,
-    /// So many bytes of a body, then its end.
+    /// The given number of bytes of a body, then its end.
     FixedLength(u64),
-    /// A body that lasts until the connection ends.
+    /// A body that lasts until the connection closes.
     UntilClose,
-    /// The size of a chunk.
+    /// The size line of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk, then the line end behind it.
+    /// The given number of bytes of a chunk, then the line end after it.
     ChunkData(u64),
     ChunkEnd,
     Trailers,
     Complete,
 }
 
-/// Frames the answers of one connection, one answer a request.
+/// Frames the responses of one connection, one per request.
 #[derive(Debug)]
 pub struct ResponseFramer {
     state: State,
     informational: usize,
-    /// What came and is not framed yet.
+    /// Bytes received and not framed yet.
     input: BytesMut,
-    /// What awc may read.
+    /// Bytes that awc may read.
     output: BytesMut,
 }
 
 impl ResponseFramer {
-    /// A connection on which nothing is due yet.
+    /// Creates a framer that expects no response yet.
     pub fn new() -> ResponseFramer {
         let (input, output) = (BytesMut::new(), BytesMut::new());
         ResponseFramer { state: State::Complete, informational: 0, input, output }
     }
 
-    /// A request goes out: its answer is due.
+    /// Expects the response to a request that is being sent.
     pub fn expect_response(&mut self) {
         (self.state, self.informational) = (State::Head, 0);
     }
 
-    /// The answer has come to its end.
+    /// Whether the response is complete.
     pub fn is_complete(&self) -> bool {
         self.state == State::Complete
     }
 
-    /// The final answer has begun and not come to its end.
+    /// Whether the final response has started and is incomplete.
     pub fn has_started(&self) -> bool {
         match self.state {
             State::Head => !self.input.is_empty(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The connection ended: where the body lasts until then, it is whole. Tells whether that was its end.
+    /// Handles the end of the connection. Returns whether it is the end of the body, which is then complete.
     pub fn connection_closed(&mut self) -> bool {
         let until_close = self.state == State::UntilClose;
         if until_close {
@@ -97,23 +97,23 @@
         until_close
     }
 
-    /// Bytes came that belong to no answer.
+    /// Whether bytes were received that belong to no response.
     pub fn has_stray_bytes(&self) -> bool {
         self.is_complete() && !self.input.is_empty()
     }
 
-    /// Where bytes from the connection go.
+    /// The buffer for bytes read from the connection.
     pub fn input_buffer(&mut self) -> &mut BytesMut {
         self.input.reserve(READ_BYTES);
         &mut self.input
     }
 
-    /// What awc may read.
+    /// The bytes that awc may read.
     pub fn output(&mut self) -> &mut BytesMut {
         &mut self.output
     }
 
-    /// Takes in what has come.
+    /// Parses the bytes received so far.
     pub fn parse_input(&mut self) -> Result<(), InvalidResponse> {
         loop {
             let next = match self.state {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Hands on up to so many bytes; tells how many are left, or nothing where none came.
+    /// Forwards up to `left` bytes; returns how many of them are still to come, or `None` if nothing was received.
     fn forward_up_to(&mut self, left: u64) -> Option<u64> {
         let count = usize::try_from(left).unwrap_or(usize::MAX).min(self.input.len());
         self.forward(count);
@@ -156,14 +156,14 @@
         let mut response = httparse::Response::new(&mut headers);
         let length = match response.parse(&self.input) {
             Ok(Complete(length)) => length,
-            Ok(Partial) => return self.await_more("its head does not end"),
-            Err(_) => return Err(InvalidResponse("its head can't be read")),
+            Ok(Partial) => return self.await_more("the response head exceeds 16 KiB"),
+            Err(_) => return Err(InvalidResponse("the response head is malformed")),
         };
         let status = response.code.unwrap_or_default();
         if (100..200).contains(&status) {
             self.informational += 1;
             if status == 101 || self.informational > MAX_INFORMATIONAL_RESPONSES {
-                return Err(InvalidResponse("its status is none that was asked for"));
+                return Err(InvalidResponse("unexpected 1xx response"));
             }
             self.input.advance(length);
             return Ok(Some(State::Head));
@@ -171,7 +171,8 @@
         let next = body_framing(response.headers, status)?;
         self.forward(length);
         if next == State::UntilClose {
-            // awc reads until the end for HTTP/1.0 alone: there it is the rule. The version stands at the head's start.
+            // awc reads until the connection closes only for HTTP/1.0, where that is the rule. The version is at the
+            // start of the head.
             let at = self.output.len() - length;
             self.output[at..at + HTTP_1_0.len()].copy_from_slice(HTTP_1_0);
         }
@@ -181,8 +182,8 @@
     fn parse_chunk_size(&mut self) -> Result<Option<State>, InvalidResponse> {
         let (line, size) = match httparse::parse_chunk_size(&self.input) {
             Ok(Complete(found)) => found,
-            Ok(Partial) => return self.await_more("the size of a chunk does not end"),
-            Err(_) => return Err(InvalidResponse("the size of a chunk can't be read")),
+            Ok(Partial) => return self.await_more("a chunk size line exceeds 16 KiB"),
+            Err(_) => return Err(InvalidResponse("a chunk size line is malformed")),
         };
         self.forward(line);
         Ok(Some(if size == 0 { State::Trailers } else { State::ChunkData(size) }))
@@ -193,7 +194,7 @@
             return Ok(None);
         }
         if !self.input.starts_with(b"\r\n") {
-            return Err(InvalidResponse("a chunk does not end where it should"));
+            return Err(InvalidResponse("a chunk is not followed by CRLF"));
         }
         self.forward(2);
         Ok(Some(State::ChunkSize))
@@ -202,18 +203,18 @@
     fn parse_trailers(&mut self) -> Result<Option<State>, InvalidResponse> {
         let length = match httparse::parse_headers(&self.input, &mut [httparse::EMPTY_HEADER; MAX_HEADERS]) {
             Ok(Complete((length, _))) => length,
-            Ok(Partial) => return self.await_more("its trailers do not end"),
-            Err(_) => return Err(InvalidResponse("its trailers can't be read")),
+            Ok(Partial) => return self.await_more("the trailers exceed 16 KiB"),
+            Err(_) => return Err(InvalidResponse("the trailers are malformed")),
         };
-        // They are of no use here, and awc knows of none.
+        // The trailers are not needed, and awc does not parse trailers.
         self.input.advance(length);
         self.output.extend_from_slice(b"\r\n");
         Ok(Some(State::Complete))
     }
 }
 
-/// What body follows a head. A length is told once, in digits. Without one the body lasts until the connection ends,
-/// and only a reset shows that it broke off.
+/// How the body after a head is framed. A length must be given at most once, in digits. Without one, the body lasts
+/// until the connection closes, and only a reset shows that it is incomplete.
 fn body_framing(headers: &[httparse::Header<'_>], status: u16) -> Result<State, InvalidResponse> {
     let named = |name: &'static str| headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
     let mut codings = named("transfer-encoding");
@@ -224,11 +225,11 @@
         }
         (None, None, Some(length), None) if length.value.iter().all(u8::is_ascii_digit) => {
             let length = std::str::from_utf8(length.value).ok().and_then(|l| l.parse().ok());
-            length.map(State::FixedLength).ok_or(InvalidResponse("its length can't be read"))
+            length.map(State::FixedLength).ok_or(InvalidResponse("the Content-Length is malformed"))
         }
         (None, None, None, None) if matches!(status, 204 | 304) => Ok(State::Complete),
         (None, None, None, None) => Ok(State::UntilClose),
-        _ => Err(InvalidResponse("its length is in doubt")),
+        _ => Err(InvalidResponse("the length of the body is ambiguous")),
     }
 }
 
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -1,5 +1,4 @@
-//! The server that the application speaks to: it accepts connections, takes requests, and gives each exactly
-//! one answer.
+//! The HTTP server for applications: it accepts connections and requests, and answers each request exactly once.
 
 mod client_io;
 mod clients;
@@ -40,23 +39,23 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Connections beyond the bound that are still taken, to be told so.
+/// Connections beyond the limit that are still accepted, so that their requests can be refused.
 const EXCESS_CONNECTIONS: usize = 16;
-/// How often the clients' deadlines are looked at.
+/// Interval between checks of the deadlines of client connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a client that was too slow may take to read that, and what it still sends is read.
+/// Time a client that was too slow has to read the response and to close; what it still sends meanwhile is discarded.
 const SLOW_CLIENT_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// What one is told whose request had not come whole in its time: nothing of it was sent on.
+/// Response to a request that was not received completely in time; no part of it was sent to a server.
 const REQUEST_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// What requests are taken under; replaced in one step by a reload.
+/// The settings and limits that apply to new requests; a reload replaces them atomically.
 pub struct ActiveSettings {
-    /// The settings.
+    /// The settings of the instance.
     pub site: Arc<InstanceSettings>,
-    /// The operator's limits, where there are any.
+    /// The operator's limits, if any.
     pub rules: Option<Arc<RuleSet>>,
-    /// The counts of each class, by its number.
+    /// The outcome counters of each class, by class number.
     outcomes: Vec<Arc<Ends>>,
 }
 
@@ -67,7 +66,7 @@
         rules: Option<Arc<RuleSet>>,
         metrics: &Metrics,
     ) -> ActiveSettings {
-        // A number that no class has now counts nowhere.
+        // A class number that is no longer in use has an empty name and is not counted.
         let counts = |name: &String| if name.is_empty() { Arc::default() } else { metrics.class(name) };
         ActiveSettings { outcomes: site.classes.iter().map(counts).collect(), site, rules }
     }
@@ -75,41 +74,41 @@
 
 /// Where clients connect.
 pub enum Listener {
-    /// An address of this process alone.
+    /// An address to bind, for this process only.
     Bind(SocketAddr),
-    /// A listening socket that other processes hold too.
+    /// A listening socket that other processes may hold too.
     Shared(std::net::TcpListener),
 }
 
-/// What the front is told.
+/// Configuration of the front.
 pub struct FrontConfig {
-    /// What is in force, now and later.
+    /// The current settings and limits.
     pub active: watch::Receiver<Rc<ActiveSettings>>,
-    /// Its bounds and times.
+    /// Limits and timeouts.
     pub options: Rc<HttpOptions>,
-    /// Where it counts.
+    /// Outcome counters and the number of open requests.
     pub metrics: Arc<Metrics>,
 }
 
-/// What the handlers of requests share.
+/// State shared by the request handlers.
 struct Front {
     active: watch::Receiver<Rc<ActiveSettings>>,
     metrics: Arc<Metrics>,
     options: Rc<HttpOptions>,
     engine: Handle,
     clients: Rc<Clients>,
-    /// Requests that may still be taken.
+    /// One permit for each further request that may be accepted.
     request_permits: Arc<Semaphore>,
-    /// The names of those that are taken.
+    /// The `X-Request-ID` values of the open requests.
     ids_in_use: RefCell<FxHashSet<HeaderValue>>,
     next_id: Cell<u64>,
     stage: watch::Receiver<Stage>,
-    /// Lines of the log for requests refused at a bound, and for malformed ones.
+    /// Rate limiters for the log messages about requests refused at a limit and about malformed requests.
     limit_log: Seldom,
     malformed_log: Seldom,
 }
 
-/// Accepts and serves until the stage is `Closing` and every connection has ended.
+/// Accepts and serves connections until the stage is `Closing` and every connection has ended.
 pub async fn serve(
     listener: Listener,
     config: FrontConfig,
@@ -125,7 +124,8 @@
         }
         Listener::Shared(listener) => (TcpListener::from_std(listener).context("EDGE_INHERITED_FD")?, true),
     };
-    // What comes to a shared listener waits for the other process too: this one's part ends at once.
+    // Connections to a shared listener can be accepted by the other process, so this one stops accepting as soon as
+    // it is told to end.
     let stopped = move |stage: &Stage| *stage >= Stage::Closing || shared && stage.ends();
     let connections = Arc::new(Semaphore::new(most));
     let request_permits = Arc::new(Semaphore::new(options.max_requests));
@@ -149,14 +149,14 @@
         malformed_log: Seldom::default(),
     });
     let handler = front.clone();
-    // No limit of the server's own may end a request: the module's deadlines do, and `ClientState` has those
-    // of a client that has no request in hand.
+    // No timeout of actix-http may end a request: the engine has the deadlines of requests, and `ClientConnection`
+    // those of connections without an open request.
     let service = HttpService::build()
         .keep_alive(KeepAlive::Os)
         .client_request_timeout(Duration::ZERO)
         .client_disconnect_timeout(DRAIN_TIMEOUT)
-        // A client that closes has gone; `ClientState::cut` sees that. Where actix-http did, bytes behind a request that
-        // can't be read ended its connection too, and with it the request.
+        // `ClientConnection::poll_termination` detects a client that closed. When actix-http did, unparsable bytes
+        // after a request also ended the connection, and with it the request.
         .h1_allow_half_closed(true)
         .on_connect_ext(|io: &ClientIo, data| {
             data.insert(io.state.clone());
@@ -164,14 +164,15 @@
         .h1(fn_service(move |request| handle_request(handler.clone(), request)))
         .new_service(())
         .await
-        .map_err(|()| anyhow!("the server could not be set up"))?;
+        .map_err(|()| anyhow!("cannot build the HTTP service"))?;
     let service = Rc::new(service);
     let sweeper = actix_rt::spawn(sweep(clients.clone(), connections.clone(), lifecycle.clone()));
-    let at = listener.local_addr()?;
+    let address = listener.local_addr()?;
     lifecycle.tell(lifecycle::Event::Ready);
-    tracing::info!("listening on {at}");
+    tracing::info!("listening on {address}");
     loop {
-        // Not given up at the end: what waits to be accepted then has a place as soon as another is answered.
+        // Waits for a permit during shutdown too: a connection in the accept queue gets one as soon as another
+        // connection ends.
         let permit = tokio::select! {
             biased;
             permit = connections.clone().acquire_owned() => permit?,
@@ -182,32 +183,32 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    tracing::error!("no connection accepted: {error}");
+                    tracing::error!("cannot accept a connection: {error}");
                     sleep(Duration::from_millis(20)).await;
                     continue;
                 }
             },
-            // What waits to be accepted has been accepted already by the machine: it is taken first.
+            // The kernel has already completed the connections in the accept queue, so they are accepted first.
             _ = stage.wait_for(stopped) => break,
         };
         actix_rt::spawn(serve_connection(stream, clients.register(permit), service.clone(), front.clone()));
     }
     drop(listener);
-    // All permits are back when all connections have ended. Those that are back already are held here, which is no lack
-    // of places: taken for one, it had requests closed that were still coming in.
+    // All permits are returned when all connections have ended. The permits that this call has already acquired must
+    // not count as lack of capacity: that had closed connections whose requests were still being received.
     clients.accepting.set(false);
     let _all = connections.acquire_many(most as u32).await?;
     sweeper.abort();
     Ok(())
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 async fn serve_connection<S>(stream: TcpStream, slot: ClientSlot, service: Rc<S>, front: Rc<Front>)
 where
     S: Service<(ClientIo, Option<SocketAddr>), Response = (), Error = DispatchError>,
 {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!("connection not set up: {error}");
+        tracing::debug!("cannot set TCP_NODELAY on a client connection: {error}");
     }
     let (state, mut stage) = (slot.state.clone(), front.stage.clone());
     let stream = Rc::new(stream);
@@ -219,33 +220,33 @@
             end = &mut connection => {
                 match end {
                     Err(DispatchError::Parse(error)) => {
-                        let line = format!("request not taken: it can't be read: {error}");
+                        let line = format!("request not taken: malformed HTTP: {error}");
                         seldom!(front.malformed_log, info, line);
                     }
-                    Err(error) => tracing::debug!("connection of a client ended: {error}"),
+                    Err(error) => tracing::debug!("client connection failed: {error}"),
                     Ok(()) => {}
                 }
                 return;
             }
             termination = poll_fn(|cx| state.poll_termination(&stream, cx)) => break termination,
-            // Either polls the connection once more, which then sees that it is to close or may read on.
+            // Either event polls the connection again, which then closes it or resumes reading.
             () = state.wake.notified() => {}
             Ok(()) = stage.changed() => {}
         }
     };
-    // With it goes the handler of its request, which tells the engine.
+    // Also drops the handler of its request, which notifies the engine.
     drop(connection);
     match termination {
         Termination::ClientLeft => {}
         Termination::RequestTimeout => {
-            seldom!(front.malformed_log, info, "request not taken: it did not come whole in its time");
+            seldom!(front.malformed_log, info, "request not taken: not received completely in time");
             let _ = timeout(SLOW_CLIENT_CLOSE_TIMEOUT, reject_slow_client(&stream)).await;
         }
     }
 }
 
-/// Answers a client that was too slow, and reads on until it has closed: its last byte may have come meanwhile, and a
-/// connection that is closed with something unread on it is reset, with the answer.
+/// Responds to a client that was too slow, and reads until it closes. Its last byte may have arrived meanwhile, and
+/// closing a socket with unread data sends a reset, which discards the response.
 async fn reject_slow_client(stream: &TcpStream) -> io::Result<()> {
     stream.try_write(REQUEST_TIMEOUT_RESPONSE)?;
     socket2::SockRef::from(stream).shutdown(Shutdown::Write)?;
@@ -260,7 +261,7 @@
     }
 }
 
-/// Closes connections whose time is over, and one more where all places are taken.
+/// Closes connections whose deadline has passed, and one more if no permit is left.
 async fn sweep(clients: Rc<Clients>, connections: Arc<Semaphore>, lifecycle: Arc<Lifecycle>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
@@ -277,8 +278,8 @@
     }
 }
 
-/// Listens with a queue that holds as many connections as may be taken: beyond the usual one of 128 they did not
-/// come up while the program stood still.
+/// Binds a listener whose backlog is as large as the connection limit. With the usual backlog of 128, connections
+/// failed while the process was stalled.
 fn bind(listen: SocketAddr, most: usize) -> io::Result<TcpListener> {
     let socket = if listen.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -286,17 +287,17 @@
     socket.listen(u32::try_from(most).unwrap_or(u32::MAX))
 }
 
-/// Takes one request and waits for its answer.
+/// Handles one request.
 async fn handle_request(
     front: Rc<Front>,
     mut request: actix_http::Request,
 ) -> Result<Response<BoxBody>, Infallible> {
     let state = request.conn_data::<Rc<ClientConnection>>().cloned();
     let over_limit = state.as_ref().is_some_and(|state| state.over_limit);
-    // A client that was turned away is told to close: what it sent ahead is not worth more work.
+    // The connection of a rejected client is closed: requests that it has pipelined are not worth further work.
     let mut rejected = false;
     let mut streams = false;
-    // Under the settings that it came under: its class may be dropped meanwhile.
+    // Looked up under the settings at arrival: a reload may remove the class before the request ends.
     let outcomes = front.outcomes(request.path());
     let mut response = if request.method() == Method::GET && request.path() == HEALTH_PATH {
         if front.stage.borrow().ready() {
@@ -312,7 +313,7 @@
         match front.accept_request(&mut request, state.as_ref()).await {
             Ok(answer) => {
                 match &answer {
-                    // Counted when it has come to its end.
+                    // Counted by the `ResponseGuard` when the response ends.
                     Answer::Served(ResponseBody { data: BodyData::Streaming { .. }, .. }) => streams = true,
                     Answer::Served(_) => outcomes.passed.count(),
                     Answer::Refused { .. } => outcomes.dropped.count(),
@@ -331,11 +332,12 @@
             }
         }
     };
-    // Where places run short, an answer ends its connection: hundreds of clients a second that ask once and keep
-    // theirs once held all places for the 2 s for which an idle one must be kept.
+    // When connections are scarce, each response closes its connection. Otherwise, hundreds of clients per second
+    // that send one request each and keep the connection open use up the limit, as an idle connection is kept for at
+    // least 2 s.
     let close = rejected || over_limit || front.clients.is_crowded() || front.stage.borrow().sends_away();
     if close {
-        // It ends once the answer is written; nothing else may end it before.
+        // Closes the connection after the response is written; nothing else may close it before.
         response.head_mut().set_connection_type(actix_http::ConnectionType::Close);
     }
     let next_phase = if close { Phase::Draining } else { Phase::Idle };
@@ -351,8 +353,7 @@
 }
 
 impl Front {
-    /// Where the final answer to a request of the class that its path names is counted; one that names none is
-    /// counted nowhere.
+    /// The outcome counters of the class named by the path; counters that are never read if the path names no class.
     fn outcomes(&self, path: &str) -> Arc<Ends> {
         let active = self.active.borrow();
         let class = class_of(path, &active.site).and_then(|class| active.outcomes.get(class));
@@ -372,10 +373,10 @@
         let mut payload = request.take_payload();
         let (body, whole) = read_body(&mut payload, self.options.max_body_bytes).await?;
         let Ok(permit) = self.request_permits.clone().try_acquire_owned() else {
-            seldom!(self.limit_log, warn, "request refused: the bound on requests in hand is reached");
+            seldom!(self.limit_log, warn, "request refused: open request limit reached");
             return Ok(Answer::Refused { retry_after: None });
         };
-        // A copy of a request in hand, whoever sends it, would be a second run of it.
+        // Sending a duplicate of an open request would execute it twice, whichever client sent it.
         if !self.ids_in_use.borrow_mut().insert(decoded.id.clone()) {
             return Err(Malformed {
                 status: StatusCode::CONFLICT,
@@ -395,8 +396,8 @@
             _permit: permit,
             _counted: self.metrics.taken(),
         };
-        // Up to the bound a body is held, so that it can be sent again; of a longer one the rest goes to one server as it
-        // comes.
+        // A body up to the size limit is buffered, so that it can be sent again. The rest of a larger one is streamed
+        // to one server.
         let rest = if whole {
             state.into_iter().for_each(|state| state.enter(Phase::Processing));
             None
@@ -404,7 +405,8 @@
             state.into_iter().for_each(|state| state.streams_body.set(true));
             Some(RemainingBody::new(upload_chunks(payload, state.cloned()), length))
         };
-        // Its time counts from its last byte: a slow body once left none for the servers.
+        // The deadline runs from the last byte received: counted from the first one, a slow upload left no time for
+        // the servers.
         let received = Instant::now();
         let info = decoded.info.clone();
         self.engine.request(id, info, Rc::new(decoded.with_body(body, rest)), received, slot);
@@ -412,18 +414,20 @@
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
-            // The process ends: a failure promises nothing, and nothing is owed an answer any more.
+            // The process exits: failing is always a correct answer, as it promises nothing, and no request is left
+            // without one.
             _ = stage.wait_for(|stage| *stage == Stage::Last) => return Ok(Answer::Failed),
         };
         open.answered = true;
         Ok(answer.unwrap_or_else(|_| {
-            tracing::error!("a request was dropped without an answer");
+            tracing::error!("the engine dropped a request without an answer");
             Answer::Failed
         }))
     }
 }
 
-/// A request in the engine's hands. Dropped unanswered, as when its client closes, it tells the engine so.
+/// A request that the engine is processing. Dropping it before the answer, as when its client disconnects, cancels it
+/// in the engine.
 struct OpenRequest<'a> {
     id: RequestId,
     name: HeaderValue,
--- a/crates/http/src/front/client_io.rs
+++ b/crates/http/src/front/client_io.rs
@@ -1,4 +1,4 @@
-//! The socket of a client's connection, as actix-http reads and writes it.
+//! The socket of a client connection, as actix-http reads and writes it.
 
 use super::clients::{ClientConnection, MAX_BUFFERED_BYTES, Phase, Termination};
 use actix_rt::net::TcpStream;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::watch;
 
-/// A client's connection, as actix-http has it.
+/// The socket of a client connection.
 pub(super) struct ClientIo {
     pub(super) stream: Rc<TcpStream>,
     pub(super) state: Rc<ClientConnection>,
@@ -19,7 +19,7 @@
 }
 
 impl ClientIo {
-    /// Reads what came ahead of its turn, then what comes.
+    /// Reads the bytes that were received ahead, then from the socket.
     pub(super) fn read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut read_ahead = self.state.read_ahead.borrow_mut();
         if !read_ahead.is_empty() {
@@ -49,7 +49,8 @@
         let (this, before) = (self.get_mut(), buf.filled().len());
         let state = &this.state;
         match state.phase.get() {
-            // `ClientState::cut` reads. Once the request is answered, `enter` has the connection polled again.
+            // `ClientConnection::poll_termination` reads in this phase. Entering the next one causes the connection
+            // to be polled again.
             Phase::Processing => return Poll::Pending,
             Phase::Draining if state.phase_bytes.get() >= MAX_BUFFERED_BYTES => return Poll::Ready(Ok(())),
             Phase::Connected | Phase::ReadingHead | Phase::ReadingBody | Phase::Idle | Phase::Draining => {}
@@ -59,7 +60,7 @@
         let ended = result.is_ready() && received == 0;
         match state.phase.get() {
             Phase::Connected | Phase::Idle if received > 0 => state.enter(Phase::ReadingHead),
-            // What has come of it may be on its way to a server.
+            // Part of the body may already be on its way to a server.
             Phase::ReadingBody if ended && state.streams_body.get() => {
                 state.termination.set(Some(Termination::ClientLeft))
             }
@@ -71,14 +72,14 @@
         if !result.is_pending() {
             return result;
         }
-        // A connection is closed only after its last byte was read: a request that crosses that is served,
+        // A connection is closed only after its last byte was read: a request that arrives at that moment is served,
         // not lost.
         let closing = state.closing_since.get().is_some();
         match state.phase.get() {
             Phase::Connected | Phase::Idle if closing || *this.stage.borrow() >= Stage::Closing => {
                 Poll::Ready(Ok(()))
             }
-            // What crosses from here on finds an answer on its way.
+            // Bytes that arrive from here on cross a response that is already being sent.
             Phase::ReadingHead | Phase::ReadingBody if closing && !state.write_blocked.get() => {
                 state.termination.set(Some(Termination::RequestTimeout));
                 Poll::Pending
--- a/crates/http/src/front/clients.rs
+++ b/crates/http/src/front/clients.rs
@@ -1,4 +1,4 @@
-//! The connections of clients: phase, deadlines and eviction.
+//! Client connections: their phases, deadlines and eviction.
 
 use crate::options::HttpOptions;
 use actix_rt::net::TcpStream;
@@ -14,70 +14,74 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 use tokio::time::Instant;
 
-/// At the bound, the age from which an idle connection, or one without a whole request, makes room for a new one.
+/// At the connection limit, the age from which an idle connection may be evicted.
 pub(super) const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
+/// At the connection limit, the age from which a connection without a complete request may be evicted.
 pub(super) const EVICT_INCOMPLETE_AFTER: Duration = Duration::from_millis(200);
-/// What is held of a client that sends on while its request is in hand, and read of one that was turned away.
+/// Maximum number of bytes buffered from a client that keeps sending while its request is processed, and read from
+/// one that was rejected.
 pub(super) const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// What is read between two sweeps, and dropped, of a client that sends on beyond that: its end comes behind it.
+/// Maximum number of bytes that are read and discarded between two sweeps once that buffer is full, to detect that
+/// the client has closed.
 pub(super) const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Bytes a second that a client sends of a body at the least: half of what honest slow ones manage.
+/// Minimum rate at which a client has to send a body: half of what well-behaved slow clients achieve.
 pub(super) const MIN_UPLOAD_BYTES_PER_S: f64 = 32.0 * 1024.0;
-/// How long a client that was turned away may send on.
+/// Time for which a rejected client may continue to send.
 pub(super) const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
-/// In standby, the age from which a connection that has sent nothing is closed: one that has just come is asked first.
+/// In standby, the age from which a connection that has sent nothing is closed; a newer one may be about to send its
+/// first request.
 pub(super) const STANDBY_SILENT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a connection is ended from here.
+/// Why a connection is terminated without waiting for actix-http.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Termination {
-    /// The client has gone, or does not read what it was answered.
+    /// The client has disconnected, or does not read its responses.
     ClientLeft,
-    /// Its request had not come whole in its time.
+    /// The request was not received completely in time.
     RequestTimeout,
 }
 
-/// How far a client's connection has come.
+/// The phase of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Nothing has come on it yet.
+    /// Nothing has been received.
     Connected,
-    /// A request has begun, and its head is not whole.
+    /// The head of a request is being received.
     ReadingHead,
-    /// Its body comes.
+    /// The body of a request is being received.
     ReadingBody,
-    /// A request is in the engine's hands: nothing here ends it.
+    /// The engine processes a request; no timeout of the front applies.
     Processing,
-    /// The last request was answered and no byte has come since.
+    /// The last request was answered, and nothing has been received since.
     Idle,
-    /// It was turned away, or told that this was its last answer.
+    /// The request was rejected, or the response announced that the connection closes.
     Draining,
 }
 
-/// What is known of a client's connection.
+/// The state of a client connection.
 pub(super) struct ClientConnection {
     pub(super) phase: Cell<Phase>,
-    /// Since when it counts against the time that the phase has.
+    /// Start of the current phase, from which its timeout runs.
     pub(super) phase_since: Cell<Instant>,
-    /// Since when it is to end as soon as nothing more can be read.
+    /// When closing was requested; the connection closes once nothing is left to read.
     pub(super) closing_since: Cell<Option<Instant>>,
-    /// Bytes read of a body, or while draining.
+    /// Bytes received in the current phase, of a body or while draining.
     pub(super) phase_bytes: Cell<usize>,
-    /// What came while a request was in hand, read by what comes next.
+    /// Bytes received while a request was being processed; they are read first afterwards.
     pub(super) read_ahead: RefCell<BytesMut>,
-    /// More came than is held: what follows can't be read any more.
+    /// More was received than may be buffered, so that what follows can't be parsed any more.
     pub(super) read_ahead_full: Cell<bool>,
-    /// What was read since the last sweep and dropped.
+    /// Bytes discarded since the last sweep.
     pub(super) discarded: Cell<usize>,
-    /// It is to be ended from here.
+    /// Set when the connection has to be terminated.
     pub(super) termination: Cell<Option<Termination>>,
-    /// What was written last did not fit: the client does not read.
+    /// The last write was incomplete: the client does not read.
     pub(super) write_blocked: Cell<bool>,
-    /// The body goes on to a server as it comes: its pace is the server's too.
+    /// The request body is streamed to a server, so that the upload rate also depends on the server.
     pub(super) streams_body: Cell<bool>,
-    /// It is one too many.
+    /// The connection exceeds the limit; its requests are refused.
     pub(super) over_limit: bool,
-    /// Has the connection polled once more.
+    /// Causes the connection to be polled again.
     pub(super) wake: Notify,
 }
 
@@ -110,8 +114,8 @@
         }
     }
 
-    /// Ready when the connection is to be ended from here. While a request is in hand all that comes is read here, in
-    /// whatever state actix-http is: the end of a client that has left stands behind what it sent.
+    /// Completes when the connection has to be terminated. While a request is being processed, all input is read
+    /// here, whatever state actix-http is in: the end of the stream comes after the bytes that the client has sent.
     pub(super) fn poll_termination(&self, stream: &TcpStream, cx: &mut Context<'_>) -> Poll<Termination> {
         let mut received = [0; 4096];
         while self.termination.get().is_none()
@@ -139,13 +143,13 @@
         self.termination.get().map_or(Poll::Pending, Poll::Ready)
     }
 
-    /// When the client has had its time.
+    /// When the timeout of the current phase expires.
     pub(super) fn deadline(&self, options: &HttpOptions, stage: Stage) -> Option<Instant> {
         let time = match self.phase.get() {
-            // Sent away, and nothing has told it so: no answer was due.
+            // Clients are being sent away, and no response is due that could tell this one.
             Phase::Idle if matches!(stage, Stage::Emptying | Stage::Parting) => Duration::ZERO,
             Phase::Connected if stage == Stage::Emptying => STANDBY_SILENT_TIMEOUT,
-            // All that can be read of it is answered.
+            // All requests that can be parsed have been answered.
             Phase::Idle | Phase::ReadingHead if self.read_ahead_full.get() => Duration::ZERO,
             Phase::Connected | Phase::ReadingHead => options.client_request_timeout,
             Phase::ReadingBody if self.streams_body.get() => return None,
@@ -157,7 +161,8 @@
         Some(self.phase_since.get() + time)
     }
 
-    /// The time that what came of a body pays for: a slow client that goes on is an honest one.
+    /// The extra time granted for the bytes of the body received so far, so that a slow client that keeps sending is
+    /// not cut off.
     pub(super) fn earned_time(&self) -> Duration {
         Duration::from_secs_f64(self.phase_bytes.get() as f64 / MIN_UPLOAD_BYTES_PER_S)
     }
@@ -167,7 +172,8 @@
         self.wake.notify_one();
     }
 
-    /// A sweep has passed. What was to close and did not, as its client reads nothing, is ended.
+    /// Called after each sweep. Terminates a connection that was asked to close and did not, because its client reads
+    /// nothing.
     pub(super) fn after_sweep(&self, now: Instant) {
         if self.closing_since.get().is_some_and(|since| now - since >= DRAIN_TIMEOUT) {
             self.termination.set(self.termination.get().or(Some(Termination::ClientLeft)));
@@ -177,7 +183,8 @@
         }
     }
 
-    /// How fit it is to make room for another: of the idle and of those without a whole request the oldest.
+    /// How suitable the connection is for eviction: idle connections first, then those without a complete request,
+    /// the oldest first.
     pub(super) fn eviction_rank(&self, now: Instant) -> Option<(bool, Duration)> {
         let age = now - self.phase_since.get();
         let spare = match self.phase.get() {
@@ -192,18 +199,18 @@
     }
 }
 
-/// The clients' connections.
+/// All client connections.
 pub(super) struct Clients {
     pub(super) options: Rc<HttpOptions>,
     pub(super) connections: RefCell<FxHashMap<u64, Rc<ClientConnection>>>,
     pub(super) next_id: Cell<u64>,
-    /// New ones are still taken: there is somebody to make room for.
+    /// New connections are still accepted, so that eviction serves a purpose.
     pub(super) accepting: Cell<bool>,
 }
 
 impl Clients {
-    /// A place for a new connection. At the bound another that serves nobody makes room for it, so that those
-    /// that connect and say nothing, or asked once and stay, keep nobody out.
+    /// Registers a new connection. At the limit, a connection that serves no request is evicted, so that clients that
+    /// connect and send nothing, or stay connected after a single request, do not lock out others.
     pub(super) fn register(self: &Rc<Clients>, permit: OwnedSemaphorePermit) -> ClientSlot {
         let open =
             self.connections.borrow().values().filter(|state| state.closing_since.get().is_none()).count();
@@ -214,7 +221,7 @@
         ClientSlot { clients: self.clone(), number, state, _permit: permit }
     }
 
-    /// Three quarters of the places are taken.
+    /// Whether three quarters of the connection limit are in use.
     pub(super) fn is_crowded(&self) -> bool {
         4 * self.connections.borrow().len() >= 3 * self.options.client_connection_limit().max(4)
     }
@@ -227,7 +234,7 @@
     }
 }
 
-/// Who holds the places, for the log.
+/// Number of connections in each phase, for the log.
 pub(super) struct ConnectionSummary<'a>(pub(super) &'a Clients);
 
 impl Display for ConnectionSummary<'_> {
@@ -236,8 +243,8 @@
         let count = |phase| connections.values().filter(|state| state.phase.get() == phase).count();
         write!(
             f,
-            "request refused: the bound on client connections is reached: {} silent, {} sending, {} in hand, \
-             {} idle, {} ending",
+            "request refused: client connection limit reached: {} silent, {} sending, {} in progress, \
+             {} idle, {} draining",
             count(Phase::Connected),
             count(Phase::ReadingHead) + count(Phase::ReadingBody),
             count(Phase::Processing),
@@ -247,7 +254,7 @@
     }
 }
 
-/// A connection's place among the clients'. Dropping it gives the place back.
+/// The registration of a client connection; dropping it removes the connection.
 pub(super) struct ClientSlot {
     pub(super) clients: Rc<Clients>,
     pub(super) number: u64,
--- a/crates/http/src/front/streaming.rs
+++ b/crates/http/src/front/streaming.rs
@@ -1,4 +1,4 @@
-//! Bodies that are streamed: a request's from its client, a response's to its client.
+//! Streamed bodies: request bodies from a client, and responses to a client.
 
 use super::clients::{ClientConnection, Phase};
 use crate::message::BodyChunks;
@@ -15,10 +15,10 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a client may stand still in the middle of a body that goes on to a server.
+/// Time without progress after which a client is considered gone while its body is streamed to a server.
 pub(super) const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The rest of a request's body, as it comes; a client that stops in the middle has gone.
+/// The remaining chunks of a request body. A client that stalls in the middle is considered gone.
 pub(super) fn upload_chunks(payload: Payload, state: Option<Rc<ClientConnection>>) -> BodyChunks {
     let parts = stream::unfold((payload, state), |(mut payload, state)| async move {
         let part = timeout(UPLOAD_STALL_TIMEOUT, payload.next()).await;
@@ -33,7 +33,7 @@
     parts.boxed_local()
 }
 
-/// An answer that is passed on as it comes, to its end.
+/// The body of a streamed response, which is counted when it ends.
 pub(super) struct CountedBody {
     pub(super) body: BoxBody,
     pub(super) guard: ResponseGuard,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The end of an answer that is passed on: counted, and its connection's next phase begun, when this is dropped.
+/// Counts a streamed response and starts the next phase of its connection when it is dropped.
 pub(super) struct ResponseGuard {
     pub(super) state: Option<Rc<ClientConnection>>,
     pub(super) next_phase: Phase,
--- a/crates/http/src/idle.rs
+++ b/crates/http/src/idle.rs
@@ -1,4 +1,5 @@
-//! Idle connections to servers: which is used next, which have ended, and which gives way at the bound on connections.
+//! Idle connections to servers: which one is used next, which have been closed, and which one is evicted at the
+//! connection limit.
 
 use crate::line::ServerConnection;
 use std::cell::RefCell;
@@ -8,22 +9,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection rests after an answer before it is used again. A second answer that comes some milliseconds
-/// late, behind the next request, can't be told from that one's, and nothing warns of the first one.
+/// Time a connection stays idle after a response before it is reused. A server may send a second response some
+/// milliseconds late, without any prior sign. After the next request, it can't be told from the response to that
+/// request.
 const MIN_IDLE: Duration = Duration::from_millis(10);
 
-/// Lines in the order in which they became idle.
+/// Connections in the order in which they became idle.
 type ConnectionList = RefCell<Vec<ServerConnection>>;
 
 /// The idle connections to one server.
 pub struct IdleConnections(Rc<ConnectionList>);
 
-/// The idle connections to all servers. Each server's actor owns its own; they are only known here.
+/// The idle connections to all servers. Each server's actor owns its connections; the registry has weak references.
 #[derive(Clone, Default)]
 pub struct IdleRegistry(Rc<RefCell<Vec<Weak<ConnectionList>>>>);
 
 impl IdleRegistry {
-    /// Those to one more server, none yet.
+    /// Registers another server, without connections.
     pub fn add_server(&self) -> IdleConnections {
         let connections = Rc::new(ConnectionList::default());
         let mut all = self.0.borrow_mut();
@@ -32,7 +34,7 @@
         IdleConnections(connections)
     }
 
-    /// Closes the connection that has been idle for longest: whether there was one.
+    /// Closes the connection that has been idle for longest; returns whether there was one.
     pub fn close_oldest(&self) -> bool {
         let since = |connections: &Rc<ConnectionList>| {
             connections.borrow().first().map(|connection| connection.idle_since)
@@ -49,23 +51,23 @@
 }
 
 impl IdleConnections {
-    /// Whether there is none.
+    /// Whether there are no idle connections.
     pub fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
 
-    /// Since when the oldest has been idle.
+    /// Since when the oldest connection has been idle.
     pub fn oldest_since(&self) -> Option<Instant> {
         self.0.borrow().first().map(|connection| connection.idle_since)
     }
 
-    /// Keeps a connection that was answered on just now.
+    /// Adds a connection that has just received a response.
     pub fn insert(&self, mut connection: ServerConnection) {
         connection.idle_since = Instant::now();
         self.0.borrow_mut().push(connection);
     }
 
-    /// Takes the connection used last of those that have rested and may be sent on.
+    /// Removes the most recently used connection of those that have been idle long enough and are reusable.
     pub fn take(&self) -> Option<ServerConnection> {
         let mut connections = self.0.borrow_mut();
         loop {
@@ -78,19 +80,19 @@
         }
     }
 
-    /// Closes all of them.
+    /// Closes all connections.
     pub fn clear(&self) {
         self.0.borrow_mut().clear();
     }
 
-    /// Closes those that have been idle for so long.
+    /// Closes the connections that have been idle for at least `limit`.
     pub fn close_idle_for(&self, limit: Duration) {
         let now = Instant::now();
         self.0.borrow_mut().retain(|connection| connection.idle_since + limit > now);
     }
 
-    /// Waits until one has ended, and closes it. A server that closes one gets its end at once, and nothing is written
-    /// to it any more.
+    /// Waits until a connection is closed by its server, and removes it. The close is handled immediately, and
+    /// nothing is written to the connection afterwards.
     pub async fn remove_closed(&self) {
         poll_fn(|cx| {
             let mut connections = self.0.borrow_mut();
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 around the engine. [`front`] takes requests from applications (actix-http), [`peer`] is the transport to a
-//! server (awc) with an actor each, [`list`] calls discovery; `message` decodes and encodes all of it once.
+//! HTTP/1.1 around the engine. [`front`] accepts requests from applications (actix-http), [`peer`] is the transport
+//! to a server (awc), with one actor per server, and [`list`] calls discovery. [`message`] decodes and encodes all
+//! messages in one place.
 //!
-//! Arrows go one way: front, peer and list stand on the engine's handle; none of them knows another.
+//! Dependencies go one way: front, peer and list use the engine's handle, and none of them depends on another.
 
 #![forbid(unsafe_code)]
 
@@ -17,11 +18,11 @@
 
 use std::rc::Rc;
 
-/// The engine's handle as HTTP uses it.
+/// The engine's handle, for requests and responses of HTTP.
 pub type Handle = dunlincleat_engine::shell::Handle<Rc<message::Request>, message::ResponseBody>;
-/// The engine's mailbox as HTTP uses it.
+/// The engine's mailbox, for requests and responses of HTTP.
 pub type Mailbox = dunlincleat_engine::shell::Mailbox<Rc<message::Request>, message::ResponseBody>;
-/// The engine as HTTP uses it.
+/// The engine, for requests and responses of HTTP.
 pub type Engine = dunlincleat_engine::Engine<Rc<message::Request>, message::ResponseBody>;
 type Answer = dunlincleat_engine::Answer<message::ResponseBody>;
 type Completion = dunlincleat_engine::Completion<message::ResponseBody>;
--- a/crates/http/src/line.rs
+++ b/crates/http/src/line.rs
@@ -1,5 +1,7 @@
-//! A connection to a server: the thin I/O under awc, which does what awc can't. It keeps to the bound on
-//! descriptors and to drains, counts what was written, and frames what is read.
+//! Connections to servers: the I/O layer below awc, which adds what awc lacks. It enforces the limit of server
+//! connections and stops sending to draining servers, tracks what was written, and frames the responses.
+//!
+//! The name of this module is part of its log lines.
 
 mod server_io;
 mod state;
@@ -24,10 +26,10 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, timeout};
 
-/// How long an idle connection that is closed to make room may take to give its place back.
+/// Time an idle connection that is closed at the limit has to return its permit.
 const IDLE_RELEASE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Why nothing was sent, for a reason that lies here and not with the server.
+/// Why a request was not sent, for a local reason that is not the server's fault.
 #[derive(Debug)]
 pub struct NotSentError(pub &'static str);
 
@@ -39,40 +41,40 @@
 
 impl std::error::Error for NotSentError {}
 
-/// Whether sends to a server may begin.
+/// Whether new requests may be sent to a server.
 #[derive(Default)]
 pub struct SendGate {
-    /// The server leaves: nothing new may begin there.
+    /// The server is draining: no new request may start there.
     pub closed: Cell<bool>,
 }
 
-/// What connections to servers are made of.
+/// Shared resources of all server connections.
 #[derive(Clone)]
 pub struct ConnectionContext {
-    /// Bounds and times.
+    /// Limits and timeouts.
     pub options: Rc<HttpOptions>,
-    /// Connections to servers that may still be opened.
+    /// Permits for opening further connections.
     pub permits: Arc<Semaphore>,
-    /// Closes the connection that has been idle for longest, to whichever server: whether there was one.
+    /// Closes the connection that has been idle for longest, to whichever server; returns whether there was one.
     pub close_idle: Rc<dyn Fn() -> bool>,
-    /// The line of the log for attempts that found no place among those.
+    /// Rate limiter for the log message about attempts that got no permit.
     pub limit_log: Rc<Seldom>,
-    /// Counts attempts that were written whole.
+    /// Counts attempts that were written completely.
     pub metrics: Arc<Metrics>,
 }
 
 impl ConnectionContext {
-    /// A place among the connections to servers. At the bound an idle connection gives way: kept until they were too
-    /// old, those to the servers asked first kept all others out of reach.
+    /// Acquires a permit for a server connection. At the limit, an idle connection is closed. Otherwise, until the
+    /// idle timeout, the idle connections to the servers used first kept all other servers unreachable.
     async fn acquire_permit(&self) -> Option<OwnedSemaphorePermit> {
         if self.limit_reached() && !(self.close_idle)() {
             return None;
         }
-        // The client of a connection that was closed lets go of it in a task of its own.
+        // The client of a closed connection releases it in a task of its own.
         timeout(IDLE_RELEASE_TIMEOUT, self.permits.clone().acquire_owned()).await.ok()?.ok()
     }
 
-    /// Every place is taken. With another process beside this one a part of the places is its.
+    /// Whether the limit is reached. Another process of this sidecar gets a part of it.
     fn limit_reached(&self) -> bool {
         let open = self.options.max_server_connections.saturating_sub(self.permits.available_permits());
         open >= self.options.server_connection_limit()
@@ -88,24 +90,24 @@
     pub boot_ms: u64,
 }
 
-/// A connection to the server, or one to be opened.
+/// A connection to a server, open or to be opened by its first request.
 pub struct ServerConnection {
     /// Its awc client.
     pub client: awc::Client,
-    /// What is seen of it.
+    /// Its state.
     pub state: Rc<ConnectionState>,
-    /// Since when it stands idle.
+    /// When it became idle.
     pub idle_since: Instant,
-    /// The process that it leads to: where it was reached and when it had started.
+    /// The process that it leads to.
     pub process: ServerProcess,
 }
 
 impl ServerConnection {
-    /// One to be opened when it is first sent on.
+    /// Creates a connection that is opened by its first request.
     pub fn new(context: &ConnectionContext, gate: Rc<SendGate>, process: ServerProcess) -> ServerConnection {
         let state = Rc::new(ConnectionState::default());
         let connector = Connector { context: context.clone(), gate, state: state.clone() };
-        // Lifetimes and limits are kept here, so awc's own must never act.
+        // Lifetimes and limits are enforced here; those of awc must never take effect.
         let never = Duration::from_secs(1 << 30);
         let connector = awc::Connector::new()
             .connector(connector)
@@ -123,7 +125,7 @@
     }
 }
 
-/// Opens connections within the bound on descriptors.
+/// Opens connections within the limit.
 #[derive(Clone)]
 struct Connector {
     context: ConnectionContext,
@@ -144,9 +146,9 @@
             let uri = info.request().clone();
             let endpoint = server_address(&uri).ok_or(ConnectError::Unresolved)?;
             let permit = connector.context.acquire_permit().await.ok_or_else(|| {
-                let line = format!("no connection to {endpoint}: the bound on server connections is reached");
+                let line = format!("no connection to {endpoint}: server connection limit reached");
                 seldom!(connector.context.limit_log, warn, line);
-                ConnectError::Io(io::Error::other(NotSentError("the bound on server connections is reached")))
+                ConnectError::Io(io::Error::other(NotSentError("server connection limit reached")))
             })?;
             let stream = TcpStream::connect(endpoint).await.map_err(ConnectError::Io)?;
             stream.set_nodelay(true).map_err(ConnectError::Io)?;
--- a/crates/http/src/line/server_io.rs
+++ b/crates/http/src/line/server_io.rs
@@ -1,4 +1,4 @@
-//! The socket of a connection to a server, as awc reads and writes it.
+//! The socket of a server connection, as awc reads and writes it.
 
 use super::{ConnectionState, NotSentError, SendGate};
 use crate::frame::{InvalidResponse, ResponseFramer};
@@ -15,19 +15,20 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
-/// How long a server may stand still in the middle of an answer that is being passed on.
+/// Time without progress after which a response that is being streamed is invalid.
 pub(super) const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a server may read nothing of a request that is being written to it.
+/// Time without progress after which writing a request fails.
 pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A connection to a server. Dropping it closes the socket and gives its descriptor back.
+/// The socket of a server connection. Dropping it closes the socket and returns the permit.
 pub(super) struct ServerIo {
     pub(super) stream: Rc<TcpStream>,
     pub(super) framer: ResponseFramer,
-    /// Since when the next byte of an answer that began is waited for, and the timer for it.
+    /// Since when the next byte of a started response has been awaited.
     pub(super) waiting_since: Option<Instant>,
+    /// The timer for the next byte of a started response.
     pub(super) stall_timer: Option<Pin<Box<Sleep>>>,
-    /// The end of the time within which the server has to read more of the request.
+    /// The timer within which the server has to accept more of the request.
     pub(super) write_stall_timer: Option<Pin<Box<Sleep>>>,
     pub(super) stall_timeout: Duration,
     pub(super) gate: Rc<SendGate>,
@@ -48,8 +49,8 @@
         Poll::Ready(Err(io::Error::other(invalid)))
     }
 
-    /// An answer that began and does not go on is of no use: waited for to its deadline, it kept a request that
-    /// may be repeated until it was too late for that.
+    /// Fails a response that has started and makes no progress. Waiting for its deadline instead left a request that
+    /// could be repeated too little time for that.
     pub(super) fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if !self.framer.has_started() {
             return Poll::Pending;
@@ -61,11 +62,11 @@
             timer.as_mut().reset(due);
         }
         ready!(timer.as_mut().poll(cx));
-        self.fail_invalid(InvalidResponse("it began and does not go on"))
+        self.fail_invalid(InvalidResponse("the response stalled"))
     }
 
-    /// A server that reads no more of a body, while its client still sends: no deadline runs before the last byte, and
-    /// the attempt, its connection and its client were held for as long as both stayed.
+    /// Fails a request whose server stops reading the body while the client still sends it: no deadline runs before
+    /// the last byte, so that the attempt, its connection and its client would be held for as long as both stay.
     pub(super) fn poll_write_stalled(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let timer = self.write_stall_timer.get_or_insert_with(|| Box::pin(sleep(WRITE_STALL_TIMEOUT)));
         ready!(timer.as_mut().poll(cx));
@@ -83,10 +84,10 @@
                 buf.put_slice(&part);
                 return Poll::Ready(Ok(()));
             }
-            // awc drops an idle connection that fails when it looks whether anything came on it.
+            // awc drops an idle connection whose read fails when it checks for unexpected input.
             if this.framer.has_stray_bytes() {
                 return Poll::Ready(Err(io::Error::other(NotSentError(
-                    "bytes came that belong to no answer",
+                    "stray bytes after the previous response",
                 ))));
             }
             match this.stream.poll_read_ready(cx) {
@@ -120,9 +121,9 @@
         if self.state.bytes_sent.get() == 0 {
             self.framer.expect_response();
         }
-        // Guards the drain: an attempt that waited for its connection must not begin once the server leaves.
+        // A request that waited for its connection must not start once its server is draining.
         if self.state.bytes_sent.get() == 0 && self.gate.closed.get() {
-            return Poll::Ready(Err(io::Error::other(NotSentError("the server leaves"))));
+            return Poll::Ready(Err(io::Error::other(NotSentError("the server is draining"))));
         }
         loop {
             match self.stream.poll_write_ready(cx) {
@@ -151,7 +152,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// The socket is closed when it is dropped, which comes next.
+    /// The socket is closed when it is dropped, which follows.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/crates/http/src/line/state.rs
+++ b/crates/http/src/line/state.rs
@@ -1,4 +1,4 @@
-//! The state of a connection to a server, as seen from outside awc.
+//! The state of a server connection, as seen from outside awc.
 
 use crate::frame::InvalidResponse;
 use crate::write_progress::WriteProgress;
@@ -10,30 +10,31 @@
 use std::rc::Weak;
 use std::task::Context;
 
-/// What is seen of a connection from outside awc, which owns it.
+/// The observable state of a connection, which awc owns.
 #[derive(Default)]
 pub struct ConnectionState {
     pub(super) stream: RefCell<Weak<TcpStream>>,
-    /// Bytes of the present request that the kernel took.
+    /// Bytes of the current request accepted by the kernel.
     pub(super) bytes_sent: Cell<usize>,
-    /// How far the present attempt is written; none for a probe.
+    /// Write progress of the current attempt; `None` for a probe.
     pub(super) progress: Cell<Option<WriteProgress>>,
-    /// Of a body whose length nobody told nothing more comes.
+    /// The last chunk of a request body of unknown length has been handed to awc.
     pub(super) body_ended: Cell<bool>,
-    /// The answer came to its end.
+    /// The response has been received completely.
     pub(super) response_complete: Cell<bool>,
-    /// Why it is of no use.
+    /// Why the response is invalid.
     pub(super) invalid: Cell<Option<InvalidResponse>>,
-    /// The answer is being passed on: what was begun may stand still for longer.
+    /// The response is being streamed, which allows longer stalls.
     pub(super) streaming: Cell<bool>,
-    /// The present request was taken back before it began.
+    /// The current request was withdrawn before it started.
     withdrawn: Cell<bool>,
-    /// Bytes came that belong to no answer: what comes next could be read as another request's answer.
+    /// Bytes were received that belong to no response, so that later bytes could be taken for the response to another
+    /// request.
     pub(super) stray_bytes: Cell<bool>,
 }
 
 impl ConnectionState {
-    /// Begins a new attempt, or a probe.
+    /// Resets the state for a new attempt, or for a probe.
     pub fn begin(&self, attempt: Option<WriteProgress>) {
         self.bytes_sent.set(0);
         self.body_ended.set(false);
@@ -44,43 +45,43 @@
         self.invalid.set(None);
     }
 
-    /// Nothing of the present request was written.
+    /// Whether nothing of the current request has been written.
     pub fn nothing_sent(&self) -> bool {
         self.bytes_sent.get() == 0
     }
 
-    /// The answer is passed on as it comes from here on.
+    /// The response is streamed from here on.
     pub fn set_streaming(&self) {
         self.streaming.set(true);
     }
 
-    /// The last byte of a body whose length nobody told has been handed to awc.
+    /// The last chunk of a request body of unknown length has been handed to awc.
     pub fn set_body_ended(&self) {
         self.body_ended.set(true);
     }
 
-    /// Takes the present request back, which has not begun.
+    /// Withdraws the current request, which has not started.
     pub fn withdraw(&self) {
         self.withdrawn.set(true);
     }
 
-    /// Whether the present request was taken back.
+    /// Whether the current request was withdrawn.
     pub fn is_withdrawn(&self) -> bool {
         self.withdrawn.get()
     }
 
-    /// The answer came to its end.
+    /// Whether the response has been received completely.
     pub fn response_complete(&self) -> bool {
         self.response_complete.get()
     }
 
-    /// Why the answer is of no use.
+    /// Why the response is invalid, if it is.
     pub fn invalid_response(&self) -> Option<InvalidResponse> {
         self.invalid.get()
     }
 
-    /// Whether another request may be sent on it: it is open, and nothing waits to be read. The kernel is asked,
-    /// as what came a moment ago has not been told yet.
+    /// Whether another request may be sent: the connection is open, and there is nothing to read. Asks the kernel, as
+    /// the reactor may not have reported the latest bytes yet.
     pub fn is_reusable(&self) -> bool {
         let Some(stream) = self.stream.borrow().upgrade() else { return false };
         let peeked = socket2::SockRef::from(&*stream).peek(&mut [MaybeUninit::uninit()]);
@@ -90,7 +91,8 @@
         !self.stray_bytes.get() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether an idle connection has ended, or is of no use any more: nothing is due to come on it.
+    /// Whether an idle connection is closed or unusable. Nothing is expected on it, so that any byte makes it
+    /// unusable.
     pub fn is_closed(&self, cx: &mut Context<'_>) -> bool {
         let Some(stream) = self.stream.borrow().upgrade() else { return true };
         while stream.poll_read_ready(cx).is_ready() {
@@ -106,12 +108,12 @@
         false
     }
 
-    /// The present request was written to its last byte.
+    /// Whether the current request has been written completely.
     pub fn request_written(&self) -> bool {
         self.bytes_sent.get() > 0 && self.progress.get().is_none_or(|progress| progress.is_complete())
     }
 
-    /// This status where the request was written to its last byte, else the one that says that nothing can have run.
+    /// `status` if the request was written completely; otherwise the status that says that it can't have run.
     pub fn status_if_written(&self, status: Status) -> Status {
         if self.request_written() { status } else { Status::ConnectFailed }
     }
--- a/crates/http/src/list.rs
+++ b/crates/http/src/list.rs
@@ -1,5 +1,5 @@
-//! The actor that follows discovery: the thin shell around `Follower`, which decides which watches to open. It owns
-//! one task a watch, dropped with its entry in `tasks`, and tells the engine what the list has become.
+//! The actor that follows discovery: the I/O around [`Follower`], which decides which watches to open. It owns one
+//! task per watch, which is aborted when its entry in `tasks` is dropped, and passes each new list to the engine.
 
 use crate::Handle;
 use crate::message::{BodyAborted, list_uri, read_body, watch_uri};
@@ -24,36 +24,37 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until};
 
-/// Lines of all watches that wait to be taken in; a watch that floods is read no faster.
+/// Capacity of the queue of messages of all watches. When it is full, the watches are read no faster than the
+/// messages are applied.
 const INPUT_QUEUE_CAPACITY: usize = 16;
-/// So many odd things of one list are told one by one.
+/// Maximum number of anomalies that are logged individually per list.
 const MAX_LOGGED_ANOMALIES: usize = 5;
-/// The file of the list is replaced at most this often.
+/// Minimum interval between writes of the list file.
 const SAVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the actor is told.
+/// A message to the actor.
 enum Message {
-    /// The module wants a watch, where the site's lists come only on request.
+    /// The decision module asks for a watch, where lists are delivered on request.
     Watch,
-    /// Discovery answers elsewhere from now on.
+    /// Discovery has a new address.
     DiscoveryMoved(SocketAddr),
 }
 
-/// The actor's mailbox; it holds one word a call of the module's or a reload.
+/// Sender of the actor's mailbox, which receives one message per call of the decision module or reload.
 #[derive(Clone)]
 pub struct ListHandle(mpsc::UnboundedSender<Message>);
 
-/// The other end of the mailbox.
+/// Receiver of the actor's mailbox.
 pub struct ListMailbox(mpsc::UnboundedReceiver<Message>);
 
-/// A mailbox.
+/// Creates a mailbox.
 pub fn mailbox() -> (ListHandle, ListMailbox) {
     let (handle, mailbox) = mpsc::unbounded_channel();
     (ListHandle(handle), ListMailbox(mailbox))
 }
 
 impl ListHandle {
-    /// Discovery answers elsewhere from now on.
+    /// Sets the address of discovery.
     pub fn set_discovery(&self, discovery: SocketAddr) {
         // The actor lives as long as the process.
         let _ = self.0.send(Message::DiscoveryMoved(discovery));
@@ -75,8 +76,9 @@
     client: Client,
     tasks: FxHashMap<WatchId, WatchTask>,
     inputs: mpsc::Sender<Input>,
-    /// The list that is to be kept on disk, and when it may next be written there.
+    /// Whether the list has changed since it was last written to the list file.
     unsaved: bool,
+    /// When the list file may next be written.
     next_save: Instant,
 }
 
@@ -90,7 +92,7 @@
 }
 
 impl List {
-    /// Starts the actor behind its mailbox, from the list as last held.
+    /// Starts the actor, with the list last known.
     pub fn start(
         follower: Follower,
         clock: Clock,
@@ -99,7 +101,7 @@
         mailbox: ListMailbox,
     ) {
         let (inputs, input_receiver) = mpsc::channel(INPUT_QUEUE_CAPACITY);
-        // A call is ended by the follower, when its time is over.
+        // The follower has the timeouts of calls; that of awc must never take effect.
         let connector = awc::Connector::new().timeout(Duration::from_secs(1 << 30));
         let client = Client::builder().connector(connector).disable_timeout().disable_redirects().finish();
         let (tasks, next_save) = (FxHashMap::default(), Instant::now());
@@ -146,7 +148,7 @@
         for output in outputs.drain(..) {
             match output {
                 Output::Open { watch, at, kind } => {
-                    tracing::debug!("watch {} of discovery at {at} opens: {kind:?}", watch.0);
+                    tracing::debug!("opening watch {} of discovery at {at}: {kind:?}", watch.0);
                     let (client, inputs, options) =
                         (self.client.clone(), self.inputs.clone(), self.options.clone());
                     let task = actix_rt::spawn(async move {
@@ -159,11 +161,11 @@
                 Output::Close(watch) => drop(self.tasks.remove(&watch)),
                 Output::Deliver(delivery) => self.deliver(delivery),
                 Output::Failed => self.engine.discovery_failed(),
-                // One warning an outage: the next line of its kind says that a watch is followed again.
-                Output::Lost { at, why } => tracing::warn!("no watch of discovery at {at}: {why}"),
+                // One warning per outage; the message below reports its end.
+                Output::Lost { at, why } => tracing::warn!("no open watch of discovery at {at}: {why}"),
                 Output::Followed { at, rev, silence } => {
                     tracing::info!(
-                        "watch of discovery at {at} open after revision {rev}, unheard for {} ms",
+                        "watch of discovery at {at} open after revision {rev}, silent for {} ms",
                         silence.0 / 1000
                     );
                 }
@@ -172,11 +174,11 @@
     }
 
     fn deliver(&mut self, delivery: Delivery) {
-        // A list that is odd in every entry must not fill the log.
+        // Limited, because a list may be invalid in every entry.
         delivery.anomalies.iter().take(MAX_LOGGED_ANOMALIES).for_each(|anomaly| tracing::warn!("{anomaly}"));
         if delivery.anomalies.len() > MAX_LOGGED_ANOMALIES {
             tracing::warn!(
-                "and {} more odd things in revision {}",
+                "{} more anomalies in revision {}",
                 delivery.anomalies.len() - MAX_LOGGED_ANOMALIES,
                 delivery.rev
             );
@@ -185,7 +187,7 @@
         self.engine.server_list(delivery);
     }
 
-    /// Writes the list as held to its file, off this thread.
+    /// Writes the list to its file on a blocking thread.
     fn save(&mut self) {
         (self.unsaved, self.next_save) = (false, Instant::now() + SAVE_INTERVAL);
         let Some(path) = self.options.list_file.clone() else { return };
@@ -194,13 +196,13 @@
         let bytes = Snapshot { fresh_at, listing, interest }.encode();
         tokio::task::spawn_blocking(move || {
             if let Err(error) = replace(&path, &bytes) {
-                tracing::warn!("list not kept in {}: {error:#}", path.display());
+                tracing::warn!("cannot save the server list to {}: {error:#}", path.display());
             }
         });
     }
 }
 
-/// Replaces a file in one step: whoever reads it finds the old or the new one, whole.
+/// Replaces a file atomically: a reader sees either the old or the new content, complete.
 fn replace(path: &Path, bytes: &[u8]) -> anyhow::Result<()> {
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let new = PathBuf::from(format!("{}.new", path.display()));
@@ -208,11 +210,11 @@
     file.write_all(bytes)?;
     file.sync_all()?;
     std::fs::rename(&new, path)?;
-    // Without this the new name may be gone after a loss of power.
+    // Without this, the rename may be lost on a power failure.
     Ok(std::fs::File::open(folder)?.sync_all()?)
 }
 
-/// Opens a watch and tells what comes on it, until it ends.
+/// Runs a watch and reports its messages until it ends; returns why it ended.
 async fn run_watch(
     client: &Client,
     watch: WatchId,
@@ -228,7 +230,7 @@
                 let mut response = get(client, list_uri(at, interest)).await?;
                 let (body, complete) = read_body(&mut response, MAX_LINE_BYTES)
                     .await
-                    .map_err(|BodyAborted| Cause::Broke("within the whole list".to_owned()))?;
+                    .map_err(|BodyAborted| Cause::Broke("while reading the full list".to_owned()))?;
                 if !complete {
                     return Err(Cause::TooLong);
                 }
@@ -257,7 +259,7 @@
         }
     };
     let result: Result<(), Cause> = follow.await;
-    // A check that has come ends by itself.
+    // A completed check ends normally.
     result.err().unwrap_or(Cause::Ended)
 }
 
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,4 +1,4 @@
-//! The protocol's messages: headers and bodies are decoded once into small typed values, and encoded once.
+//! The messages of the protocol: headers and bodies are decoded once into typed values, and encoded once.
 
 mod body;
 mod fenced_task;
@@ -25,9 +25,9 @@
 use std::time::Duration;
 pub use uri::{list_uri, probe_uri, server_address, watch_uri};
 
-/// Where clients ask whether the sidecar serves, and sidecars whether a server does.
+/// The health check of the sidecar for clients, and of servers for the sidecar.
 pub const HEALTH_PATH: &str = "/healthz";
-/// A probe that brings the load report.
+/// A probe that returns the load report.
 pub const LOAD_PATH: &str = "/load";
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -44,35 +44,35 @@
 
 /// A client's request.
 pub struct Request {
-    /// The client's name for it.
+    /// The client's identifier for it.
     pub id: HeaderValue,
     method: Method,
-    /// Path and query as they came.
+    /// Path and query, unchanged.
     target: String,
     key: Option<HeaderValue>,
     content_type: Option<HeaderValue>,
     body: Bytes,
-    /// What follows the bytes held, where the body is passed on as it comes.
+    /// The part of the body after `body`, where the body is streamed.
     rest: Option<Rc<RemainingBody>>,
-    /// What the engine is told of it.
+    /// The attributes that the engine needs.
     pub info: RequestInfo,
-    /// What it is sent for, where it is no client's.
+    /// The task that it belongs to, if it is a request of the sidecar itself.
     task: Option<Rc<FencedTask>>,
 }
 
-/// Why a request was not taken.
+/// Why a request was rejected before it reached the engine.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed {
-    /// The status of the answer.
+    /// The status of the response.
     pub status: StatusCode,
-    /// What was wrong, for the body of the answer.
+    /// The reason, which is the body of the response.
     pub reason: &'static str,
-    /// Its last byte came: it counts as one that failed.
+    /// The request was received completely, so it counts as failed.
     pub counts_as_failed: bool,
 }
 
 impl Request {
-    /// Reads a request's head; the body is added by `with_body`.
+    /// Decodes the head of a request; `with_body` adds the body.
     pub fn decode(
         head: &RequestHead,
         site: &InstanceSettings,
@@ -104,7 +104,7 @@
         let id = id.ok_or_else(|| bad("X-Request-ID is missing"))?;
         let wait = match header_text(&head.headers, &TIMEOUT) {
             None => settings.deadline,
-            // Nobody waits longer than the class allows over all tries: a huge one would hold its place for good.
+            // The deadline of the class covers all attempts, so a longer timeout would only hold a request permit.
             Some(wait) => {
                 let wait = parse_seconds(wait).ok_or_else(|| bad("X-Timeout is no number of seconds"))?;
                 wait.min(settings.deadline)
@@ -112,7 +112,7 @@
         };
         let tenant = header_text(&head.headers, &TENANT);
         let tenant = site.tenants.iter().position(|t| Some(t.as_str()) == tenant);
-        // A hint is advice: one that can't be read is none.
+        // The cost is a hint: an unreadable one is ignored.
         let hint = header_text(&head.headers, &COST).and_then(|c| c.parse::<f64>().ok());
         let mut attrs = header_text(&head.headers, &ATTRS).into_iter().flat_map(|attrs| attrs.split(','));
         let object = attrs.find_map(|attr| attr.trim().strip_prefix("object="));
@@ -145,39 +145,39 @@
         })
     }
 
-    /// The same with its body.
+    /// Adds the body.
     pub fn with_body(mut self, body: Bytes, rest: Option<RemainingBody>) -> Request {
         (self.body, self.rest) = (body, rest.map(Rc::new));
         self
     }
 
-    /// The same on an errand of the sidecar's own.
+    /// Marks it as part of a task of the sidecar itself.
     pub fn with_task(mut self, task: Rc<FencedTask>) -> Request {
         self.task = Some(task);
         self
     }
 
-    /// What it is sent for, where it is no client's.
+    /// The task that it belongs to, if it is a request of the sidecar itself.
     pub fn task(&self) -> Option<&FencedTask> {
         self.task.as_deref()
     }
 
-    /// What had not come of its body when it was taken; none where it is whole.
+    /// The part of the body that had not been received when the request was accepted; `None` if it is complete.
     pub fn remaining_body(&self) -> Option<Rc<RemainingBody>> {
         self.rest.clone()
     }
 
-    /// The bytes of its body that are held.
+    /// The buffered bytes of the body.
     pub fn buffered_body(&self) -> &Bytes {
         &self.body
     }
 
-    /// The length of its body, in bytes, as the head told it.
+    /// The length of the body in bytes, as announced by the head.
     pub fn content_length(head: &RequestHead) -> Option<u64> {
         header_text(&head.headers, &header::CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok())
     }
 
-    /// Encodes it for a server; `left` is how long the sidecar will wait, `rest` what follows the bytes held.
+    /// Encodes it for a server. `left` is how long the sidecar will wait; `rest` is what follows the buffered body.
     pub fn encode(
         &self,
         client: &awc::Client,
@@ -216,7 +216,7 @@
     }
 }
 
-/// The number of the class that a path names by its first part.
+/// The number of the class named by the first segment of a path.
 pub fn class_of(path: &str, site: &InstanceSettings) -> Option<usize> {
     let name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
     site.classes.iter().position(|c| c == name && !name.is_empty())
@@ -257,7 +257,7 @@
 }
 
 impl Malformed {
-    /// Encodes the answer.
+    /// Encodes the response.
     pub fn encode(self) -> Response<BoxBody> {
         Response::with_body(self.status, BoxBody::new(Bytes::from_static(self.reason.as_bytes())))
     }
--- a/crates/http/src/message/body.rs
+++ b/crates/http/src/message/body.rs
@@ -12,70 +12,70 @@
 use std::task::{Context, Poll, ready};
 use tokio::sync::mpsc;
 
-/// A server's answer.
+/// The body of a server's response.
 pub struct ResponseBody {
-    /// As the server sent it.
+    /// Its bytes, as the server sent them.
     pub data: BodyData,
-    /// What it says the body is.
+    /// Its `Content-Type`.
     pub content_type: Option<HeaderValue>,
 }
 
-/// The bytes of an answer.
+/// The bytes of a response body.
 pub enum BodyData {
-    /// All of them.
+    /// The complete body.
     Complete(Bytes),
-    /// What came first; the rest is passed on as it comes.
+    /// The first bytes; the rest is streamed.
     Streaming {
-        /// The first bytes.
+        /// The bytes received first.
         first: Bytes,
-        /// What follows; an end without the last word is one that broke off.
+        /// What follows. A channel that closes without [`BodyChunk::End`] means that the body broke off.
         rest: mpsc::Receiver<BodyChunk>,
-        /// How long it is in all, where that was told.
+        /// The total length, if announced.
         length: Option<u64>,
     },
 }
 
-/// A part of an answer that is passed on.
+/// A part of a streamed response.
 pub enum BodyChunk {
-    /// Bytes.
+    /// The next bytes.
     Bytes(Bytes),
-    /// It came to its end.
+    /// The end of the body.
     End,
 }
 
-/// The parts of a request's body, as they come.
+/// The chunks of a request body, as they are received.
 pub type BodyChunks = LocalBoxStream<'static, Result<Bytes, PayloadError>>;
 
-/// The part of a request's body that has not come yet. It can be read once: an attempt that failed before it read any
-/// of it leaves it to the next.
+/// The part of a request body that has not been received yet. It can be read once: an attempt that failed before it
+/// read any of it leaves it to the next one.
 pub struct RemainingBody {
-    /// Where it comes from.
+    /// The source of the chunks.
     chunks: RefCell<BodyChunks>,
     read_started: Cell<bool>,
-    /// How long the whole body is, where that was told.
+    /// The length of the whole body, if announced.
     pub length: Option<u64>,
 }
 
 impl RemainingBody {
-    /// The rest of a body of this length.
+    /// Creates the rest of a body of the given total length.
     pub fn new(chunks: BodyChunks, length: Option<u64>) -> RemainingBody {
         RemainingBody { chunks: RefCell::new(chunks), read_started: Cell::new(false), length }
     }
 
-    /// Some of it was read: what is left is not the whole of it any more.
+    /// Whether any of it has been read, so that what is left is incomplete.
     pub fn read_started(&self) -> bool {
         self.read_started.get()
     }
 
-    /// Reads on.
+    /// Reads the next chunk.
     pub fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, PayloadError>>> {
         self.read_started.set(true);
         self.chunks.borrow_mut().poll_next_unpin(cx)
     }
 }
 
-/// An answer that is passed on as it comes. Where it breaks off, so does the client's connection: it is never taken for
-/// a whole one.
+/// The body of a streamed response to a client. If it breaks off, so does the client's connection, so that it is
+/// never taken for a complete one.
 pub(super) struct StreamingBody {
     pub(super) first: Bytes,
     pub(super) rest: mpsc::Receiver<BodyChunk>,
@@ -103,16 +103,16 @@
                 self.ended = true;
                 Poll::Ready(None)
             }
-            None => Poll::Ready(Some(Err(io::Error::other("the server's answer broke off")))),
+            None => Poll::Ready(Some(Err(io::Error::other("the server's response broke off")))),
         }
     }
 }
 
-/// The connection of a body broke off.
+/// The connection broke off in the middle of a body.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BodyAborted;
 
-/// Reads a body until it is whole or over so many bytes; tells whether it is whole.
+/// Reads a body until it is complete or exceeds `limit`; returns whether it is complete.
 pub async fn read_body<E>(
     chunks: &mut (impl Stream<Item = Result<Bytes, E>> + Unpin),
     limit: usize,
--- a/crates/http/src/message/fenced_task.rs
+++ b/crates/http/src/message/fenced_task.rs
@@ -1,4 +1,4 @@
-//! Requests that the sidecar sends on behalf of a duty, under a fence.
+//! Requests that the sidecar sends on behalf of a duty, protected by a fence.
 
 use super::{DUTY_FENCE, DUTY_PERIOD, header_text};
 use actix_http::StatusCode;
--- a/crates/http/src/message/reply.rs
+++ b/crates/http/src/message/reply.rs
@@ -1,4 +1,4 @@
-//! Responses of servers and their load reports.
+//! Server responses and load reports.
 
 use super::{NOT_PROCESSED, SERVER_LOAD, header_text};
 use actix_http::StatusCode;
@@ -6,20 +6,20 @@
 use dunlincleat::api::Status;
 use serde_json::Value;
 
-/// A server's answer to a request or a probe, without its body.
+/// A server's response to a request or a probe, without its body.
 pub struct Reply {
-    /// What it means.
+    /// What it means for the attempt.
     pub status: Status,
-    /// The load report, in the order of the settings' fields; empty where none came.
+    /// The load report, in the order of the configured fields; empty if there is none.
     pub load: Vec<f64>,
-    /// What it says its body is.
+    /// Its `Content-Type`.
     pub content_type: Option<HeaderValue>,
-    /// How long it says its body is, in bytes.
+    /// Its `Content-Length`, in bytes.
     pub length: Option<u64>,
 }
 
 impl Reply {
-    /// Reads the head of an answer.
+    /// Decodes the head of a response.
     pub fn decode(status: StatusCode, headers: &HeaderMap, fields: &[String]) -> Reply {
         let not_processed = header_text(headers, &NOT_PROCESSED) == Some("1");
         let status = match status {
@@ -27,7 +27,7 @@
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => {
                 Status::Rejected
             }
-            // Whatever is no word of the protocol's may have run.
+            // A request with any other status may have run.
             _ => Status::Error,
         };
         let load = header_text(headers, &SERVER_LOAD)
@@ -37,7 +37,7 @@
         Reply { status, load, content_type: headers.get(header::CONTENT_TYPE).cloned(), length }
     }
 
-    /// Reads the head and the body of a probe's answer: 503 is a probe's word for a server that is busy.
+    /// Decodes the head and the body of the response to a probe, where 503 means that the server is busy.
     pub fn decode_probe(status: StatusCode, headers: &HeaderMap, body: &[u8], fields: &[String]) -> Reply {
         let mut reply = Reply::decode(status, headers, fields);
         if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -50,11 +50,11 @@
     }
 }
 
-/// No server has this much of anything that a load report counts.
+/// Upper limit of plausible values in a load report.
 const MAX_LOAD_VALUE: f64 = 1e9;
 
-/// Reads a load report; a figure that lacks becomes no number. A report without any of them is none, and so is one
-/// with a figure that can't be true: a load under nothing would draw every request there.
+/// Parses a load report; missing fields become NaN. A report without any field is ignored, and so is one with an
+/// implausible value: a negative load would attract every request.
 fn parse_load_report(json: &[u8], fields: &[String]) -> Vec<f64> {
     let Ok(Value::Object(report)) = serde_json::from_slice(json) else { return Vec::new() };
     let value = |name: &String| report.get(name).and_then(Value::as_f64).unwrap_or(f64::NAN);
--- a/crates/http/src/message/reply/tests.rs
+++ b/crates/http/src/message/reply/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_load_report_is_read_in_the_order_of_the_settings() {
+fn load_report_fields_follow_the_order_of_the_settings() {
     assert_eq!(
         parse_load_report(br#"{"util":0.5,"queue":2,"inflight":7,"new":"x"}"#, &fields()),
         [7.0, 2.0, 0.5]
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_probes_answer_tells_whether_the_server_takes_work() {
+fn probe_response_shows_whether_the_server_accepts_work() {
     let probe = |status| {
         let reply = Reply::decode_probe(status, &HeaderMap::new(), br#"{"inflight":3}"#, &fields());
         (reply.status, reply.load[0])
--- a/crates/http/src/message/uri.rs
+++ b/crates/http/src/message/uri.rs
@@ -1,4 +1,4 @@
-//! Addresses of the requests that the sidecar makes on its own.
+//! URIs of the calls to discovery and of the probes.
 
 use super::{HEALTH_PATH, LOAD_PATH};
 use awc::http::Uri;
@@ -6,19 +6,19 @@
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
 use std::net::SocketAddr;
 
-/// The address of the whole list, or of that of some services. Discovery may pass over which, and tell of all.
+/// The URI of the full list, limited to the services of interest. Discovery may ignore the limit and return all.
 pub fn list_uri(discovery: SocketAddr, interest: &Interest) -> String {
     let models = models_parameter(interest).map(|models| format!("?{models}"));
     format!("http://{discovery}/v1/servers{}", models.unwrap_or_default())
 }
 
-/// The address of a watch for what changed after a version, in the same way.
+/// The URI of a watch for the changes after a revision, limited in the same way.
 pub fn watch_uri(discovery: SocketAddr, after: u64, interest: &Interest) -> String {
     let models = models_parameter(interest).map(|models| format!("&{models}"));
     format!("http://{discovery}/v1/servers?watch=1&after={after}{}", models.unwrap_or_default())
 }
 
-/// What a name needs no escape for in a query; a comma parts names.
+/// Characters to escape in names of services; a comma separates names.
 const QUERY_ESCAPES: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
 fn models_parameter(interest: &Interest) -> Option<String> {
@@ -26,12 +26,12 @@
     Some(format!("models={}", names.collect::<Vec<_>>().join(",")))
 }
 
-/// The address of a probe.
+/// The URI of a probe.
 pub fn probe_uri(server: SocketAddr, with_load: bool) -> String {
     format!("http://{server}{}", if with_load { LOAD_PATH } else { HEALTH_PATH })
 }
 
-/// The address and port of a URI that this program made.
+/// The address and port of a URI that this program built.
 pub fn server_address(uri: &Uri) -> Option<SocketAddr> {
     uri.authority()?.as_str().parse().ok()
 }
--- a/crates/http/src/options.rs
+++ b/crates/http/src/options.rs
@@ -1,4 +1,4 @@
-//! The figures of the HTTP side. Read and given defaults by the assembly; nothing here is decided.
+//! Limits and timeouts of the HTTP side. The sidecar crate reads them and applies the defaults.
 
 use dunlincleat_directory::{Interest, Timing};
 use std::cell::Cell;
@@ -6,53 +6,53 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bounds and times of clients' connections, connections to servers and calls of discovery.
+/// Limits and timeouts of client connections, server connections and discovery calls.
 #[derive(Clone, Debug)]
 pub struct HttpOptions {
-    /// The largest body of a request or an answer, in bytes.
+    /// Maximum size of a buffered request or response body, in bytes; a larger one is streamed.
     pub max_body_bytes: usize,
-    /// Connections that clients may hold.
+    /// Maximum number of client connections.
     pub max_client_connections: usize,
-    /// How long a client may take from connecting, or from its first byte, to a whole request.
+    /// Time a client has to send a complete request, from connecting or from its first byte.
     pub client_request_timeout: Duration,
-    /// How long a connection of a client may stand idle.
+    /// Time after which an idle client connection is closed.
     pub client_idle_timeout: Duration,
-    /// Connections to servers, all together.
+    /// Maximum number of server connections, over all servers.
     pub max_server_connections: usize,
-    /// Requests in hand at a time.
+    /// Maximum number of open requests.
     pub max_requests: usize,
-    /// How long an idle connection to a server is kept.
+    /// Time after which an idle server connection is closed.
     pub server_idle_timeout: Duration,
-    /// How long a connection to a server may take.
+    /// Timeout for connecting to a server.
     pub connect_timeout: Duration,
-    /// How long a probe may take.
+    /// Timeout of a probe.
     pub probe_timeout: Duration,
-    /// How long an answer that began may stand still.
+    /// Time after which a response that has started and makes no progress is invalid.
     pub response_stall_timeout: Duration,
-    /// The times by which discovery is followed.
+    /// Timeouts and intervals of the watch of discovery.
     pub watch_timing: Timing,
-    /// The services whose servers are known; all servers where none is named.
+    /// The services whose servers are followed; all if none is named.
     pub interest: Interest,
-    /// The file in which the list is kept, where a disk lasts.
+    /// The file in which the server list is saved across restarts, if any.
     pub list_file: Option<PathBuf>,
-    /// Another process of this sidecar runs: each keeps to half of the bounds on connections.
+    /// Whether another process of this sidecar is running; each process then uses half of the connection limits.
     pub limits_halved: Rc<Cell<bool>>,
 }
 
 impl HttpOptions {
-    /// Connections that clients may hold now.
+    /// The current limit of client connections.
     #[must_use]
     pub fn client_connection_limit(&self) -> usize {
         self.effective_limit(self.max_client_connections)
     }
 
-    /// Connections to servers that may be open now.
+    /// The current limit of server connections.
     #[must_use]
     pub fn server_connection_limit(&self) -> usize {
         self.effective_limit(self.max_server_connections)
     }
 
-    fn effective_limit(&self, bound: usize) -> usize {
-        if self.limits_halved.get() { (bound / 2).max(1) } else { bound }
+    fn effective_limit(&self, limit: usize) -> usize {
+        if self.limits_halved.get() { (limit / 2).max(1) } else { limit }
     }
 }
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -1,8 +1,8 @@
-//! One actor for each server: it owns the connections to it and carries out attempts and probes.
+//! One actor per server: it owns the connections to the server and performs attempts and probes.
 //!
-//! A connection is an awc client of its own whose pool holds that one connection: so it is known here which
-//! are idle, since when, and that an attempt given up takes its connection with it. A connection that awc's
-//! own pool kept would stand idle until the next request, however old.
+//! Each connection is an awc client of its own whose pool holds that one connection. So the actor knows which
+//! connections are idle and since when, and cancelling an attempt closes its connection. A connection in awc's own
+//! pool would stay idle until the next request, however old it gets.
 
 mod exchange;
 mod failure;
@@ -28,69 +28,56 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::{Instant, sleep_until};
 
-/// What a server's actor is told.
+/// A message to the actor of a server.
 enum Message {
-    /// Start an attempt.
+    /// Starts an attempt.
     Attempt {
-        /// Of which request.
         id: RequestId,
-        /// Which attempt.
         attempt: Attempt,
-        /// The request itself.
         request: Rc<Request>,
-        /// When to stop waiting.
+        /// The deadline of the attempt.
         until: Instant,
-        /// How long a connection for it may take, where that is narrowed.
+        /// The connect timeout, where it is lower than the configured one.
         connect: Option<Duration>,
     },
-    /// Stop waiting for an attempt.
-    Cancel {
-        /// Of which request.
-        id: RequestId,
-        /// Which attempt.
-        attempt: Attempt,
-    },
-    /// Nobody waits for an attempt any more.
-    Withdraw {
-        /// Of which request.
-        id: RequestId,
-        /// Which attempt.
-        attempt: Attempt,
-    },
-    /// Ask the server how it is, for whom.
+    /// Cancels an attempt.
+    Cancel { id: RequestId, attempt: Attempt },
+    /// Cancels an attempt unless its request has been written completely.
+    Withdraw { id: RequestId, attempt: Attempt },
+    /// Probes the server for a pool.
     Probe(PoolId),
-    /// What the list says of it.
+    /// The list entry of the server has changed.
     Updated {
-        /// Where it is reached and when it last started; nothing where the list lacks it.
+        /// The current process of the server; `None` if the server is not in the list.
         process: Option<ServerProcess>,
-        /// Whether it takes new work.
+        /// Whether the server accepts new work.
         state: State,
     },
 }
 
-/// What all peers are given.
+/// State shared by all peers.
 #[derive(Clone)]
 struct PeerContext {
     connections: ConnectionContext,
-    /// The names of the figures in a load report.
+    /// The names of the fields of a load report.
     fields: Rc<[String]>,
-    /// Servers answer `/load` with a report.
+    /// Probes request `/load`, which returns a load report.
     load_probes: bool,
     /// The idle connections to all servers.
     idle: IdleRegistry,
-    /// The line of the log for answers that are of no use.
+    /// Rate limiter for the log message about invalid responses.
     invalid_log: Rc<Seldom>,
     engine: Handle,
 }
 
-/// The transports to all servers: the mailboxes of their actors, by number. An actor ends with its mailbox.
+/// The transports to all servers: the mailbox of each actor, by server. An actor ends when its mailbox is dropped.
 pub struct Peers {
     context: PeerContext,
     mailboxes: FxHashMap<ServerId, mpsc::UnboundedSender<Message>>,
 }
 
 impl Peers {
-    /// Transports that tell `engine` what became of each attempt and probe.
+    /// Creates transports that report the end of each attempt and probe to `engine`.
     pub fn new(
         options: Rc<HttpOptions>,
         fields: Rc<[String]>,
@@ -219,11 +206,11 @@
     process: ServerProcess,
     context: PeerContext,
     gate: Rc<SendGate>,
-    /// When it last sent anything.
+    /// When the server last sent a response or a reset.
     last_response: Instant,
     idle: IdleConnections,
     in_flight: FuturesUnordered<Job>,
-    /// What ends an attempt, and whether it has begun.
+    /// The abort handle and the connection of each attempt in flight.
     aborts: FxHashMap<(RequestId, Attempt), (AbortHandle, Rc<ConnectionState>)>,
 }
 
@@ -253,7 +240,7 @@
         match message {
             Message::Attempt { id, attempt, request, until, connect } => {
                 let connection = self.connection();
-                // What the connection carried before is not taken for this one, which may be called off unbegun.
+                // Resets the state left by the previous request: this attempt may be cancelled before it is sent.
                 connection.state.begin(None);
                 let (endpoint, context, server) = (self.process.address, self.context.clone(), self.server);
                 let (abort, registration) = AbortHandle::new_pair();
@@ -284,7 +271,7 @@
                 }
             }
             Message::Withdraw { id, attempt } => {
-                // Written in part it has not begun either: a server begins with the last byte.
+                // A partly written request has not started either: a server starts with the last byte.
                 if let Some((abort, state)) =
                     self.aborts.get(&(id, attempt)).filter(|(_, w)| !w.request_written())
                 {
@@ -303,12 +290,12 @@
                 }));
             }
             Message::Updated { process, state } => {
-                // Connections to an old process or place are dead, though nothing may have told of that: what
-                // is written to one ends as a reset, after which an unsafe request must not be sent again.
+                // Connections to a previous process or address are dead, possibly without any sign of it. A request
+                // written to one ends in a reset, after which an unsafe request must not be sent again.
                 let process = process.unwrap_or(self.process);
                 let moved = process != self.process;
-                // One that leaves gets nothing more, and at the bound its idle connections had kept the servers that came in
-                // its place out of reach until they were too old.
+                // A draining server gets no new requests. At the connection limit, its idle connections kept its
+                // replacements unreachable until the idle timeout.
                 if moved || state != State::Ready {
                     self.idle.clear();
                 }
@@ -318,9 +305,10 @@
         }
     }
 
-    /// A server that leaves gets nothing new from this moment on. Its drain may have been told long before it was
-    /// heard, so no grace is left to spend: what has not begun there ends as never sent, and is drawn again.
-    /// The same holds for what has not begun at a process that it replaced, whose address may be another server's by now.
+    /// Stops sending to a server that is draining. The drain may have been announced long before it was received, so
+    /// there is no grace period: attempts that have not started there end as not sent, and another server is drawn.
+    /// The same holds for attempts that have not started at a replaced process, whose address may belong to another
+    /// server by now.
     fn apply_state(&mut self, state: State, moved: bool) {
         let leaves = state != State::Ready;
         self.gate.closed.set(leaves);
@@ -334,7 +322,7 @@
 
     fn finish(&mut self, finished: Finished) {
         if let Some(connection) = finished.connection {
-            // One that was in use while its server moved or started anew leads to what was there before.
+            // A connection that was in use while the server moved or restarted leads to the previous process.
             let here = connection.process == self.process;
             if connection.state.is_reusable() && here && !self.gate.closed.get() {
                 self.idle.insert(connection);
@@ -344,8 +332,8 @@
             Status::Ok | Status::Error | Status::Rejected | Status::Reset => {
                 self.last_response = Instant::now()
             }
-            // Nothing at all came since the attempt went out: its machine may have vanished, and the idle
-            // connections only look alive. What is written to one ends as a request that may have run.
+            // Nothing was received since the attempt started: the host may have vanished, so that the idle
+            // connections are dead without any sign of it. A request written to one ends as one that may have run.
             Status::Timeout
                 if matches!(finished.operation, Operation::Attempt(..))
                     && self.last_response < finished.started =>
@@ -365,7 +353,7 @@
         }
     }
 
-    /// An idle connection, or a new one, which is opened when it is first sent on.
+    /// An idle connection, or a new one, which is opened by the first request.
     fn connection(&self) -> ServerConnection {
         self.idle.take().unwrap_or_else(|| {
             ServerConnection::new(&self.context.connections, self.gate.clone(), self.process)
@@ -373,8 +361,9 @@
     }
 }
 
-/// What an attempt without an answer says. A spoilt answer is a server's word all the same: it lives and may
-/// have run the request. Taken for a broken connection, it had servers left out that were like all others.
+/// The status of an attempt without a usable response. An invalid response still shows that the server is up, and
+/// that it may have run the request. When it counted as a broken connection, servers were excluded that were as
+/// healthy as the others.
 fn classify_failure(
     status: Status,
     endpoint: SocketAddr,
@@ -382,7 +371,7 @@
     context: &PeerContext,
 ) -> Status {
     let Some(why) = state.invalid_response() else { return status };
-    let line = format!("answer of {endpoint} is of no use: {why}");
+    let line = format!("invalid response from {endpoint}: {why}");
     seldom!(context.invalid_log, warn, line);
     Status::Error
 }
--- a/crates/http/src/peer/exchange.rs
+++ b/crates/http/src/peer/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a server: an attempt or a probe, from the request to the end of the response.
+//! One exchange with a server, an attempt or a probe: from writing the request to the end of the response.
 
 use super::failure::error_status;
 use super::{PeerContext, classify_failure};
@@ -22,7 +22,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// Which attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptId {
     pub(super) id: RequestId,
@@ -30,7 +30,7 @@
     pub(super) server: ServerId,
 }
 
-/// A body that still comes, told to the engine for as long as this lives.
+/// Reports to the engine that a request body is still being received, until it is dropped.
 pub(super) struct UploadGuard {
     pub(super) of: AttemptId,
     pub(super) engine: Handle,
@@ -49,16 +49,16 @@
     }
 }
 
-/// The body of an attempt, where it still came when the attempt began.
+/// Progress of a request body that was incomplete when the attempt started.
 pub(super) struct RequestBody {
-    /// Until its last byte was handed on.
+    /// Present until the last byte was handed to awc.
     pub(super) upload: RefCell<Option<UploadGuard>>,
-    /// When that was.
+    /// When the last byte was handed to awc.
     pub(super) completed_at: Cell<Option<Instant>>,
 }
 
 impl RequestBody {
-    /// The rest of the body as awc reads it: with its end the attempt's own time begins.
+    /// The rest of the body, as awc reads it. When it ends, the deadline of the attempt starts to run.
     pub(super) fn into_chunks(
         self: Rc<RequestBody>,
         rest: Rc<RemainingBody>,
@@ -77,20 +77,21 @@
     }
 }
 
-/// How often it is looked at whether a body that is still coming has come.
+/// Interval between checks whether an upload has completed.
 pub(super) const UPLOAD_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long the beginning of an answer of untold length is held back to see its end, against how long it may stand
-/// still: one that breaks off or stops while it is held can be tried again.
+/// How long the start of a response of unknown length is buffered, relative to the stall timeout. A response that
+/// breaks off or stalls while it is buffered can be retried.
 pub(super) const BUFFER_TIME_FACTOR: f64 = 4.0 / 3.0;
-/// How long a client may take for the next part of an answer.
+/// Time a client has to accept the next chunk of a response.
 pub(super) const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(20);
-/// Parts of an answer on their way to the client.
+/// Number of response chunks in transit to the client.
 pub(super) const STREAM_CHANNEL_CAPACITY: usize = 1;
 
-/// Sends a request and waits for the answer. The line comes back where it can be used again.
+/// Sends a request and waits for the response. The connection is returned if it can be reused.
 ///
-/// A request whose body is still coming has its time from its last byte on, as its client counts it. An answer is held
-/// up to the bound; a longer one is passed on from its first bytes, and from then on no deadline cuts it.
+/// If the body is still being received, the deadline runs from its last byte, as it does for the client. A response
+/// is buffered up to the body size limit; a larger one is streamed from its first bytes on, and from then on no
+/// deadline ends it.
 pub(super) async fn send(
     connection: ServerConnection,
     endpoint: SocketAddr,
@@ -102,11 +103,11 @@
     let started = Instant::now();
     let left = until.saturating_duration_since(started);
     let rest = request.remaining_body();
-    // Guards against a part of a body sent for the whole: what an attempt has read of it is not there for another.
+    // An incomplete body must not be sent as if it were complete: what another attempt has read of it is gone.
     if rest.as_ref().is_some_and(|rest| rest.read_started()) {
         return (Completion::without_response(Status::NotSent), Some(connection));
     }
-    // Its permission is asked here, where the effect begins, and not where it was given.
+    // The permission is checked where the effect starts, not where it was granted.
     if request.task().is_some_and(|task| !task.try_start()) {
         return (Completion::without_response(Status::NotSent), Some(connection));
     }
@@ -132,7 +133,7 @@
             buffer_response(response, reply.length, &context.connections.options, &connection.state).await?;
         Ok::<_, Status>((reply, first, rest))
     };
-    // Nothing was written in time: the connection did not come up, and nothing can have run.
+    // If nothing was written in time, the connection was not established, and nothing can have run.
     let connecting = async {
         match connect {
             Some(connect) => sleep(connect).await,
@@ -191,7 +192,7 @@
             let status = stream_response(&mut response, &sender, &connection.state).await;
             (Completion::without_response(status), (status == Status::Ok).then_some(connection))
         }
-        // One that broke off in the middle of its body never ran.
+        // A request that broke off in the middle of its body never ran.
         Some(Err(Status::Reset)) if connection.state.invalid_response().is_none() => {
             (Completion::without_response(connection.state.status_if_written(Status::Reset)), None)
         }
@@ -203,9 +204,9 @@
     }
 }
 
-/// Holds an answer to its end, so that one that breaks off can be tried again, or until it has to be passed on: what
-/// is told to be longer than the bound from its first bytes, another once it is longer, or has come for too long. Gives
-/// what came, and the answer itself where more is to come.
+/// Buffers a response until its end, so that one that breaks off can be retried, or until it has to be streamed: from
+/// its first bytes if its announced length exceeds the limit, otherwise once it exceeds the limit or the buffering
+/// time. Returns the bytes received, and the response itself if more is to come.
 pub(super) async fn buffer_response(
     mut response: awc::ClientResponse,
     length: Option<u64>,
@@ -230,8 +231,8 @@
         };
         match part {
             Some(Ok(part)) => first.extend_from_slice(&part),
-            // Guards against half an answer served as a whole one: awc ends a body whose connection broke off
-            // without an error.
+            // awc ends the body without an error when its connection breaks off: without this check, half a response
+            // would be served as a complete one.
             None if state.response_complete() => return Ok((first.freeze(), None)),
             Some(Err(_)) | None => return Err(Status::Reset),
         }
@@ -239,7 +240,8 @@
     Ok((first.freeze(), Some(response)))
 }
 
-/// Passes the rest of an answer on as fast as its client reads: what does not fit is not read from the server.
+/// Streams the rest of a response at the rate at which its client reads: nothing is read from the server that the
+/// client has no room for.
 pub(super) async fn stream_response(
     response: &mut awc::ClientResponse,
     client: &mpsc::Sender<BodyChunk>,
@@ -249,7 +251,7 @@
         let part = tokio::select! {
             biased;
             part = response.next() => part,
-            // Its client has left: the connection is given back at once, not when the server speaks again.
+            // The client has left: the connection is released immediately, not when the server sends the next bytes.
             () = client.closed() => return Status::Cancelled,
         };
         let part = match part {
@@ -292,7 +294,8 @@
     }
 }
 
-/// Reads the body of a probe's answer. One that breaks off is a reset, one that is too long an error.
+/// Reads the body of the response to a probe. An incomplete one counts as a reset, one over the size limit as an
+/// error.
 pub(super) async fn read_probe_body(
     mut response: awc::ClientResponse,
     context: &PeerContext,
--- a/crates/http/src/peer/failure/tests.rs
+++ b/crates/http/src/peer/failure/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `peer.rs`.
+//! Tests of `failure.rs`.
 
 use super::*;
 
@@ -7,13 +7,13 @@
 }
 
 #[test]
-fn a_write_that_failed_was_not_whole_and_never_ran() {
+fn failed_write_maps_to_connect_failed() {
     assert_eq!(error_status(io(io::ErrorKind::ConnectionReset.into())), Status::ConnectFailed);
     assert_eq!(error_status(io(io::ErrorKind::BrokenPipe.into())), Status::ConnectFailed);
 }
 
 #[test]
-fn what_was_not_sent_for_reasons_of_our_own_is_no_fault_of_the_servers() {
+fn local_failures_map_to_not_sent() {
     assert_eq!(error_status(io(io::Error::other(NotSentError("x")))), Status::NotSent);
     for code in [EMFILE, ENFILE, EADDRNOTAVAIL] {
         let error = awc::error::ConnectError::Io(io::Error::from_raw_os_error(code));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn in_doubt_it_may_have_run() {
+fn ambiguous_errors_map_to_reset() {
     let ended = SendRequestError::Connect(awc::error::ConnectError::Disconnected);
     assert_eq!(error_status(ended), Status::Reset);
     let garbled = SendRequestError::Response(actix_http::error::ParseError::Header);
--- a/crates/http/src/write_progress.rs
+++ b/crates/http/src/write_progress.rs
@@ -1,33 +1,36 @@
-//! When the last byte of an attempt was written: the host writes its own heads, so they end at the first empty line.
+//! Detects when the last byte of an attempt has been written. The host encodes the heads of requests itself, so a
+//! head ends at the first empty line.
 
-/// How far an attempt is written.
+/// How much of an attempt has been written.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteProgress {
-    /// How many bytes of the empty line that ends the head were seen.
+    /// Number of bytes matched of the empty line that ends the head.
     head_end_matched: usize,
-    /// Bytes of the body that are not written yet; none where nobody told its length.
+    /// Bytes of the body that are still to be written; `None` for a chunked body.
     body_remaining: Option<u64>,
-    /// The last bytes written, to see the last chunk.
+    /// The last bytes written, to detect the last chunk.
     tail: [u8; 5],
     complete: bool,
 }
 
+/// The end of a head.
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
-/// What a body in chunks ends with.
+/// The end of a chunked body.
 const LAST_CHUNK: &[u8; 5] = b"0\r\n\r\n";
 
 impl WriteProgress {
-    /// An attempt whose body has so many bytes, or comes in chunks.
+    /// Starts an attempt with a body of the given length, or with a chunked body.
     pub fn new(body: Option<u64>) -> WriteProgress {
         WriteProgress { head_end_matched: 0, body_remaining: body, tail: [0; 5], complete: false }
     }
 
-    /// Its last byte was written.
+    /// Whether the last byte has been written.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// These bytes were written; `last` says of a body in chunks that nothing more comes. True once, with the last byte.
+    /// Records written bytes; `last` tells that a chunked body has no more chunks. Returns true once, for the last
+    /// byte.
     pub fn record(&mut self, mut bytes: &[u8], last: bool) -> bool {
         while self.head_end_matched < HEAD_END.len() {
             let Some((first, rest)) = bytes.split_first() else { return false };
--- a/crates/sidecar/tests/descriptors.rs
+++ b/crates/sidecar/tests/descriptors.rs
@@ -228,6 +228,6 @@
     }
     let asked: Vec<usize> = servers.iter().map(Server::count).collect();
     assert!(asked.iter().all(|asked| *asked > 0), "requests by server: {asked:?}");
-    let refused = sidecar.log.all().iter().any(|line| line.contains("bound on server connections"));
+    let refused = sidecar.log.all().iter().any(|line| line.contains("server connection limit reached"));
     assert!(!refused, "nothing was in hand, and no place was found");
 }
--- a/crates/sidecar/tests/lists.rs
+++ b/crates/sidecar/tests/lists.rs
@@ -153,7 +153,7 @@
     discovery.silence(true);
     discovery.calls.wait(4, "watches");
     discovery.silence(false);
-    sidecar.logged("open after revision 7, unheard for 1");
+    sidecar.logged("open after revision 7, silent for 1");
     discovery.send(8, true, vec![entry("s2", new.address, "up")]);
     read_revision(&sidecar, 8);
     assert_eq!(sidecar.ask(&read("r1")).text(), "new");
