--- a/crates/http/src/frame.rs
+++ b/crates/http/src/frame.rs
@@ -60,13 +60,18 @@
 impl ResponseFramer {
     /// Creates a framer that expects no response yet.
     pub fn new() -> ResponseFramer {
-        let (input, output) = (BytesMut::new(), BytesMut::new());
-        ResponseFramer { state: State::Complete, informational: 0, input, output }
+        ResponseFramer {
+            state: State::Complete,
+            informational: 0,
+            input: BytesMut::new(),
+            output: BytesMut::new(),
+        }
     }
 
     /// Expects the response to a request that is being sent.
     pub fn expect_response(&mut self) {
-        (self.state, self.informational) = (State::Head, 0);
+        self.state = State::Head;
+        self.informational = 0;
     }
 
     /// Whether the response is complete.
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -80,6 +80,17 @@
     Shared(std::net::TcpListener),
 }
 
+impl Listener {
+    fn open(self, backlog: usize) -> Result<TcpListener> {
+        match self {
+            Listener::Bind(address) => {
+                bind(address, backlog).with_context(|| format!("EDGE_LISTEN: {address}"))
+            }
+            Listener::Shared(listener) => TcpListener::from_std(listener).context("EDGE_INHERITED_FD"),
+        }
+    }
+}
+
 /// Configuration of the front.
 pub struct FrontConfig {
     /// The current settings and limits.
@@ -117,17 +128,13 @@
 ) -> Result<()> {
     let FrontConfig { active, options, metrics } = config;
     let mut stage = lifecycle.follow();
-    let most = options.max_client_connections + EXCESS_CONNECTIONS;
-    let (listener, shared) = match listener {
-        Listener::Bind(listen) => {
-            (bind(listen, most).with_context(|| format!("EDGE_LISTEN: {listen}"))?, false)
-        }
-        Listener::Shared(listener) => (TcpListener::from_std(listener).context("EDGE_INHERITED_FD")?, true),
-    };
+    let limit = options.max_client_connections + EXCESS_CONNECTIONS;
+    let shared = matches!(listener, Listener::Shared(_));
+    let listener = listener.open(limit)?;
     // Connections to a shared listener can be accepted by the other process, so this one stops accepting as soon as
     // it is told to end.
     let stopped = move |stage: &Stage| *stage >= Stage::Closing || shared && stage.ends();
-    let connections = Arc::new(Semaphore::new(most));
+    let connections = Arc::new(Semaphore::new(limit));
     let request_permits = Arc::new(Semaphore::new(options.max_requests));
     let clients = Rc::new(Clients {
         options: options.clone(),
@@ -197,7 +204,7 @@
     // All permits are returned when all connections have ended. The permits that this call has already acquired must
     // not count as lack of capacity: that had closed connections whose requests were still being received.
     clients.accepting.set(false);
-    let _all = connections.acquire_many(most as u32).await?;
+    let _all = connections.acquire_many(limit as u32).await?;
     sweeper.abort();
     Ok(())
 }
@@ -210,7 +217,8 @@
     if let Err(error) = stream.set_nodelay(true) {
         tracing::debug!("cannot set TCP_NODELAY on a client connection: {error}");
     }
-    let (state, mut stage) = (slot.state.clone(), front.stage.clone());
+    let state = slot.state.clone();
+    let mut stage = front.stage.clone();
     let stream = Rc::new(stream);
     let io = ClientIo { stream: stream.clone(), state: state.clone(), stage: stage.clone() };
     let mut connection = Box::pin(service.call((io, None)));
@@ -265,7 +273,8 @@
 async fn sweep(clients: Rc<Clients>, connections: Arc<Semaphore>, lifecycle: Arc<Lifecycle>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
-        let (now, stage) = (Instant::now(), lifecycle.stage());
+        let now = Instant::now();
+        let stage = lifecycle.stage();
         for state in clients.connections.borrow().values() {
             if state.deadline(&clients.options, stage).is_some_and(|deadline| deadline <= now) {
                 state.request_close();
@@ -280,11 +289,11 @@
 
 /// Binds a listener whose backlog is as large as the connection limit. With the usual backlog of 128, connections
 /// failed while the process was stalled.
-fn bind(listen: SocketAddr, most: usize) -> io::Result<TcpListener> {
-    let socket = if listen.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+fn bind(address: SocketAddr, backlog: usize) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
-    socket.bind(listen)?;
-    socket.listen(u32::try_from(most).unwrap_or(u32::MAX))
+    socket.bind(address)?;
+    socket.listen(u32::try_from(backlog).unwrap_or(u32::MAX))
 }
 
 /// Handles one request.
@@ -300,11 +309,7 @@
     // Looked up under the settings at arrival: a reload may remove the class before the request ends.
     let outcomes = front.outcomes(request.path());
     let mut response = if request.method() == Method::GET && request.path() == HEALTH_PATH {
-        if front.stage.borrow().ready() {
-            Response::with_body(StatusCode::OK, BoxBody::new("ok\n"))
-        } else {
-            Response::with_body(StatusCode::SERVICE_UNAVAILABLE, BoxBody::new("no\n"))
-        }
+        health_response(front.stage.borrow().ready())
     } else if over_limit {
         seldom!(front.limit_log, warn, ConnectionSummary(&front.clients));
         outcomes.dropped.count();
@@ -352,6 +357,14 @@
     Ok(response)
 }
 
+fn health_response(ready: bool) -> Response<BoxBody> {
+    if ready {
+        Response::with_body(StatusCode::OK, BoxBody::new("ok\n"))
+    } else {
+        Response::with_body(StatusCode::SERVICE_UNAVAILABLE, BoxBody::new("no\n"))
+    }
+}
+
 impl Front {
     /// The outcome counters of the class named by the path; counters that are never read if the path names no class.
     fn outcomes(&self, path: &str) -> Arc<Ends> {
@@ -360,18 +373,20 @@
         class.cloned().unwrap_or_default()
     }
 
+    /// Receives a request, submits it to the engine and waits for the answer.
     async fn accept_request(
         &self,
         request: &mut actix_http::Request,
         state: Option<&Rc<ClientConnection>>,
     ) -> Result<Answer, Malformed> {
         let active = self.active.borrow().clone();
-        let (site, rules) = (&active.site, active.rules.as_deref());
-        let decoded = Request::decode(request.head(), site, rules)?;
+        let decoded = Request::decode(request.head(), &active.site, active.rules.as_deref())?;
         let length = Request::content_length(request.head());
-        state.into_iter().for_each(|state| state.enter(Phase::ReadingBody));
+        if let Some(state) = state {
+            state.enter(Phase::ReadingBody);
+        }
         let mut payload = request.take_payload();
-        let (body, whole) = read_body(&mut payload, self.options.max_body_bytes).await?;
+        let body = read_body(&mut payload, self.options.max_body_bytes).await?;
         let Ok(permit) = self.request_permits.clone().try_acquire_owned() else {
             seldom!(self.limit_log, warn, "request refused: open request limit reached");
             return Ok(Answer::Refused { retry_after: None });
@@ -381,35 +396,37 @@
             return Err(Malformed {
                 status: StatusCode::CONFLICT,
                 reason: "X-Request-ID is in use",
-                counts_as_failed: whole,
+                counts_as_failed: body.complete,
             });
         }
         let id = RequestId(self.next_id.replace(self.next_id.get() + 1));
-        let (slot, answer) = oneshot::channel();
-        let (engine, name) = (self.engine.clone(), decoded.id.clone());
+        let (reply, answer) = oneshot::channel();
         let mut open = OpenRequest {
             id,
-            name,
+            client_id: decoded.id.clone(),
             front: self,
-            engine,
             answered: false,
             _permit: permit,
             _counted: self.metrics.taken(),
         };
         // A body up to the size limit is buffered, so that it can be sent again. The rest of a larger one is streamed
         // to one server.
-        let rest = if whole {
-            state.into_iter().for_each(|state| state.enter(Phase::Processing));
+        let rest = if body.complete {
+            if let Some(state) = state {
+                state.enter(Phase::Processing);
+            }
             None
         } else {
-            state.into_iter().for_each(|state| state.streams_body.set(true));
+            if let Some(state) = state {
+                state.streams_body.set(true);
+            }
             Some(RemainingBody::new(upload_chunks(payload, state.cloned()), length))
         };
         // The deadline runs from the last byte received: counted from the first one, a slow upload left no time for
         // the servers.
         let received = Instant::now();
         let info = decoded.info.clone();
-        self.engine.request(id, info, Rc::new(decoded.with_body(body, rest)), received, slot);
+        self.engine.request(id, info, Rc::new(decoded.with_body(body.bytes, rest)), received, reply);
         let mut stage = self.stage.clone();
         let answer = tokio::select! {
             biased;
@@ -430,9 +447,9 @@
 /// in the engine.
 struct OpenRequest<'a> {
     id: RequestId,
-    name: HeaderValue,
+    /// Its `X-Request-ID`.
+    client_id: HeaderValue,
     front: &'a Front,
-    engine: Handle,
     answered: bool,
     _permit: OwnedSemaphorePermit,
     _counted: InProgress,
@@ -440,9 +457,9 @@
 
 impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
-        self.front.ids_in_use.borrow_mut().remove(&self.name);
+        self.front.ids_in_use.borrow_mut().remove(&self.client_id);
         if !self.answered {
-            self.engine.client_left(self.id);
+            self.front.engine.client_left(self.id);
         }
     }
 }
--- a/crates/http/src/front/client_io.rs
+++ b/crates/http/src/front/client_io.rs
@@ -20,7 +20,7 @@
 
 impl ClientIo {
     /// Reads the bytes that were received ahead, then from the socket.
-    pub(super) fn read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut read_ahead = self.state.read_ahead.borrow_mut();
         if !read_ahead.is_empty() {
             let part = read_ahead.len().min(buf.remaining());
@@ -46,7 +46,8 @@
 
 impl AsyncRead for ClientIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let (this, before) = (self.get_mut(), buf.filled().len());
+        let this = self.get_mut();
+        let before = buf.filled().len();
         let state = &this.state;
         match state.phase.get() {
             // `ClientConnection::poll_termination` reads in this phase. Entering the next one causes the connection
--- a/crates/http/src/front/clients.rs
+++ b/crates/http/src/front/clients.rs
@@ -15,22 +15,22 @@
 use tokio::time::Instant;
 
 /// At the connection limit, the age from which an idle connection may be evicted.
-pub(super) const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
+const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
 /// At the connection limit, the age from which a connection without a complete request may be evicted.
-pub(super) const EVICT_INCOMPLETE_AFTER: Duration = Duration::from_millis(200);
+const EVICT_INCOMPLETE_AFTER: Duration = Duration::from_millis(200);
 /// Maximum number of bytes buffered from a client that keeps sending while its request is processed, and read from
 /// one that was rejected.
 pub(super) const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// Maximum number of bytes that are read and discarded between two sweeps once that buffer is full, to detect that
 /// the client has closed.
-pub(super) const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 /// Minimum rate at which a client has to send a body: half of what well-behaved slow clients achieve.
-pub(super) const MIN_UPLOAD_BYTES_PER_S: f64 = 32.0 * 1024.0;
+const MIN_UPLOAD_BYTES_PER_S: f64 = 32.0 * 1024.0;
 /// Time for which a rejected client may continue to send.
 pub(super) const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 /// In standby, the age from which a connection that has sent nothing is closed; a newer one may be about to send its
 /// first request.
-pub(super) const STANDBY_SILENT_TIMEOUT: Duration = Duration::from_millis(500);
+const STANDBY_SILENT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a connection is terminated without waiting for actix-http.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -163,7 +163,7 @@
 
     /// The extra time granted for the bytes of the body received so far, so that a slow client that keeps sending is
     /// not cut off.
-    pub(super) fn earned_time(&self) -> Duration {
+    fn earned_time(&self) -> Duration {
         Duration::from_secs_f64(self.phase_bytes.get() as f64 / MIN_UPLOAD_BYTES_PER_S)
     }
 
@@ -185,20 +185,30 @@
 
     /// How suitable the connection is for eviction: idle connections first, then those without a complete request,
     /// the oldest first.
-    pub(super) fn eviction_rank(&self, now: Instant) -> Option<(bool, Duration)> {
+    fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
+        if self.closing_since.get().is_some() {
+            return None;
+        }
         let age = now - self.phase_since.get();
-        let spare = match self.phase.get() {
-            Phase::Idle => (age >= EVICT_IDLE_AFTER).then_some((true, age)),
-            Phase::Connected | Phase::ReadingHead => (age >= EVICT_INCOMPLETE_AFTER).then_some((false, age)),
+        let (idle, min_age) = match self.phase.get() {
+            Phase::Idle => (true, EVICT_IDLE_AFTER),
+            Phase::Connected | Phase::ReadingHead => (false, EVICT_INCOMPLETE_AFTER),
             Phase::ReadingBody if !self.streams_body.get() => {
-                (age >= EVICT_INCOMPLETE_AFTER + self.earned_time()).then_some((false, age))
+                (false, EVICT_INCOMPLETE_AFTER + self.earned_time())
             }
-            Phase::ReadingBody | Phase::Processing | Phase::Draining => None,
+            Phase::ReadingBody | Phase::Processing | Phase::Draining => return None,
         };
-        spare.filter(|_| self.closing_since.get().is_none())
+        (age >= min_age).then_some(EvictionRank { idle, age })
     }
 }
 
+/// How suitable a connection is for eviction; the highest rank is evicted first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionRank {
+    idle: bool,
+    age: Duration,
+}
+
 /// All client connections.
 pub(super) struct Clients {
     pub(super) options: Rc<HttpOptions>,
@@ -226,11 +236,13 @@
         4 * self.connections.borrow().len() >= 3 * self.options.client_connection_limit().max(4)
     }
 
+    /// Asks the connection with the highest eviction rank to close; returns whether there was one.
     pub(super) fn evict_one(&self, now: Instant) -> bool {
         let connections = self.connections.borrow();
-        let spare = connections.values().filter_map(|state| Some((state.eviction_rank(now)?, state)));
-        let spare = spare.max_by_key(|(fit, _)| *fit);
-        spare.inspect(|(_, state)| state.request_close()).is_some()
+        let candidates = connections.values().filter_map(|state| Some((state.eviction_rank(now)?, state)));
+        let Some((_, state)) = candidates.max_by_key(|(rank, _)| *rank) else { return false };
+        state.request_close();
+        true
     }
 }
 
--- a/crates/http/src/front/streaming.rs
+++ b/crates/http/src/front/streaming.rs
@@ -16,19 +16,19 @@
 use tokio::time::timeout;
 
 /// Time without progress after which a client is considered gone while its body is streamed to a server.
-pub(super) const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The remaining chunks of a request body. A client that stalls in the middle is considered gone.
 pub(super) fn upload_chunks(payload: Payload, state: Option<Rc<ClientConnection>>) -> BodyChunks {
     let parts = stream::unfold((payload, state), |(mut payload, state)| async move {
-        let part = timeout(UPLOAD_STALL_TIMEOUT, payload.next()).await;
-        let part = part.unwrap_or_else(|_| Some(Err(PayloadError::Incomplete(None))));
-        if part.is_none()
+        let chunk = timeout(UPLOAD_STALL_TIMEOUT, payload.next()).await;
+        let chunk = chunk.unwrap_or_else(|_| Some(Err(PayloadError::Incomplete(None))));
+        if chunk.is_none()
             && let Some(state) = state.as_ref().filter(|state| state.phase.get() == Phase::ReadingBody)
         {
             state.enter(Phase::Processing);
         }
-        part.map(|part| (part, (payload, state)))
+        chunk.map(|chunk| (chunk, (payload, state)))
     });
     parts.boxed_local()
 }
@@ -47,9 +47,9 @@
     }
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Self::Error>>> {
-        let part = ready!(Pin::new(&mut self.body).poll_next(cx));
-        self.guard.complete |= part.is_none();
-        Poll::Ready(part)
+        let chunk = ready!(Pin::new(&mut self.body).poll_next(cx));
+        self.guard.complete |= chunk.is_none();
+        Poll::Ready(chunk)
     }
 }
 
--- a/crates/http/src/line/server_io.rs
+++ b/crates/http/src/line/server_io.rs
@@ -16,9 +16,9 @@
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
 /// Time without progress after which a response that is being streamed is invalid.
-pub(super) const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time without progress after which writing a request fails.
-pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The socket of a server connection. Dropping it closes the socket and returns the permit.
 pub(super) struct ServerIo {
@@ -44,14 +44,14 @@
 }
 
 impl ServerIo {
-    pub(super) fn fail_invalid(&self, invalid: InvalidResponse) -> Poll<io::Result<()>> {
+    fn fail_invalid(&self, invalid: InvalidResponse) -> Poll<io::Result<()>> {
         self.state.invalid.set(Some(invalid));
         Poll::Ready(Err(io::Error::other(invalid)))
     }
 
     /// Fails a response that has started and makes no progress. Waiting for its deadline instead left a request that
     /// could be repeated too little time for that.
-    pub(super) fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if !self.framer.has_started() {
             return Poll::Pending;
         }
@@ -67,7 +67,7 @@
 
     /// Fails a request whose server stops reading the body while the client still sends it: no deadline runs before
     /// the last byte, so that the attempt, its connection and its client would be held for as long as both stay.
-    pub(super) fn poll_write_stalled(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+    fn poll_write_stalled(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let timer = self.write_stall_timer.get_or_insert_with(|| Box::pin(sleep(WRITE_STALL_TIMEOUT)));
         ready!(timer.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
--- a/crates/http/src/list.rs
+++ b/crates/http/src/list.rs
@@ -104,9 +104,17 @@
         // The follower has the timeouts of calls; that of awc must never take effect.
         let connector = awc::Connector::new().timeout(Duration::from_secs(1 << 30));
         let client = Client::builder().connector(connector).disable_timeout().disable_redirects().finish();
-        let (tasks, next_save) = (FxHashMap::default(), Instant::now());
-        let list =
-            List { follower, clock, options, engine, client, tasks, inputs, unsaved: false, next_save };
+        let list = List {
+            follower,
+            clock,
+            options,
+            engine,
+            client,
+            tasks: FxHashMap::default(),
+            inputs,
+            unsaved: false,
+            next_save: Instant::now(),
+        };
         actix_rt::spawn(list.run(mailbox.0, input_receiver));
     }
 
@@ -121,7 +129,6 @@
             self.perform(&mut outputs);
             self.engine.list_health(self.follower.health());
             let due = self.follower.due().map(|at| self.clock.instant(at));
-            let save = self.unsaved.then_some(self.next_save);
             let input = tokio::select! {
                 biased;
                 message = mailbox.recv() => match message {
@@ -131,7 +138,7 @@
                 },
                 Some(input) = input_receiver.recv() => input,
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => continue,
-                () = sleep_until(self.next_save), if save.is_some() => {
+                () = sleep_until(self.next_save), if self.unsaved => {
                     self.save();
                     continue;
                 }
@@ -175,7 +182,9 @@
 
     fn deliver(&mut self, delivery: Delivery) {
         // Limited, because a list may be invalid in every entry.
-        delivery.anomalies.iter().take(MAX_LOGGED_ANOMALIES).for_each(|anomaly| tracing::warn!("{anomaly}"));
+        for anomaly in delivery.anomalies.iter().take(MAX_LOGGED_ANOMALIES) {
+            tracing::warn!("{anomaly}");
+        }
         if delivery.anomalies.len() > MAX_LOGGED_ANOMALIES {
             tracing::warn!(
                 "{} more anomalies in revision {}",
@@ -189,10 +198,12 @@
 
     /// Writes the list to its file on a blocking thread.
     fn save(&mut self) {
-        (self.unsaved, self.next_save) = (false, Instant::now() + SAVE_INTERVAL);
+        self.unsaved = false;
+        self.next_save = Instant::now() + SAVE_INTERVAL;
         let Some(path) = self.options.list_file.clone() else { return };
         let fresh_at = self.follower.health().fresh_at;
-        let (listing, interest) = (self.follower.table().listing(), self.options.interest.clone());
+        let listing = self.follower.table().listing();
+        let interest = self.options.interest.clone();
         let bytes = Snapshot { fresh_at, listing, interest }.encode();
         tokio::task::spawn_blocking(move || {
             if let Err(error) = replace(&path, &bytes) {
@@ -228,13 +239,13 @@
             CallKind::ChangesAfter(rev) => rev,
             CallKind::FullList | CallKind::Check => {
                 let mut response = get(client, list_uri(at, interest)).await?;
-                let (body, complete) = read_body(&mut response, MAX_LINE_BYTES)
+                let body = read_body(&mut response, MAX_LINE_BYTES)
                     .await
                     .map_err(|BodyAborted| Cause::Broke("while reading the full list".to_owned()))?;
-                if !complete {
+                if !body.complete {
                     return Err(Cause::TooLong);
                 }
-                let listing = Listing { whole: true, ..decode_listing(&body)? };
+                let listing = Listing { whole: true, ..decode_listing(&body.bytes)? };
                 let rev = listing.rev;
                 send_input(inputs, Input::Line(watch, Some(listing))).await?;
                 if kind == CallKind::Check {
@@ -247,12 +258,12 @@
         send_input(inputs, Input::Opened(watch)).await?;
         let mut lines = Lines::default();
         loop {
-            let part = match response.next().await {
-                Some(Ok(part)) => part,
+            let chunk = match response.next().await {
+                Some(Ok(chunk)) => chunk,
                 Some(Err(error)) => return Err(Cause::Broke(error.to_string())),
                 None => return Err(Cause::Ended),
             };
-            for line in lines.take(&part).map_err(|_| Cause::TooLong)? {
+            for line in lines.take(&chunk).map_err(|_| Cause::TooLong)? {
                 let listing = if line.is_empty() { None } else { Some(decode_listing(&line)?) };
                 send_input(inputs, Input::Line(watch, listing)).await?;
             }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -10,7 +10,9 @@
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead, Response, StatusCode};
 use body::StreamingBody;
-pub use body::{BodyAborted, BodyChunk, BodyChunks, BodyData, RemainingBody, ResponseBody, read_body};
+pub use body::{
+    BodyAborted, BodyChunk, BodyChunks, BodyData, LimitedBody, RemainingBody, ResponseBody, read_body,
+};
 use bytes::Bytes;
 use dunlincleat::api::{Effect, Span};
 use dunlincleat_engine::RequestInfo;
@@ -78,7 +80,6 @@
         site: &InstanceSettings,
         rules: Option<&RuleSet>,
     ) -> Result<Request, Malformed> {
-        let bad = |reason| Malformed { status: StatusCode::BAD_REQUEST, reason, counts_as_failed: true };
         let path = head.uri.path();
         let unknown =
             Malformed { status: StatusCode::NOT_FOUND, reason: "no such class", counts_as_failed: true };
@@ -98,40 +99,22 @@
             });
         }
         if matches!(settings.effect, Effect::Keyed { .. }) && key.is_none() {
-            return Err(bad("Idempotency-Key is missing"));
+            return Err(bad_request("Idempotency-Key is missing"));
         }
         let id = head.headers.get(&REQUEST_ID).filter(|id| !id.is_empty()).cloned();
-        let id = id.ok_or_else(|| bad("X-Request-ID is missing"))?;
-        let wait = match header_text(&head.headers, &TIMEOUT) {
-            None => settings.deadline,
-            // The deadline of the class covers all attempts, so a longer timeout would only hold a request permit.
-            Some(wait) => {
-                let wait = parse_seconds(wait).ok_or_else(|| bad("X-Timeout is no number of seconds"))?;
-                wait.min(settings.deadline)
-            }
-        };
-        let tenant = header_text(&head.headers, &TENANT);
-        let tenant = site.tenants.iter().position(|t| Some(t.as_str()) == tenant);
-        // The cost is a hint: an unreadable one is ignored.
-        let hint = header_text(&head.headers, &COST).and_then(|c| c.parse::<f64>().ok());
-        let mut attrs = header_text(&head.headers, &ATTRS).into_iter().flat_map(|attrs| attrs.split(','));
-        let object = attrs.find_map(|attr| attr.trim().strip_prefix("object="));
-        let info = RequestInfo {
-            class: class as u32,
-            tenant: tenant.unwrap_or(site.tenants.len()) as u32,
-            wait,
-            hint: hint.filter(|c| c.is_finite() && *c >= 0.0).map(|c| Span(c as u64)),
-            key: object.filter(|object| !object.is_empty()).map(global_id),
-            repeat: header_text(&head.headers, &RETRIED) == Some("1"),
-            rule: None,
-        };
-        let rule = rules.map(|rules| {
+        let id = id.ok_or_else(|| bad_request("X-Request-ID is missing"))?;
+        let mut info = request_info(head, class, site)?;
+        info.rule = rules.map(|rules| {
             let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-            let (class, tenant) = (info.class, info.tenant);
-            let facts = RequestAttributes { path, method: method.as_str(), class, tenant, header: &header };
-            rules.find(&facts).clone()
+            let attributes = RequestAttributes {
+                path,
+                method: method.as_str(),
+                class: info.class,
+                tenant: info.tenant,
+                header: &header,
+            };
+            rules.find(&attributes).clone()
         });
-        let info = RequestInfo { rule, ..info };
         Ok(Request {
             id,
             method,
@@ -147,7 +130,8 @@
 
     /// Adds the body.
     pub fn with_body(mut self, body: Bytes, rest: Option<RemainingBody>) -> Request {
-        (self.body, self.rest) = (body, rest.map(Rc::new));
+        self.body = body;
+        self.rest = rest.map(Rc::new);
         self
     }
 
@@ -216,6 +200,39 @@
     }
 }
 
+/// The attributes of a request that the engine needs, without the rule that it is admitted under.
+fn request_info(head: &RequestHead, class: usize, site: &InstanceSettings) -> Result<RequestInfo, Malformed> {
+    let deadline = site.settings.classes[class].deadline;
+    let wait = match header_text(&head.headers, &TIMEOUT) {
+        None => deadline,
+        // The deadline of the class covers all attempts: a longer timeout gains nothing, and a huge one would hold
+        // its request permit forever.
+        Some(wait) => {
+            let wait = parse_seconds(wait).ok_or_else(|| bad_request("X-Timeout is no number of seconds"))?;
+            wait.min(deadline)
+        }
+    };
+    let tenant = header_text(&head.headers, &TENANT);
+    let tenant = site.tenants.iter().position(|t| Some(t.as_str()) == tenant);
+    // The cost is a hint: an unreadable one is ignored.
+    let hint = header_text(&head.headers, &COST).and_then(|c| c.parse::<f64>().ok());
+    let mut attrs = header_text(&head.headers, &ATTRS).into_iter().flat_map(|attrs| attrs.split(','));
+    let object = attrs.find_map(|attr| attr.trim().strip_prefix("object="));
+    Ok(RequestInfo {
+        class: class as u32,
+        tenant: tenant.unwrap_or(site.tenants.len()) as u32,
+        wait,
+        hint: hint.filter(|c| c.is_finite() && *c >= 0.0).map(|c| Span(c as u64)),
+        key: object.filter(|object| !object.is_empty()).map(global_id),
+        repeat: header_text(&head.headers, &RETRIED) == Some("1"),
+        rule: None,
+    })
+}
+
+fn bad_request(reason: &'static str) -> Malformed {
+    Malformed { status: StatusCode::BAD_REQUEST, reason, counts_as_failed: true }
+}
+
 /// The number of the class named by the first segment of a path.
 pub fn class_of(path: &str, site: &InstanceSettings) -> Option<usize> {
     let name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
--- a/crates/http/src/message/body.rs
+++ b/crates/http/src/message/body.rs
@@ -112,14 +112,25 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct BodyAborted;
 
-/// Reads a body until it is complete or exceeds `limit`; returns whether it is complete.
+/// A body read up to a limit.
+#[derive(Debug, PartialEq, Eq)]
+pub struct LimitedBody {
+    /// The bytes read.
+    pub bytes: Bytes,
+    /// Whether they are the complete body.
+    pub complete: bool,
+}
+
+/// Reads a body until it is complete or exceeds `limit`.
 pub async fn read_body<E>(
     chunks: &mut (impl Stream<Item = Result<Bytes, E>> + Unpin),
     limit: usize,
-) -> Result<(Bytes, bool), BodyAborted> {
+) -> Result<LimitedBody, BodyAborted> {
     let mut body = BytesMut::new();
     while body.len() <= limit {
-        let Some(chunk) = chunks.next().await else { return Ok((body.freeze(), true)) };
+        let Some(chunk) = chunks.next().await else {
+            return Ok(LimitedBody { bytes: body.freeze(), complete: true });
+        };
         let chunk = chunk.map_err(|_| BodyAborted)?;
         if body.is_empty() {
             body = BytesMut::from(chunk);
@@ -127,5 +138,5 @@
             body.extend_from_slice(&chunk);
         }
     }
-    Ok((body.freeze(), false))
+    Ok(LimitedBody { bytes: body.freeze(), complete: false })
 }
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -16,7 +16,7 @@
 use dunlincleat_engine::shell::Transports;
 use dunlincleat_engine::{Endpoint, PoolId};
 use dunlincleat_status::{Metrics, Seldom, seldom};
-use exchange::{AttemptId, probe, send};
+use exchange::{AttemptId, Deadlines, ExchangeResult, probe, send};
 use futures_util::StreamExt;
 use futures_util::future::{AbortHandle, Abortable, Aborted, LocalBoxFuture};
 use futures_util::stream::FuturesUnordered;
@@ -31,15 +31,7 @@
 /// A message to the actor of a server.
 enum Message {
     /// Starts an attempt.
-    Attempt {
-        id: RequestId,
-        attempt: Attempt,
-        request: Rc<Request>,
-        /// The deadline of the attempt.
-        until: Instant,
-        /// The connect timeout, where it is lower than the configured one.
-        connect: Option<Duration>,
-    },
+    Attempt { id: RequestId, attempt: Attempt, request: Rc<Request>, deadlines: Deadlines },
     /// Cancels an attempt.
     Cancel { id: RequestId, attempt: Attempt },
     /// Cancels an attempt unless its request has been written completely.
@@ -125,9 +117,10 @@
         server: ServerId,
         request: Rc<Request>,
         until: Instant,
-        connect: Option<Duration>,
+        connect_timeout: Option<Duration>,
     ) {
-        if !self.send(server, Message::Attempt { id, attempt, request, until, connect }) {
+        let deadlines = Deadlines { until, connect_timeout };
+        if !self.send(server, Message::Attempt { id, attempt, request, deadlines }) {
             self.context.engine.attempt_ended(
                 id,
                 attempt,
@@ -145,11 +138,11 @@
         self.send(server, Message::Withdraw { id, attempt });
     }
 
-    fn probe(&mut self, server: ServerId, asked: PoolId) {
-        if !self.send(server, Message::Probe(asked)) {
+    fn probe(&mut self, server: ServerId, pool: PoolId) {
+        if !self.send(server, Message::Probe(pool)) {
             self.context.engine.probe_ended(
                 server,
-                asked,
+                pool,
                 Completion::without_response(Status::ConnectFailed),
             );
         }
@@ -238,81 +231,90 @@
 
     fn handle(&mut self, message: Message) {
         match message {
-            Message::Attempt { id, attempt, request, until, connect } => {
-                let connection = self.connection();
-                // Resets the state left by the previous request: this attempt may be cancelled before it is sent.
-                connection.state.begin(None);
-                let (endpoint, context, server) = (self.process.address, self.context.clone(), self.server);
-                let (abort, registration) = AbortHandle::new_pair();
-                self.aborts.insert((id, attempt), (abort, connection.state.clone()));
-                let started = Instant::now();
-                self.in_flight.push(Box::pin(async move {
-                    let state = connection.state.clone();
-                    let of = AttemptId { id, attempt, server };
-                    let sending = send(connection, endpoint, &request, (until, connect), &context, of);
-                    let (mut completion, connection) = match Abortable::new(sending, registration).await {
-                        Ok(end) => end,
-                        Err(Aborted) if state.is_withdrawn() => {
-                            (Completion::without_response(Status::NotSent), None)
-                        }
-                        Err(Aborted) => {
-                            (Completion::without_response(state.status_if_written(Status::Cancelled)), None)
-                        }
-                    };
-                    if completion.latency == Span(0) {
-                        completion.latency = Span(started.elapsed().as_micros() as u64);
-                    }
-                    Finished { operation: Operation::Attempt(id, attempt), started, completion, connection }
-                }));
-            }
-            Message::Cancel { id, attempt } => {
-                if let Some((abort, _)) = self.aborts.get(&(id, attempt)) {
-                    abort.abort();
-                }
+            Message::Attempt { id, attempt, request, deadlines } => {
+                self.start_attempt(id, attempt, request, deadlines);
             }
-            Message::Withdraw { id, attempt } => {
-                // A partly written request has not started either: a server starts with the last byte.
-                if let Some((abort, state)) =
-                    self.aborts.get(&(id, attempt)).filter(|(_, w)| !w.request_written())
-                {
-                    state.withdraw();
-                    abort.abort();
-                }
-            }
-            Message::Probe(asked) => {
-                let connection = self.connection();
-                let (endpoint, context) = (self.process.address, self.context.clone());
-                let started = Instant::now();
-                self.in_flight.push(Box::pin(async move {
-                    let (mut completion, connection) = probe(connection, endpoint, &context).await;
-                    completion.latency = Span(started.elapsed().as_micros() as u64);
-                    Finished { operation: Operation::Probe(asked), started, completion, connection }
-                }));
-            }
-            Message::Updated { process, state } => {
-                // Connections to a previous process or address are dead, possibly without any sign of it. A request
-                // written to one ends in a reset, after which an unsafe request must not be sent again.
-                let process = process.unwrap_or(self.process);
-                let moved = process != self.process;
-                // A draining server gets no new requests. At the connection limit, its idle connections kept its
-                // replacements unreachable until the idle timeout.
-                if moved || state != State::Ready {
-                    self.idle.clear();
-                }
-                self.process = process;
-                self.apply_state(state, moved);
+            Message::Cancel { id, attempt } => self.cancel(id, attempt),
+            Message::Withdraw { id, attempt } => self.withdraw(id, attempt),
+            Message::Probe(pool) => self.start_probe(pool),
+            Message::Updated { process, state } => self.update(process.unwrap_or(self.process), state),
+        }
+    }
+
+    fn start_attempt(&mut self, id: RequestId, attempt: Attempt, request: Rc<Request>, deadlines: Deadlines) {
+        let connection = self.connection();
+        // Resets the state left by the previous request: this attempt may be cancelled before it is sent.
+        connection.state.begin(None);
+        let endpoint = self.process.address;
+        let context = self.context.clone();
+        let attempt_id = AttemptId { id, attempt, server: self.server };
+        let (abort, registration) = AbortHandle::new_pair();
+        self.aborts.insert((id, attempt), (abort, connection.state.clone()));
+        let started = Instant::now();
+        self.in_flight.push(Box::pin(async move {
+            let state = connection.state.clone();
+            let sending = send(connection, endpoint, &request, deadlines, &context, attempt_id);
+            let result = match Abortable::new(sending, registration).await {
+                Ok(result) => result,
+                Err(Aborted) if state.is_withdrawn() => ExchangeResult::failed(Status::NotSent),
+                Err(Aborted) => ExchangeResult::failed(state.status_if_written(Status::Cancelled)),
+            };
+            let ExchangeResult { mut completion, connection } = result;
+            if completion.latency == Span(0) {
+                completion.latency = Span(started.elapsed().as_micros() as u64);
             }
+            Finished { operation: Operation::Attempt(id, attempt), started, completion, connection }
+        }));
+    }
+
+    fn cancel(&self, id: RequestId, attempt: Attempt) {
+        if let Some((abort, _)) = self.aborts.get(&(id, attempt)) {
+            abort.abort();
+        }
+    }
+
+    fn withdraw(&self, id: RequestId, attempt: Attempt) {
+        let Some((abort, state)) = self.aborts.get(&(id, attempt)) else { return };
+        // A partly written request has not started either: a server starts with the last byte.
+        if !state.request_written() {
+            state.withdraw();
+            abort.abort();
         }
     }
 
+    fn start_probe(&mut self, pool: PoolId) {
+        let connection = self.connection();
+        let endpoint = self.process.address;
+        let context = self.context.clone();
+        let started = Instant::now();
+        self.in_flight.push(Box::pin(async move {
+            let ExchangeResult { mut completion, connection } = probe(connection, endpoint, &context).await;
+            completion.latency = Span(started.elapsed().as_micros() as u64);
+            Finished { operation: Operation::Probe(pool), started, completion, connection }
+        }));
+    }
+
+    fn update(&mut self, process: ServerProcess, state: State) {
+        // Connections to a previous process or address are dead, possibly without any sign of it. A request written to
+        // one ends in a reset, after which an unsafe request must not be sent again.
+        let moved = process != self.process;
+        // A draining server gets no new requests. At the connection limit, its idle connections kept its replacements
+        // unreachable until the idle timeout.
+        if moved || state != State::Ready {
+            self.idle.clear();
+        }
+        self.process = process;
+        self.apply_state(state, moved);
+    }
+
     /// Stops sending to a server that is draining. The drain may have been announced long before it was received, so
     /// there is no grace period: attempts that have not started there end as not sent, and another server is drawn.
     /// The same holds for attempts that have not started at a replaced process, whose address may belong to another
     /// server by now.
     fn apply_state(&mut self, state: State, moved: bool) {
-        let leaves = state != State::Ready;
-        self.gate.closed.set(leaves);
-        if leaves || moved {
+        let draining = state != State::Ready;
+        self.gate.closed.set(draining);
+        if draining || moved {
             for (abort, state) in self.aborts.values().filter(|(_, state)| state.nothing_sent()) {
                 state.withdraw();
                 abort.abort();
@@ -323,8 +325,8 @@
     fn finish(&mut self, finished: Finished) {
         if let Some(connection) = finished.connection {
             // A connection that was in use while the server moved or restarted leads to the previous process.
-            let here = connection.process == self.process;
-            if connection.state.is_reusable() && here && !self.gate.closed.get() {
+            let is_current = connection.process == self.process;
+            if connection.state.is_reusable() && is_current && !self.gate.closed.get() {
                 self.idle.insert(connection);
             }
         }
@@ -347,9 +349,7 @@
                 self.aborts.remove(&(id, attempt));
                 self.context.engine.attempt_ended(id, attempt, self.server, finished.completion);
             }
-            Operation::Probe(asked) => {
-                self.context.engine.probe_ended(self.server, asked, finished.completion)
-            }
+            Operation::Probe(pool) => self.context.engine.probe_ended(self.server, pool, finished.completion),
         }
     }
 
@@ -371,7 +371,7 @@
     context: &PeerContext,
 ) -> Status {
     let Some(why) = state.invalid_response() else { return status };
-    let line = format!("invalid response from {endpoint}: {why}");
-    seldom!(context.invalid_log, warn, line);
+    let message = format!("invalid response from {endpoint}: {why}");
+    seldom!(context.invalid_log, warn, message);
     Status::Error
 }
--- a/crates/http/src/peer/exchange.rs
+++ b/crates/http/src/peer/exchange.rs
@@ -4,8 +4,8 @@
 use super::{PeerContext, classify_failure};
 use crate::line::{ConnectionState, ServerConnection};
 use crate::message::{
-    BodyAborted, BodyChunk, BodyChunks, BodyData, RemainingBody, Reply, Request, ResponseBody, probe_uri,
-    read_body,
+    BodyAborted, BodyChunk, BodyChunks, BodyData, LimitedBody, RemainingBody, Reply, Request, ResponseBody,
+    probe_uri, read_body,
 };
 use crate::options::HttpOptions;
 use crate::write_progress::WriteProgress;
@@ -30,62 +30,95 @@
     pub(super) server: ServerId,
 }
 
+/// The time limits of an attempt.
+#[derive(Clone, Copy)]
+pub(super) struct Deadlines {
+    /// The deadline of the attempt.
+    pub(super) until: Instant,
+    /// The connect timeout, where it is lower than the configured one.
+    pub(super) connect_timeout: Option<Duration>,
+}
+
+/// The result of an exchange.
+pub(super) struct ExchangeResult {
+    pub(super) completion: Completion,
+    /// The connection, if it can be reused.
+    pub(super) connection: Option<ServerConnection>,
+}
+
+impl ExchangeResult {
+    /// An exchange that ended without a response and closed its connection.
+    pub(super) fn failed(status: Status) -> ExchangeResult {
+        ExchangeResult { completion: Completion::without_response(status), connection: None }
+    }
+
+    /// An attempt that was not sent; its connection can be reused.
+    fn not_sent(connection: ServerConnection) -> ExchangeResult {
+        let completion = Completion::without_response(Status::NotSent);
+        ExchangeResult { completion, connection: Some(connection) }
+    }
+}
+
+/// The buffered part of a response.
+struct BufferedResponse {
+    /// The bytes received.
+    first: Bytes,
+    /// The response, if more is to come.
+    rest: Option<awc::ClientResponse>,
+}
+
 /// Reports to the engine that a request body is still being received, until it is dropped.
-pub(super) struct UploadGuard {
-    pub(super) of: AttemptId,
-    pub(super) engine: Handle,
+struct UploadGuard {
+    attempt: AttemptId,
+    engine: Handle,
 }
 
 impl UploadGuard {
-    pub(super) fn new(of: AttemptId, context: &PeerContext) -> UploadGuard {
-        context.engine.upload(of.id, of.server, false);
-        UploadGuard { of, engine: context.engine.clone() }
+    fn new(attempt: AttemptId, context: &PeerContext) -> UploadGuard {
+        context.engine.upload(attempt.id, attempt.server, false);
+        UploadGuard { attempt, engine: context.engine.clone() }
     }
 }
 
 impl Drop for UploadGuard {
     fn drop(&mut self) {
-        self.engine.upload(self.of.id, self.of.server, true);
+        self.engine.upload(self.attempt.id, self.attempt.server, true);
     }
 }
 
 /// Progress of a request body that was incomplete when the attempt started.
-pub(super) struct RequestBody {
+struct RequestBody {
     /// Present until the last byte was handed to awc.
-    pub(super) upload: RefCell<Option<UploadGuard>>,
+    upload: RefCell<Option<UploadGuard>>,
     /// When the last byte was handed to awc.
-    pub(super) completed_at: Cell<Option<Instant>>,
+    completed_at: Cell<Option<Instant>>,
 }
 
 impl RequestBody {
     /// The rest of the body, as awc reads it. When it ends, the deadline of the attempt starts to run.
-    pub(super) fn into_chunks(
-        self: Rc<RequestBody>,
-        rest: Rc<RemainingBody>,
-        state: Rc<ConnectionState>,
-    ) -> BodyChunks {
-        let parts = stream::poll_fn(move |cx| {
-            let part = ready!(rest.poll(cx));
-            if part.is_none() {
+    fn into_chunks(self: Rc<RequestBody>, rest: Rc<RemainingBody>, state: Rc<ConnectionState>) -> BodyChunks {
+        let chunks = stream::poll_fn(move |cx| {
+            let chunk = ready!(rest.poll(cx));
+            if chunk.is_none() {
                 drop(self.upload.borrow_mut().take());
                 self.completed_at.set(Some(Instant::now()));
                 state.set_body_ended();
             }
-            Poll::Ready(part)
+            Poll::Ready(chunk)
         });
-        parts.boxed_local()
+        chunks.boxed_local()
     }
 }
 
 /// Interval between checks whether an upload has completed.
-pub(super) const UPLOAD_POLL_INTERVAL: Duration = Duration::from_millis(50);
+const UPLOAD_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long the start of a response of unknown length is buffered, relative to the stall timeout. A response that
 /// breaks off or stalls while it is buffered can be retried.
-pub(super) const BUFFER_TIME_FACTOR: f64 = 4.0 / 3.0;
+const BUFFER_TIME_FACTOR: f64 = 4.0 / 3.0;
 /// Time a client has to accept the next chunk of a response.
-pub(super) const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(20);
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Number of response chunks in transit to the client.
-pub(super) const STREAM_CHANNEL_CAPACITY: usize = 1;
+const STREAM_CHANNEL_CAPACITY: usize = 1;
 
 /// Sends a request and waits for the response. The connection is returned if it can be reused.
 ///
@@ -96,20 +129,20 @@
     connection: ServerConnection,
     endpoint: SocketAddr,
     request: &Request,
-    (until, connect): (Instant, Option<Duration>),
+    deadlines: Deadlines,
     context: &PeerContext,
-    of: AttemptId,
-) -> (Completion, Option<ServerConnection>) {
+    attempt: AttemptId,
+) -> ExchangeResult {
     let started = Instant::now();
-    let left = until.saturating_duration_since(started);
+    let left = deadlines.until.saturating_duration_since(started);
     let rest = request.remaining_body();
     // An incomplete body must not be sent as if it were complete: what another attempt has read of it is gone.
     if rest.as_ref().is_some_and(|rest| rest.read_started()) {
-        return (Completion::without_response(Status::NotSent), Some(connection));
+        return ExchangeResult::not_sent(connection);
     }
     // The permission is checked where the effect starts, not where it was granted.
     if request.task().is_some_and(|task| !task.try_start()) {
-        return (Completion::without_response(Status::NotSent), Some(connection));
+        return ExchangeResult::not_sent(connection);
     }
     let length = match &rest {
         Some(rest) => rest.length,
@@ -117,7 +150,7 @@
     };
     connection.state.begin(Some(WriteProgress::new(length)));
     let body = Rc::new(RequestBody {
-        upload: RefCell::new(rest.is_some().then(|| UploadGuard::new(of, context))),
+        upload: RefCell::new(rest.is_some().then(|| UploadGuard::new(attempt, context))),
         completed_at: Cell::new(None),
     });
     let rest = rest.map(|rest| body.clone().into_chunks(rest, connection.state.clone()));
@@ -125,142 +158,158 @@
         let response =
             request.encode(&connection.client, endpoint, left, rest).await.map_err(error_status)?;
         let reply = Reply::decode(response.status(), response.headers(), &context.fields);
-        request
-            .task()
-            .into_iter()
-            .for_each(|task| task.record_response(response.status(), response.headers()));
-        let (first, rest) =
-            buffer_response(response, reply.length, &context.connections.options, &connection.state).await?;
-        Ok::<_, Status>((reply, first, rest))
-    };
-    // If nothing was written in time, the connection was not established, and nothing can have run.
-    let connecting = async {
-        match connect {
-            Some(connect) => sleep(connect).await,
-            None => pending().await,
-        }
-        if !connection.state.nothing_sent() {
-            pending::<()>().await;
-        }
-        Status::ConnectFailed
-    };
-    let over = async {
-        while body.upload.borrow().is_some() {
-            sleep(UPLOAD_POLL_INTERVAL).await;
-            if connection.state.nothing_sent() && Instant::now() >= until {
-                return;
-            }
-        }
-        sleep_until(until).await;
-        if let Some(completed_at) = body.completed_at.get() {
-            sleep_until(completed_at + left).await;
+        if let Some(task) = request.task() {
+            task.record_response(response.status(), response.headers());
         }
+        let buffered =
+            buffer_response(response, reply.length, &context.connections.options, &connection.state).await?;
+        Ok::<_, Status>((reply, buffered))
     };
     let exchange = async {
         tokio::select! {
             biased;
-            done = exchange => Some(done),
-            status = connecting => Some(Err(status)),
-            () = over => None,
+            result = exchange => Some(result),
+            status = connect_timed_out(deadlines.connect_timeout, &connection.state) => Some(Err(status)),
+            () = deadline_passed(deadlines.until, left, &body, &connection.state) => None,
         }
     };
     match exchange.await {
-        Some(Ok((reply, _, rest))) if reply.status != Status::Ok => {
-            let connection = rest.is_none().then_some(connection);
-            (Completion { status: reply.status, latency: Span(0), load: reply.load, body: None }, connection)
+        Some(Ok((reply, buffered))) if reply.status != Status::Ok => {
+            let connection = buffered.rest.is_none().then_some(connection);
+            let Reply { status, load, .. } = reply;
+            let completion = Completion { status, latency: Span(0), load, body: None };
+            ExchangeResult { completion, connection }
         }
-        Some(Ok((reply, first, rest))) => {
+        Some(Ok((reply, buffered))) => {
             let since = body.completed_at.get().unwrap_or(started);
             let latency = Span((since.elapsed().as_micros() as u64).max(1));
-            let Reply { status, load, content_type, length } = reply;
-            let Some(mut response) = rest else {
-                let body = Some(ResponseBody { data: BodyData::Complete(first), content_type });
-                return (Completion { status, latency, load, body }, Some(connection));
-            };
-            let (sender, receiver) = mpsc::channel(STREAM_CHANNEL_CAPACITY);
-            let body = Some(ResponseBody {
-                data: BodyData::Streaming { first, rest: receiver, length },
-                content_type,
-            });
-            connection.state.set_streaming();
-            context.engine.response_started(
-                of.id,
-                of.attempt,
-                of.server,
-                Completion { status, latency, load, body },
-            );
-            let status = stream_response(&mut response, &sender, &connection.state).await;
-            (Completion::without_response(status), (status == Status::Ok).then_some(connection))
+            deliver(reply, buffered, latency, connection, context, attempt).await
         }
         // A request that broke off in the middle of its body never ran.
         Some(Err(Status::Reset)) if connection.state.invalid_response().is_none() => {
-            (Completion::without_response(connection.state.status_if_written(Status::Reset)), None)
+            ExchangeResult::failed(connection.state.status_if_written(Status::Reset))
+        }
+        Some(Err(status)) => {
+            ExchangeResult::failed(classify_failure(status, endpoint, &connection.state, context))
         }
-        Some(Err(status)) => (
-            Completion::without_response(classify_failure(status, endpoint, &connection.state, context)),
-            None,
-        ),
-        None => (Completion::without_response(connection.state.status_if_written(Status::Timeout)), None),
+        None => ExchangeResult::failed(connection.state.status_if_written(Status::Timeout)),
+    }
+}
+
+/// Completes when nothing of the request was written within the connect timeout: the connection was not established,
+/// and nothing can have run.
+async fn connect_timed_out(connect_timeout: Option<Duration>, state: &ConnectionState) -> Status {
+    match connect_timeout {
+        Some(connect_timeout) => sleep(connect_timeout).await,
+        None => pending().await,
+    }
+    if !state.nothing_sent() {
+        pending::<()>().await;
     }
+    Status::ConnectFailed
+}
+
+/// Completes when the deadline has passed; after an upload, it is `left` after the last byte of the body.
+async fn deadline_passed(until: Instant, left: Duration, body: &RequestBody, state: &ConnectionState) {
+    while body.upload.borrow().is_some() {
+        sleep(UPLOAD_POLL_INTERVAL).await;
+        if state.nothing_sent() && Instant::now() >= until {
+            return;
+        }
+    }
+    sleep_until(until).await;
+    if let Some(completed_at) = body.completed_at.get() {
+        sleep_until(completed_at + left).await;
+    }
+}
+
+/// Delivers the response of a served request. One that is not buffered completely is announced to the engine and
+/// streamed to its end.
+async fn deliver(
+    reply: Reply,
+    buffered: BufferedResponse,
+    latency: Span,
+    connection: ServerConnection,
+    context: &PeerContext,
+    attempt: AttemptId,
+) -> ExchangeResult {
+    let Reply { status, load, content_type, length } = reply;
+    let BufferedResponse { first, rest } = buffered;
+    let Some(mut response) = rest else {
+        let body = Some(ResponseBody { data: BodyData::Complete(first), content_type });
+        let completion = Completion { status, latency, load, body };
+        return ExchangeResult { completion, connection: Some(connection) };
+    };
+    let (sender, receiver) = mpsc::channel(STREAM_CHANNEL_CAPACITY);
+    let data = BodyData::Streaming { first, rest: receiver, length };
+    let body = Some(ResponseBody { data, content_type });
+    connection.state.set_streaming();
+    let started = Completion { status, latency, load, body };
+    context.engine.response_started(attempt.id, attempt.attempt, attempt.server, started);
+    let status = stream_response(&mut response, &sender, &connection.state).await;
+    let connection = (status == Status::Ok).then_some(connection);
+    ExchangeResult { completion: Completion::without_response(status), connection }
 }
 
 /// Buffers a response until its end, so that one that breaks off can be retried, or until it has to be streamed: from
 /// its first bytes if its announced length exceeds the limit, otherwise once it exceeds the limit or the buffering
-/// time. Returns the bytes received, and the response itself if more is to come.
-pub(super) async fn buffer_response(
+/// time.
+async fn buffer_response(
     mut response: awc::ClientResponse,
     length: Option<u64>,
     options: &HttpOptions,
     state: &ConnectionState,
-) -> Result<(Bytes, Option<awc::ClientResponse>), Status> {
-    let most = if length.is_some_and(|length| length > options.max_body_bytes as u64) {
+) -> Result<BufferedResponse, Status> {
+    let limit = if length.is_some_and(|length| length > options.max_body_bytes as u64) {
         0
     } else {
         options.max_body_bytes
     };
     let until = Instant::now() + options.response_stall_timeout.mul_f64(BUFFER_TIME_FACTOR);
     let mut first = BytesMut::new();
-    while first.len() <= most {
-        let part = if length.is_some() || first.is_empty() {
+    while first.len() <= limit {
+        let chunk = if length.is_some() || first.is_empty() {
             response.next().await
         } else {
             match timeout_at(until, response.next()).await {
-                Ok(part) => part,
+                Ok(chunk) => chunk,
                 Err(_) => break,
             }
         };
-        match part {
-            Some(Ok(part)) => first.extend_from_slice(&part),
+        match chunk {
+            Some(Ok(chunk)) => first.extend_from_slice(&chunk),
             // awc ends the body without an error when its connection breaks off: without this check, half a response
             // would be served as a complete one.
-            None if state.response_complete() => return Ok((first.freeze(), None)),
+            None if state.response_complete() => {
+                return Ok(BufferedResponse { first: first.freeze(), rest: None });
+            }
             Some(Err(_)) | None => return Err(Status::Reset),
         }
     }
-    Ok((first.freeze(), Some(response)))
+    Ok(BufferedResponse { first: first.freeze(), rest: Some(response) })
 }
 
 /// Streams the rest of a response at the rate at which its client reads: nothing is read from the server that the
 /// client has no room for.
-pub(super) async fn stream_response(
+async fn stream_response(
     response: &mut awc::ClientResponse,
     client: &mpsc::Sender<BodyChunk>,
     state: &ConnectionState,
 ) -> Status {
     loop {
-        let part = tokio::select! {
+        let chunk = tokio::select! {
             biased;
-            part = response.next() => part,
+            chunk = response.next() => chunk,
             // The client has left: the connection is released immediately, not when the server sends the next bytes.
             () = client.closed() => return Status::Cancelled,
         };
-        let part = match part {
-            Some(Ok(part)) => BodyChunk::Bytes(part),
+        let chunk = match chunk {
+            Some(Ok(bytes)) => BodyChunk::Bytes(bytes),
             None if state.response_complete() => BodyChunk::End,
             Some(Err(_)) | None => return Status::Reset,
         };
-        let ends = matches!(part, BodyChunk::End);
-        match timeout(CLIENT_STALL_TIMEOUT, client.send(part)).await {
+        let ends = matches!(chunk, BodyChunk::End);
+        match timeout(CLIENT_STALL_TIMEOUT, client.send(chunk)).await {
             Ok(Ok(())) if ends => return Status::Ok,
             Ok(Ok(())) => {}
             Ok(Err(_)) | Err(_) => return Status::Cancelled,
@@ -268,42 +317,44 @@
     }
 }
 
+/// Sends a probe and waits for the response.
 pub(super) async fn probe(
     connection: ServerConnection,
     endpoint: SocketAddr,
     context: &PeerContext,
-) -> (Completion, Option<ServerConnection>) {
+) -> ExchangeResult {
     connection.state.begin(None);
     let exchange = async {
         let request = connection.client.get(probe_uri(endpoint, context.load_probes));
         let response = request.send().await.map_err(error_status)?;
-        let (status, headers) = (response.status(), response.headers().clone());
+        let status = response.status();
+        let headers = response.headers().clone();
         let body = read_probe_body(response, context, &connection.state).await?;
         Ok::<_, Status>(Reply::decode_probe(status, &headers, &body, &context.fields))
     };
     match timeout_at(Instant::now() + context.connections.options.probe_timeout, exchange).await {
         Ok(Ok(reply)) => {
             let Reply { status, load, .. } = reply;
-            (Completion { status, latency: Span(0), load, body: None }, Some(connection))
+            let completion = Completion { status, latency: Span(0), load, body: None };
+            ExchangeResult { completion, connection: Some(connection) }
+        }
+        Ok(Err(status)) => {
+            ExchangeResult::failed(classify_failure(status, endpoint, &connection.state, context))
         }
-        Ok(Err(status)) => (
-            Completion::without_response(classify_failure(status, endpoint, &connection.state, context)),
-            None,
-        ),
-        Err(_) => (Completion::without_response(Status::Timeout), None),
+        Err(_) => ExchangeResult::failed(Status::Timeout),
     }
 }
 
 /// Reads the body of the response to a probe. An incomplete one counts as a reset, one over the size limit as an
 /// error.
-pub(super) async fn read_probe_body(
+async fn read_probe_body(
     mut response: awc::ClientResponse,
     context: &PeerContext,
     state: &ConnectionState,
 ) -> Result<Bytes, Status> {
     match read_body(&mut response, context.connections.options.max_body_bytes).await {
-        Ok((_, false)) => Err(Status::Error),
-        Ok((body, true)) if state.response_complete() => Ok(body),
-        Ok((_, true)) | Err(BodyAborted) => Err(Status::Reset),
+        Ok(LimitedBody { complete: false, .. }) => Err(Status::Error),
+        Ok(LimitedBody { bytes, complete: true }) if state.response_complete() => Ok(bytes),
+        Ok(LimitedBody { complete: true, .. }) | Err(BodyAborted) => Err(Status::Reset),
     }
 }
