--- a/crates/http/src/idle.rs
+++ b/crates/http/src/idle.rs
@@ -71,9 +71,9 @@
     pub fn take(&self) -> Option<ServerConnection> {
         let mut connections = self.0.borrow_mut();
         loop {
-            let rested =
+            let eligible =
                 connections.partition_point(|connection| connection.idle_since.elapsed() >= MIN_IDLE);
-            let connection = connections.remove(rested.checked_sub(1)?);
+            let connection = connections.remove(eligible.checked_sub(1)?);
             if connection.state.is_reusable() {
                 return Some(connection);
             }
