--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -1,264 +1,262 @@
-//! The server that the application speaks to: it accepts connections, takes requests, and gives each exactly
-//! one answer.
+//! The HTTP server for applications: it accepts connections and requests, and answers each request exactly once.
 
-use crate::message::{Body, Coming, HEALTH, Malformed, Parts, Request, Rest, class_of, encode, read_body};
-use crate::own::Own;
+mod client_io;
+mod clients;
+mod streaming;
+
+use crate::message::{
+    BodyData, HEALTH_PATH, Malformed, RemainingBody, Request, ResponseBody, class_of, encode_answer,
+    read_body,
+};
+use crate::options::HttpOptions;
 use crate::{Answer, Handle};
-use actix_http::body::{BodySize, BoxBody, MessageBody};
-use actix_http::error::{DispatchError, PayloadError};
+use actix_http::body::BoxBody;
+use actix_http::error::DispatchError;
 use actix_http::header::HeaderValue;
-use actix_http::{HttpService, KeepAlive, Method, Payload, Response, StatusCode};
+use actix_http::{HttpService, KeepAlive, Method, Response, StatusCode};
 use actix_rt::net::TcpStream;
 use actix_service::{Service, ServiceFactory, fn_service};
 use anyhow::{Context as _, Result, anyhow};
-use bytes::{Bytes, BytesMut};
+use client_io::ClientIo;
+use clients::{ClientConnection, ClientSlot, Clients, ConnectionSummary, DRAIN_TIMEOUT, Phase, Termination};
 use dunlincleat::api::RequestId;
 use dunlincleat_limits::RuleSet;
 use dunlincleat_settings::InstanceSettings;
 use dunlincleat_status::lifecycle;
 use dunlincleat_status::metrics::{Ends, InProgress};
 use dunlincleat_status::{Lifecycle, Metrics, Seldom, Stage, seldom};
-use futures_util::StreamExt;
-use futures_util::stream;
-use rustc_hash::{FxHashMap, FxHashSet};
+use rustc_hash::FxHashSet;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
-use std::fmt::{self, Display, Formatter};
 use std::future::poll_fn;
 use std::io;
 use std::net::{Shutdown, SocketAddr};
-use std::pin::Pin;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::task::{Context, Poll, ready};
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use streaming::{CountedBody, ResponseGuard, upload_chunks};
 use tokio::net::{TcpListener, TcpSocket};
-use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, oneshot, watch};
+use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Connections beyond the bound that are still taken, to be told so.
-const OVER: usize = 16;
-/// How often the clients' deadlines are looked at.
-const SWEEP: Duration = Duration::from_millis(100);
-/// At the bound, the age from which an idle connection, or one without a whole request, makes room for a new one.
-const SPARE_IDLE: Duration = Duration::from_secs(2);
-const SPARE_SILENT: Duration = Duration::from_millis(200);
-/// What is held of a client that sends on while its request is in hand, and read of one that was turned away.
-const SURPLUS: usize = 64 * 1024;
-/// What is read between two sweeps, and dropped, of a client that sends on beyond that: its end comes behind it.
-const DROPPED: usize = 256 * 1024;
-/// How long a client that was too slow may take to read that, and what it still sends is read.
-const FAREWELL: Duration = Duration::from_millis(200);
-/// What one is told whose request had not come whole in its time: nothing of it was sent on.
-const TOO_SLOW: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-/// Bytes a second that a client sends of a body at the least: half of what honest slow ones manage.
-const PACE: f64 = 32.0 * 1024.0;
-/// How long a client may stand still in the middle of a body that goes on to a server.
-const UPLOAD_STALL: Duration = Duration::from_secs(5);
-/// How long a client that was turned away may send on.
-const DRAIN: Duration = Duration::from_secs(1);
-/// In standby, the age from which a connection that has sent nothing is closed: one that has just come is asked first.
-const SILENT: Duration = Duration::from_millis(500);
-
-/// What requests are taken under; replaced in one step by a reload.
-pub struct InForce {
-    /// The settings.
+/// Connections beyond the limit that are still accepted, so that their requests can be refused.
+const EXCESS_CONNECTIONS: usize = 16;
+/// Interval between checks of the deadlines of client connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Time a client that was too slow has to read the response and to close; what it still sends meanwhile is discarded.
+const SLOW_CLIENT_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Response to a request that was not received completely in time; no part of it was sent to a server.
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+
+/// The settings and limits that apply to new requests; a reload replaces them atomically.
+pub struct ActiveSettings {
+    /// The settings of the instance.
     pub site: Arc<InstanceSettings>,
-    /// The operator's limits, where there are any.
+    /// The operator's limits, if any.
     pub rules: Option<Arc<RuleSet>>,
-    /// The counts of each class, by its number.
-    ends: Vec<Arc<Ends>>,
+    /// The outcome counters of each class, by class number.
+    outcomes: Vec<Arc<Ends>>,
 }
 
-impl InForce {
+impl ActiveSettings {
     /// These settings and limits.
-    pub fn new(site: Arc<InstanceSettings>, rules: Option<Arc<RuleSet>>, metrics: &Metrics) -> InForce {
-        // A number that no class has now counts nowhere.
-        let ends = |name: &String| if name.is_empty() { Arc::default() } else { metrics.class(name) };
-        InForce { ends: site.classes.iter().map(ends).collect(), site, rules }
+    pub fn new(
+        site: Arc<InstanceSettings>,
+        rules: Option<Arc<RuleSet>>,
+        metrics: &Metrics,
+    ) -> ActiveSettings {
+        // A class number that is no longer in use has an empty name and is not counted.
+        let counts = |name: &String| if name.is_empty() { Arc::default() } else { metrics.class(name) };
+        ActiveSettings { outcomes: site.classes.iter().map(counts).collect(), site, rules }
     }
 }
 
 /// Where clients connect.
 pub enum Listener {
-    /// An address of this process alone.
-    Own(SocketAddr),
-    /// A listening socket that other processes hold too.
+    /// An address to bind, for this process only.
+    Bind(SocketAddr),
+    /// A listening socket that other processes may hold too.
     Shared(std::net::TcpListener),
 }
 
-/// What the front is told.
-pub struct Told {
-    /// What is in force, now and later.
-    pub in_force: watch::Receiver<Rc<InForce>>,
-    /// Its bounds and times.
-    pub own: Rc<Own>,
-    /// Where it counts.
+impl Listener {
+    fn open(self, backlog: usize) -> Result<TcpListener> {
+        match self {
+            Listener::Bind(address) => {
+                bind(address, backlog).with_context(|| format!("EDGE_LISTEN: {address}"))
+            }
+            Listener::Shared(listener) => TcpListener::from_std(listener).context("EDGE_INHERITED_FD"),
+        }
+    }
+}
+
+/// Configuration of the front.
+pub struct FrontConfig {
+    /// The current settings and limits.
+    pub active: watch::Receiver<Rc<ActiveSettings>>,
+    /// Limits and timeouts.
+    pub options: Rc<HttpOptions>,
+    /// Outcome counters and the number of open requests.
     pub metrics: Arc<Metrics>,
 }
 
-/// What the handlers of requests share.
+/// State shared by the request handlers.
 struct Front {
-    in_force: watch::Receiver<Rc<InForce>>,
+    active: watch::Receiver<Rc<ActiveSettings>>,
     metrics: Arc<Metrics>,
-    own: Rc<Own>,
+    options: Rc<HttpOptions>,
     engine: Handle,
     clients: Rc<Clients>,
-    /// Requests that may still be taken.
-    requests: Arc<Semaphore>,
-    /// The names of those that are taken.
-    ids: RefCell<FxHashSet<HeaderValue>>,
-    next: Cell<u64>,
+    /// One permit for each further request that may be accepted.
+    request_permits: Arc<Semaphore>,
+    /// The `X-Request-ID` values of the open requests.
+    ids_in_use: RefCell<FxHashSet<HeaderValue>>,
+    next_id: Cell<u64>,
     stage: watch::Receiver<Stage>,
-    /// Lines of the log for requests refused at a bound, and for malformed ones.
-    full: Seldom,
-    malformed: Seldom,
+    /// Rate limiters for the log messages about requests refused at a limit and about malformed requests.
+    limit_log: Seldom,
+    malformed_log: Seldom,
 }
 
-/// Accepts and serves until the stage is `Closing` and every connection has ended.
-pub async fn serve(listener: Listener, told: Told, engine: Handle, lifecycle: Arc<Lifecycle>) -> Result<()> {
-    let Told { in_force, own, metrics } = told;
+/// Accepts and serves connections until the stage is `Closing` and every connection has ended.
+pub async fn serve(
+    listener: Listener,
+    config: FrontConfig,
+    engine: Handle,
+    lifecycle: Arc<Lifecycle>,
+) -> Result<()> {
+    let FrontConfig { active, options, metrics } = config;
     let mut stage = lifecycle.follow();
-    let most = own.client_connections + OVER;
-    let (listener, shared) = match listener {
-        Listener::Own(listen) => {
-            (bind(listen, most).with_context(|| format!("EDGE_LISTEN: {listen}"))?, false)
-        }
-        Listener::Shared(listener) => (TcpListener::from_std(listener).context("EDGE_INHERITED_FD")?, true),
-    };
-    // What comes to a shared listener waits for the other process too: this one's part ends at once.
-    let over = move |stage: &Stage| *stage >= Stage::Closing || shared && stage.ends();
-    let connections = Arc::new(Semaphore::new(most));
-    let requests = Arc::new(Semaphore::new(own.requests));
+    let limit = options.max_client_connections + EXCESS_CONNECTIONS;
+    let shared = matches!(listener, Listener::Shared(_));
+    let listener = listener.open(limit)?;
+    // Connections to a shared listener can be accepted by the other process, so this one stops accepting as soon as
+    // it is told to end.
+    let stopped = move |stage: &Stage| *stage >= Stage::Closing || shared && stage.ends();
+    let connections = Arc::new(Semaphore::new(limit));
+    let request_permits = Arc::new(Semaphore::new(options.max_requests));
     let clients = Rc::new(Clients {
-        own: own.clone(),
-        seats: RefCell::default(),
-        next: Cell::new(0),
+        options: options.clone(),
+        connections: RefCell::default(),
+        next_id: Cell::new(0),
         accepting: Cell::new(true),
     });
     let front = Rc::new(Front {
-        in_force,
+        active,
         metrics,
-        own,
+        options,
         engine,
         clients: clients.clone(),
-        requests,
-        ids: RefCell::default(),
-        next: Cell::new(0),
+        request_permits,
+        ids_in_use: RefCell::default(),
+        next_id: Cell::new(0),
         stage: stage.clone(),
-        full: Seldom::default(),
-        malformed: Seldom::default(),
+        limit_log: Seldom::default(),
+        malformed_log: Seldom::default(),
     });
     let handler = front.clone();
-    // No limit of the server's own may end a request: the module's deadlines do, and `ClientState` has those
-    // of a client that has no request in hand.
+    // No timeout of actix-http may end a request: the engine has the deadlines of requests, and `ClientConnection`
+    // those of connections without an open request.
     let service = HttpService::build()
         .keep_alive(KeepAlive::Os)
         .client_request_timeout(Duration::ZERO)
-        .client_disconnect_timeout(DRAIN)
-        // A client that closes has gone; `ClientState::cut` sees that. Where actix-http did, bytes behind a request that
-        // can't be read ended its connection too, and with it the request.
+        .client_disconnect_timeout(DRAIN_TIMEOUT)
+        // `ClientConnection::poll_termination` detects a client that closed. When actix-http did, unparsable bytes
+        // after a request also ended the connection, and with it the request.
         .h1_allow_half_closed(true)
         .on_connect_ext(|io: &ClientIo, data| {
             data.insert(io.state.clone());
         })
-        .h1(fn_service(move |request| handle(handler.clone(), request)))
+        .h1(fn_service(move |request| handle_request(handler.clone(), request)))
         .new_service(())
         .await
-        .map_err(|()| anyhow!("the server could not be set up"))?;
+        .map_err(|()| anyhow!("cannot build the HTTP service"))?;
     let service = Rc::new(service);
     let sweeper = actix_rt::spawn(sweep(clients.clone(), connections.clone(), lifecycle.clone()));
-    let at = listener.local_addr()?;
+    let address = listener.local_addr()?;
     lifecycle.tell(lifecycle::Event::Ready);
-    tracing::info!("listening on {at}");
+    tracing::info!("listening on {address}");
     loop {
-        // Not given up at the end: what waits to be accepted then has a place as soon as another is answered.
+        // Waits for a permit during shutdown too: a connection in the accept queue gets one as soon as another
+        // connection ends.
         let permit = tokio::select! {
             biased;
             permit = connections.clone().acquire_owned() => permit?,
-            _ = stage.wait_for(over) => break,
+            _ = stage.wait_for(stopped) => break,
         };
         let stream = tokio::select! {
             biased;
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    tracing::error!("no connection accepted: {error}");
+                    tracing::error!("cannot accept a connection: {error}");
                     sleep(Duration::from_millis(20)).await;
                     continue;
                 }
             },
-            // What waits to be accepted has been accepted already by the machine: it is taken first.
-            _ = stage.wait_for(over) => break,
+            // The kernel has already completed the connections in the accept queue, so they are accepted first.
+            _ = stage.wait_for(stopped) => break,
         };
-        actix_rt::spawn(connection(stream, clients.seat(permit), service.clone(), front.clone()));
+        actix_rt::spawn(serve_connection(stream, clients.register(permit), service.clone(), front.clone()));
     }
     drop(listener);
-    // All permits are back when all connections have ended. Those that are back already are held here, which is no lack
-    // of places: taken for one, it had requests closed that were still coming in.
+    // All permits are returned when all connections have ended. The permits that this call has already acquired must
+    // not count as lack of capacity: that had closed connections whose requests were still being received.
     clients.accepting.set(false);
-    let _all = connections.acquire_many(most as u32).await?;
+    let _all = connections.acquire_many(limit as u32).await?;
     sweeper.abort();
     Ok(())
 }
 
-/// Serves one connection to its end.
-async fn connection<S>(stream: TcpStream, seat: Seat, service: Rc<S>, front: Rc<Front>)
+/// Serves one connection until it ends.
+async fn serve_connection<S>(stream: TcpStream, slot: ClientSlot, service: Rc<S>, front: Rc<Front>)
 where
     S: Service<(ClientIo, Option<SocketAddr>), Response = (), Error = DispatchError>,
 {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!("connection not set up: {error}");
+        tracing::debug!("cannot set TCP_NODELAY on a client connection: {error}");
     }
-    let (state, mut stage) = (seat.state.clone(), front.stage.clone());
+    let state = slot.state.clone();
+    let mut stage = front.stage.clone();
     let stream = Rc::new(stream);
     let io = ClientIo { stream: stream.clone(), state: state.clone(), stage: stage.clone() };
     let mut connection = Box::pin(service.call((io, None)));
-    let cut = loop {
+    let termination = loop {
         tokio::select! {
             biased;
             end = &mut connection => {
                 match end {
                     Err(DispatchError::Parse(error)) => {
-                        let line = format!("request not taken: it can't be read: {error}");
-                        seldom!(front.malformed, info, line);
+                        let line = format!("request not taken: malformed HTTP: {error}");
+                        seldom!(front.malformed_log, info, line);
                     }
-                    Err(error) => tracing::debug!("connection of a client ended: {error}"),
+                    Err(error) => tracing::debug!("client connection failed: {error}"),
                     Ok(()) => {}
                 }
                 return;
             }
-            cut = poll_fn(|cx| state.cut(&stream, cx)) => break cut,
-            // Either polls the connection once more, which then sees that it is to close or may read on.
+            termination = poll_fn(|cx| state.poll_termination(&stream, cx)) => break termination,
+            // Either event polls the connection again, which then closes it or resumes reading.
             () = state.wake.notified() => {}
             Ok(()) = stage.changed() => {}
         }
     };
-    // With it goes the handler of its request, which tells the engine.
+    // Also drops the handler of its request, which notifies the engine.
     drop(connection);
-    match cut {
-        Cut::Left => {}
-        Cut::TooSlow => {
-            seldom!(front.malformed, info, "request not taken: it did not come whole in its time");
-            let _ = timeout(FAREWELL, farewell(&stream)).await;
+    match termination {
+        Termination::ClientLeft => {}
+        Termination::RequestTimeout => {
+            seldom!(front.malformed_log, info, "request not taken: not received completely in time");
+            let _ = timeout(SLOW_CLIENT_CLOSE_TIMEOUT, reject_slow_client(&stream)).await;
         }
     }
 }
 
-/// Why a connection is ended from here.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Cut {
-    /// The client has gone, or does not read what it was answered.
-    Left,
-    /// Its request had not come whole in its time.
-    TooSlow,
-}
-
-/// Answers a client that was too slow, and reads on until it has closed: its last byte may have come meanwhile, and a
-/// connection that is closed with something unread on it is reset, with the answer.
-async fn farewell(stream: &TcpStream) -> io::Result<()> {
-    stream.try_write(TOO_SLOW)?;
+/// Responds to a client that was too slow, and reads until it closes. Its last byte may have arrived meanwhile, and
+/// closing a socket with unread data sends a reset, which discards the response.
+async fn reject_slow_client(stream: &TcpStream) -> io::Result<()> {
+    stream.try_write(REQUEST_TIMEOUT_RESPONSE)?;
     socket2::SockRef::from(stream).shutdown(Shutdown::Write)?;
     let mut unread = [0; 4096];
     loop {
@@ -271,556 +269,197 @@
     }
 }
 
-/// Closes connections whose time is over, and one more where all places are taken.
+/// Closes connections whose deadline has passed, and one more if no permit is left.
 async fn sweep(clients: Rc<Clients>, connections: Arc<Semaphore>, lifecycle: Arc<Lifecycle>) {
     loop {
-        sleep(SWEEP).await;
-        let (now, stage) = (Instant::now(), lifecycle.stage());
-        for state in clients.seats.borrow().values() {
-            if state.due(&clients.own, stage).is_some_and(|due| due <= now) {
-                state.close();
+        sleep(SWEEP_INTERVAL).await;
+        let now = Instant::now();
+        let stage = lifecycle.stage();
+        for state in clients.connections.borrow().values() {
+            if state.deadline(&clients.options, stage).is_some_and(|deadline| deadline <= now) {
+                state.request_close();
             }
-            state.swept(now);
+            state.after_sweep(now);
         }
         if clients.accepting.get() && connections.available_permits() == 0 {
-            clients.make_room(now);
+            clients.evict_one(now);
         }
     }
 }
 
-/// Listens with a queue that holds as many connections as may be taken: beyond the usual one of 128 they did not
-/// come up while the program stood still.
-fn bind(listen: SocketAddr, most: usize) -> io::Result<TcpListener> {
-    let socket = if listen.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+/// Binds a listener whose backlog is as large as the connection limit. With the usual backlog of 128, connections
+/// failed while the process was stalled.
+fn bind(address: SocketAddr, backlog: usize) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
-    socket.bind(listen)?;
-    socket.listen(u32::try_from(most).unwrap_or(u32::MAX))
-}
-
-/// Takes one request and waits for its answer.
-async fn handle(front: Rc<Front>, mut request: actix_http::Request) -> Result<Response<BoxBody>, Infallible> {
-    let state = request.conn_data::<Rc<ClientState>>().cloned();
-    let over = state.as_ref().is_some_and(|state| state.over);
-    // A client that was turned away is told to close: what it sent ahead is not worth more work.
-    let mut turned_away = false;
-    let mut passes_on = false;
-    // Under the settings that it came under: its class may be dropped meanwhile.
-    let ends = front.ends(request.path());
-    let mut response = if request.method() == Method::GET && request.path() == HEALTH {
-        if front.stage.borrow().ready() {
-            Response::with_body(StatusCode::OK, BoxBody::new("ok\n"))
-        } else {
-            Response::with_body(StatusCode::SERVICE_UNAVAILABLE, BoxBody::new("no\n"))
-        }
-    } else if over {
-        seldom!(front.full, warn, Crowd(&front.clients));
-        ends.dropped.count();
-        encode(Answer::Refused { retry_after: None })
+    socket.bind(address)?;
+    socket.listen(u32::try_from(backlog).unwrap_or(u32::MAX))
+}
+
+/// Handles one request.
+async fn handle_request(
+    front: Rc<Front>,
+    mut request: actix_http::Request,
+) -> Result<Response<BoxBody>, Infallible> {
+    let state = request.conn_data::<Rc<ClientConnection>>().cloned();
+    let over_limit = state.as_ref().is_some_and(|state| state.over_limit);
+    // The connection of a rejected client is closed: requests that it has pipelined are not worth further work.
+    let mut rejected = false;
+    let mut streams = false;
+    // Looked up under the settings at arrival: a reload may remove the class before the request ends.
+    let outcomes = front.outcomes(request.path());
+    let mut response = if request.method() == Method::GET && request.path() == HEALTH_PATH {
+        health_response(front.stage.borrow().ready())
+    } else if over_limit {
+        seldom!(front.limit_log, warn, ConnectionSummary(&front.clients));
+        outcomes.dropped.count();
+        encode_answer(Answer::Refused { retry_after: None })
     } else {
-        match front.take(&mut request, state.as_ref()).await {
+        match front.accept_request(&mut request, state.as_ref()).await {
             Ok(answer) => {
                 match &answer {
-                    // Counted when it has come to its end.
-                    Answer::Served(Body { parts: Parts::Passing { .. }, .. }) => passes_on = true,
-                    Answer::Served(_) => ends.passed.count(),
-                    Answer::Refused { .. } => ends.dropped.count(),
-                    Answer::Failed => ends.failed.count(),
+                    // Counted by the `ResponseGuard` when the response ends.
+                    Answer::Served(ResponseBody { data: BodyData::Streaming { .. }, .. }) => streams = true,
+                    Answer::Served(_) => outcomes.passed.count(),
+                    Answer::Refused { .. } => outcomes.dropped.count(),
+                    Answer::Failed => outcomes.failed.count(),
                 }
-                encode(answer)
+                encode_answer(answer)
             }
             Err(malformed) => {
-                if malformed.taken {
-                    ends.failed.count();
+                if malformed.counts_as_failed {
+                    outcomes.failed.count();
                 }
-                let line = format!("request not taken: {} ({})", malformed.what, malformed.status.as_u16());
-                seldom!(front.malformed, info, line);
-                turned_away = true;
+                let line = format!("request not taken: {} ({})", malformed.reason, malformed.status.as_u16());
+                seldom!(front.malformed_log, info, line);
+                rejected = true;
                 malformed.encode()
             }
         }
     };
-    // Where places run short, an answer ends its connection: hundreds of clients a second that ask once and keep
-    // theirs once held all places for the 2 s for which an idle one must be kept.
-    let close = turned_away || over || front.clients.crowded() || front.stage.borrow().sends_away();
+    // When connections are scarce, each response closes its connection. Otherwise, hundreds of clients per second
+    // that send one request each and keep the connection open use up the limit, as an idle connection is kept for at
+    // least 2 s.
+    let close = rejected || over_limit || front.clients.is_crowded() || front.stage.borrow().sends_away();
     if close {
-        // It ends once the answer is written; nothing else may end it before.
+        // Closes the connection after the response is written; nothing else may close it before.
         response.head_mut().set_connection_type(actix_http::ConnectionType::Close);
     }
-    let then = if close { Phase::Draining } else { Phase::Idle };
-    if passes_on {
+    let next_phase = if close { Phase::Draining } else { Phase::Idle };
+    if streams {
         let counted = front.metrics.taken();
-        let finish = Finish { state, then, ends, whole: false, _counted: counted };
-        return Ok(response.map_body(|_, body| BoxBody::new(PassedOn { body, finish })));
+        let guard = ResponseGuard { state, next_phase, outcomes, complete: false, _counted: counted };
+        return Ok(response.map_body(|_, body| BoxBody::new(CountedBody { body, guard })));
     }
     if let Some(state) = state {
-        state.enter(then);
+        state.enter(next_phase);
     }
     Ok(response)
 }
 
-/// The rest of a request's body, as it comes; a client that stops in the middle has gone.
-fn uploading(payload: Payload, state: Option<Rc<ClientState>>) -> Coming {
-    let parts = stream::unfold((payload, state), |(mut payload, state)| async move {
-        let part = timeout(UPLOAD_STALL, payload.next()).await;
-        let part = part.unwrap_or_else(|_| Some(Err(PayloadError::Incomplete(None))));
-        if part.is_none()
-            && let Some(state) = state.as_ref().filter(|state| state.phase.get() == Phase::Body)
-        {
-            state.enter(Phase::InHand);
-        }
-        part.map(|part| (part, (payload, state)))
-    });
-    parts.boxed_local()
-}
-
-/// An answer that is passed on as it comes, to its end.
-struct PassedOn {
-    body: BoxBody,
-    finish: Finish,
-}
-
-impl MessageBody for PassedOn {
-    type Error = Box<dyn std::error::Error>;
-
-    fn size(&self) -> BodySize {
-        self.body.size()
-    }
-
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Self::Error>>> {
-        let part = ready!(Pin::new(&mut self.body).poll_next(cx));
-        self.finish.whole |= part.is_none();
-        Poll::Ready(part)
-    }
-}
-
-/// The end of an answer that is passed on: counted, and its connection's next phase begun, when this is dropped.
-struct Finish {
-    state: Option<Rc<ClientState>>,
-    then: Phase,
-    ends: Arc<Ends>,
-    whole: bool,
-    _counted: InProgress,
-}
-
-impl Drop for Finish {
-    fn drop(&mut self) {
-        let count = if self.whole { &self.ends.passed } else { &self.ends.failed };
-        count.count();
-        if let Some(state) = &self.state {
-            state.enter(self.then);
-        }
+fn health_response(ready: bool) -> Response<BoxBody> {
+    if ready {
+        Response::with_body(StatusCode::OK, BoxBody::new("ok\n"))
+    } else {
+        Response::with_body(StatusCode::SERVICE_UNAVAILABLE, BoxBody::new("no\n"))
     }
 }
 
 impl Front {
-    /// Where the final answer to a request of the class that its path names is counted; one that names none is
-    /// counted nowhere.
-    fn ends(&self, path: &str) -> Arc<Ends> {
-        let in_force = self.in_force.borrow();
-        let class = class_of(path, &in_force.site).and_then(|class| in_force.ends.get(class));
+    /// The outcome counters of the class named by the path; counters that are never read if the path names no class.
+    fn outcomes(&self, path: &str) -> Arc<Ends> {
+        let active = self.active.borrow();
+        let class = class_of(path, &active.site).and_then(|class| active.outcomes.get(class));
         class.cloned().unwrap_or_default()
     }
 
-    async fn take(
+    /// Receives a request, submits it to the engine and waits for the answer.
+    async fn accept_request(
         &self,
         request: &mut actix_http::Request,
-        state: Option<&Rc<ClientState>>,
+        state: Option<&Rc<ClientConnection>>,
     ) -> Result<Answer, Malformed> {
-        let in_force = self.in_force.borrow().clone();
-        let (site, rules) = (&in_force.site, in_force.rules.as_deref());
-        let decoded = Request::decode(request.head(), site, rules)?;
-        let length = Request::length(request.head());
-        state.into_iter().for_each(|state| state.enter(Phase::Body));
+        let active = self.active.borrow().clone();
+        let decoded = Request::decode(request.head(), &active.site, active.rules.as_deref())?;
+        let length = Request::content_length(request.head());
+        if let Some(state) = state {
+            state.enter(Phase::ReadingBody);
+        }
         let mut payload = request.take_payload();
-        let (body, whole) = read_body(&mut payload, self.own.body_bytes).await?;
-        let Ok(permit) = self.requests.clone().try_acquire_owned() else {
-            seldom!(self.full, warn, "request refused: the bound on requests in hand is reached");
+        let body = read_body(&mut payload, self.options.max_body_bytes).await?;
+        let Ok(permit) = self.request_permits.clone().try_acquire_owned() else {
+            seldom!(self.limit_log, warn, "request refused: open request limit reached");
             return Ok(Answer::Refused { retry_after: None });
         };
-        // A copy of a request in hand, whoever sends it, would be a second run of it.
-        if !self.ids.borrow_mut().insert(decoded.id.clone()) {
+        // Sending a duplicate of an open request would execute it twice, whichever client sent it.
+        if !self.ids_in_use.borrow_mut().insert(decoded.id.clone()) {
             return Err(Malformed {
                 status: StatusCode::CONFLICT,
-                what: "X-Request-ID is in use",
-                taken: whole,
+                reason: "X-Request-ID is in use",
+                counts_as_failed: body.complete,
             });
         }
-        let id = RequestId(self.next.replace(self.next.get() + 1));
-        let (slot, answer) = oneshot::channel();
-        let (engine, name) = (self.engine.clone(), decoded.id.clone());
-        let mut taken = Taken {
+        let id = RequestId(self.next_id.replace(self.next_id.get() + 1));
+        let (reply, answer) = oneshot::channel();
+        let mut open = OpenRequest {
             id,
-            name,
+            client_id: decoded.id.clone(),
             front: self,
-            engine,
             answered: false,
             _permit: permit,
             _counted: self.metrics.taken(),
         };
-        // Up to the bound a body is held, so that it can be sent again; of a longer one the rest goes to one server as it
-        // comes.
-        let rest = if whole {
-            state.into_iter().for_each(|state| state.enter(Phase::InHand));
+        // A body up to the size limit is buffered, so that it can be sent again. The rest of a larger one is streamed
+        // to one server.
+        let rest = if body.complete {
+            if let Some(state) = state {
+                state.enter(Phase::Processing);
+            }
             None
         } else {
-            state.into_iter().for_each(|state| state.uploads.set(true));
-            Some(Rest::new(uploading(payload, state.cloned()), length))
+            if let Some(state) = state {
+                state.streams_body.set(true);
+            }
+            Some(RemainingBody::new(upload_chunks(payload, state.cloned()), length))
         };
-        // Its time counts from its last byte: a slow body once left none for the servers.
+        // The deadline runs from the last byte received: counted from the first one, a slow upload left no time for
+        // the servers.
         let received = Instant::now();
-        let ask = decoded.ask.clone();
-        self.engine.request(id, ask, Rc::new(decoded.with_body(body, rest)), received, slot);
+        let info = decoded.info.clone();
+        self.engine.request(id, info, Rc::new(decoded.with_body(body.bytes, rest)), received, reply);
         let mut stage = self.stage.clone();
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
-            // The process ends: a failure promises nothing, and nothing is owed an answer any more.
+            // The process exits: failing is always a correct answer, as it promises nothing, and no request is left
+            // without one.
             _ = stage.wait_for(|stage| *stage == Stage::Last) => return Ok(Answer::Failed),
         };
-        taken.answered = true;
+        open.answered = true;
         Ok(answer.unwrap_or_else(|_| {
-            tracing::error!("a request was dropped without an answer");
+            tracing::error!("the engine dropped a request without an answer");
             Answer::Failed
         }))
     }
 }
 
-/// A request in the engine's hands. Dropped unanswered, as when its client closes, it tells the engine so.
-struct Taken<'a> {
+/// A request that the engine is processing. Dropping it before the answer, as when its client disconnects, cancels it
+/// in the engine.
+struct OpenRequest<'a> {
     id: RequestId,
-    name: HeaderValue,
+    /// Its `X-Request-ID`.
+    client_id: HeaderValue,
     front: &'a Front,
-    engine: Handle,
     answered: bool,
     _permit: OwnedSemaphorePermit,
     _counted: InProgress,
 }
 
-impl Drop for Taken<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
-        self.front.ids.borrow_mut().remove(&self.name);
+        self.front.ids_in_use.borrow_mut().remove(&self.client_id);
         if !self.answered {
-            self.engine.client_left(self.id);
-        }
-    }
-}
-
-/// How far a client's connection has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
-    /// Nothing has come on it yet.
-    Silent,
-    /// A request has begun, and its head is not whole.
-    Reading,
-    /// Its body comes.
-    Body,
-    /// A request is in the engine's hands: nothing here ends it.
-    InHand,
-    /// The last request was answered and no byte has come since.
-    Idle,
-    /// It was turned away, or told that this was its last answer.
-    Draining,
-}
-
-/// What is known of a client's connection.
-struct ClientState {
-    phase: Cell<Phase>,
-    /// Since when it counts against the time that the phase has.
-    since: Cell<Instant>,
-    /// Since when it is to end as soon as nothing more can be read.
-    closing: Cell<Option<Instant>>,
-    /// Bytes read of a body, or while draining.
-    surplus: Cell<usize>,
-    /// What came while a request was in hand, read by what comes next.
-    ahead: RefCell<BytesMut>,
-    /// More came than is held: what follows can't be read any more.
-    flooded: Cell<bool>,
-    /// What was read since the last sweep and dropped.
-    dropped: Cell<usize>,
-    /// It is to be ended from here.
-    ends: Cell<Option<Cut>>,
-    /// What was written last did not fit: the client does not read.
-    blocked: Cell<bool>,
-    /// The body goes on to a server as it comes: its pace is the server's too.
-    uploads: Cell<bool>,
-    /// It is one too many.
-    over: bool,
-    /// Has the connection polled once more.
-    wake: Notify,
-}
-
-impl ClientState {
-    fn new(over: bool) -> ClientState {
-        ClientState {
-            phase: Cell::new(Phase::Silent),
-            since: Cell::new(Instant::now()),
-            closing: Cell::default(),
-            surplus: Cell::default(),
-            ahead: RefCell::default(),
-            flooded: Cell::default(),
-            dropped: Cell::default(),
-            ends: Cell::default(),
-            blocked: Cell::default(),
-            uploads: Cell::default(),
-            over,
-            wake: Notify::new(),
-        }
-    }
-
-    fn enter(&self, phase: Phase) {
-        self.since.set(Instant::now());
-        self.surplus.set(0);
-        self.closing.set(None);
-        self.uploads.set(false);
-        if self.phase.replace(phase) == Phase::InHand {
-            // Nothing was read for actix-http meanwhile.
-            self.wake.notify_one();
-        }
-    }
-
-    /// Ready when the connection is to be ended from here. While a request is in hand all that comes is read here, in
-    /// whatever state actix-http is: the end of a client that has left stands behind what it sent.
-    fn cut(&self, stream: &TcpStream, cx: &mut Context<'_>) -> Poll<Cut> {
-        let mut came = [0; 4096];
-        while self.ends.get().is_none() && self.phase.get() == Phase::InHand && self.dropped.get() < DROPPED {
-            let read = match stream.poll_read_ready(cx) {
-                Poll::Pending => return Poll::Pending,
-                Poll::Ready(ready) => ready.and_then(|()| stream.try_read(&mut came)),
-            };
-            match read {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Ok(0) | Err(_) => self.ends.set(Some(Cut::Left)),
-                Ok(n) => {
-                    let mut ahead = self.ahead.borrow_mut();
-                    if self.flooded.get() || ahead.len() + n > SURPLUS {
-                        self.flooded.set(true);
-                        self.dropped.set(self.dropped.get() + n);
-                    } else {
-                        ahead.extend_from_slice(&came[..n]);
-                    }
-                }
-            }
-        }
-        self.ends.get().map_or(Poll::Pending, Poll::Ready)
-    }
-
-    /// When the client has had its time.
-    fn due(&self, own: &Own, stage: Stage) -> Option<Instant> {
-        let time = match self.phase.get() {
-            // Sent away, and nothing has told it so: no answer was due.
-            Phase::Idle if matches!(stage, Stage::Emptying | Stage::Parting) => Duration::ZERO,
-            Phase::Silent if stage == Stage::Emptying => SILENT,
-            // All that can be read of it is answered.
-            Phase::Idle | Phase::Reading if self.flooded.get() => Duration::ZERO,
-            Phase::Silent | Phase::Reading => own.client_request,
-            Phase::Body if self.uploads.get() => return None,
-            Phase::Body => own.client_request + self.earned(),
-            Phase::InHand => return None,
-            Phase::Idle => own.client_idle,
-            Phase::Draining => DRAIN,
-        };
-        Some(self.since.get() + time)
-    }
-
-    /// The time that what came of a body pays for: a slow client that goes on is an honest one.
-    fn earned(&self) -> Duration {
-        Duration::from_secs_f64(self.surplus.get() as f64 / PACE)
-    }
-
-    fn close(&self) {
-        self.closing.set(self.closing.get().or_else(|| Some(Instant::now())));
-        self.wake.notify_one();
-    }
-
-    /// A sweep has passed. What was to close and did not, as its client reads nothing, is ended.
-    fn swept(&self, now: Instant) {
-        if self.closing.get().is_some_and(|since| now - since >= DRAIN) {
-            self.ends.set(self.ends.get().or(Some(Cut::Left)));
+            self.front.engine.client_left(self.id);
         }
-        if self.dropped.replace(0) >= DROPPED || self.ends.get().is_some() {
-            self.wake.notify_one();
-        }
-    }
-
-    /// How fit it is to make room for another: of the idle and of those without a whole request the oldest.
-    fn spare(&self, now: Instant) -> Option<(bool, Duration)> {
-        let age = now - self.since.get();
-        let spare = match self.phase.get() {
-            Phase::Idle => (age >= SPARE_IDLE).then_some((true, age)),
-            Phase::Silent | Phase::Reading => (age >= SPARE_SILENT).then_some((false, age)),
-            Phase::Body if !self.uploads.get() => {
-                (age >= SPARE_SILENT + self.earned()).then_some((false, age))
-            }
-            Phase::Body | Phase::InHand | Phase::Draining => None,
-        };
-        spare.filter(|_| self.closing.get().is_none())
-    }
-}
-
-/// The clients' connections.
-struct Clients {
-    own: Rc<Own>,
-    seats: RefCell<FxHashMap<u64, Rc<ClientState>>>,
-    next: Cell<u64>,
-    /// New ones are still taken: there is somebody to make room for.
-    accepting: Cell<bool>,
-}
-
-impl Clients {
-    /// A place for a new connection. At the bound another that serves nobody makes room for it, so that those
-    /// that connect and say nothing, or asked once and stay, keep nobody out.
-    fn seat(self: &Rc<Clients>, permit: OwnedSemaphorePermit) -> Seat {
-        let held = self.seats.borrow().values().filter(|state| state.closing.get().is_none()).count();
-        let over = held >= self.own.clients_now() && !self.make_room(Instant::now());
-        let state = Rc::new(ClientState::new(over));
-        let number = self.next.replace(self.next.get() + 1);
-        self.seats.borrow_mut().insert(number, state.clone());
-        Seat { clients: self.clone(), number, state, _permit: permit }
-    }
-
-    /// Three quarters of the places are taken.
-    fn crowded(&self) -> bool {
-        4 * self.seats.borrow().len() >= 3 * self.own.clients_now().max(4)
-    }
-
-    fn make_room(&self, now: Instant) -> bool {
-        let seats = self.seats.borrow();
-        let spare = seats.values().filter_map(|state| Some((state.spare(now)?, state)));
-        let spare = spare.max_by_key(|(fit, _)| *fit);
-        spare.inspect(|(_, state)| state.close()).is_some()
-    }
-}
-
-/// Who holds the places, for the log.
-struct Crowd<'a>(&'a Clients);
-
-impl Display for Crowd<'_> {
-    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let seats = self.0.seats.borrow();
-        let count = |phase| seats.values().filter(|state| state.phase.get() == phase).count();
-        write!(
-            f,
-            "request refused: the bound on client connections is reached: {} silent, {} sending, {} in hand, \
-             {} idle, {} ending",
-            count(Phase::Silent),
-            count(Phase::Reading) + count(Phase::Body),
-            count(Phase::InHand),
-            count(Phase::Idle),
-            count(Phase::Draining)
-        )
-    }
-}
-
-/// A connection's place among the clients'. Dropping it gives the place back.
-struct Seat {
-    clients: Rc<Clients>,
-    number: u64,
-    state: Rc<ClientState>,
-    _permit: OwnedSemaphorePermit,
-}
-
-impl Drop for Seat {
-    fn drop(&mut self) {
-        self.clients.seats.borrow_mut().remove(&self.number);
-    }
-}
-
-/// A client's connection, as actix-http has it.
-struct ClientIo {
-    stream: Rc<TcpStream>,
-    state: Rc<ClientState>,
-    stage: watch::Receiver<Stage>,
-}
-
-impl ClientIo {
-    /// Reads what came ahead of its turn, then what comes.
-    fn read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let mut ahead = self.state.ahead.borrow_mut();
-        if !ahead.is_empty() {
-            let part = ahead.len().min(buf.remaining());
-            buf.put_slice(&ahead.split_to(part));
-            return Poll::Ready(Ok(()));
-        }
-        if self.state.flooded.get() {
-            return Poll::Pending;
-        }
-        loop {
-            ready!(self.stream.poll_read_ready(cx))?;
-            match self.stream.try_read(buf.initialize_unfilled()) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(error) => return Poll::Ready(Err(error)),
-                Ok(n) => {
-                    buf.advance(n);
-                    return Poll::Ready(Ok(()));
-                }
-            }
-        }
-    }
-}
-
-impl AsyncRead for ClientIo {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let (this, before) = (self.get_mut(), buf.filled().len());
-        let state = &this.state;
-        match state.phase.get() {
-            // `ClientState::cut` reads. Once the request is answered, `enter` has the connection polled again.
-            Phase::InHand => return Poll::Pending,
-            Phase::Draining if state.surplus.get() >= SURPLUS => return Poll::Ready(Ok(())),
-            Phase::Silent | Phase::Reading | Phase::Body | Phase::Idle | Phase::Draining => {}
-        }
-        let result = this.read(cx, buf);
-        let came = buf.filled().len() - before;
-        let ended = result.is_ready() && came == 0;
-        match state.phase.get() {
-            Phase::Silent | Phase::Idle if came > 0 => state.enter(Phase::Reading),
-            // What has come of it may be on its way to a server.
-            Phase::Body if ended && state.uploads.get() => state.ends.set(Some(Cut::Left)),
-            Phase::Body | Phase::InHand | Phase::Draining => state.surplus.set(state.surplus.get() + came),
-            Phase::Silent | Phase::Idle | Phase::Reading => {}
-        }
-        if !result.is_pending() {
-            return result;
-        }
-        // A connection is closed only after its last byte was read: a request that crosses that is served,
-        // not lost.
-        let closing = state.closing.get().is_some();
-        match state.phase.get() {
-            Phase::Silent | Phase::Idle if closing || *this.stage.borrow() >= Stage::Closing => {
-                Poll::Ready(Ok(()))
-            }
-            // What crosses from here on finds an answer on its way.
-            Phase::Reading | Phase::Body if closing && !state.blocked.get() => {
-                state.ends.set(Some(Cut::TooSlow));
-                Poll::Pending
-            }
-            Phase::Reading | Phase::Body | Phase::Draining if closing => Poll::Ready(Ok(())),
-            Phase::Silent | Phase::Idle | Phase::Reading | Phase::Body | Phase::Draining | Phase::InHand => {
-                Poll::Pending
-            }
-        }
-    }
-}
-
-impl AsyncWrite for ClientIo {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.state.blocked.set(true);
-        loop {
-            ready!(self.stream.poll_write_ready(cx))?;
-            match self.stream.try_write(buf) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                result => {
-                    self.state.blocked.set(result.as_ref().is_ok_and(|n| *n < buf.len()));
-                    return Poll::Ready(result);
-                }
-            }
-        }
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
-    }
-
-    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(socket2::SockRef::from(&*self.stream).shutdown(Shutdown::Write))
     }
 }
--- /dev/null
+++ b/crates/http/src/front/clients.rs
@@ -0,0 +1,281 @@
+//! Client connections: their phases, deadlines and eviction.
+
+use crate::options::HttpOptions;
+use actix_rt::net::TcpStream;
+use bytes::BytesMut;
+use dunlincleat_status::Stage;
+use rustc_hash::FxHashMap;
+use std::cell::{Cell, RefCell};
+use std::fmt::{self, Display, Formatter};
+use std::io;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::sync::{Notify, OwnedSemaphorePermit};
+use tokio::time::Instant;
+
+/// At the connection limit, the age from which an idle connection may be evicted.
+const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
+/// At the connection limit, the age from which a connection without a complete request may be evicted.
+const EVICT_INCOMPLETE_AFTER: Duration = Duration::from_millis(200);
+/// Maximum number of bytes buffered from a client that keeps sending while its request is processed, and read from
+/// one that was rejected.
+pub(super) const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Maximum number of bytes that are read and discarded between two sweeps once that buffer is full, to detect that
+/// the client has closed.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+/// Minimum rate at which a client has to send a body: half of what well-behaved slow clients achieve.
+const MIN_UPLOAD_BYTES_PER_S: f64 = 32.0 * 1024.0;
+/// Time for which a rejected client may continue to send.
+pub(super) const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
+/// In standby, the age from which a connection that has sent nothing is closed; a newer one may be about to send its
+/// first request.
+const STANDBY_SILENT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Why a connection is terminated without waiting for actix-http.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Termination {
+    /// The client has disconnected, or does not read its responses.
+    ClientLeft,
+    /// The request was not received completely in time.
+    RequestTimeout,
+}
+
+/// The phase of a client connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Phase {
+    /// Nothing has been received.
+    Connected,
+    /// The head of a request is being received.
+    ReadingHead,
+    /// The body of a request is being received.
+    ReadingBody,
+    /// The engine processes a request; no timeout of the front applies.
+    Processing,
+    /// The last request was answered, and nothing has been received since.
+    Idle,
+    /// The request was rejected, or the response announced that the connection closes.
+    Draining,
+}
+
+/// The state of a client connection.
+pub(super) struct ClientConnection {
+    pub(super) phase: Cell<Phase>,
+    /// Start of the current phase, from which its timeout runs.
+    pub(super) phase_since: Cell<Instant>,
+    /// When closing was requested; the connection closes once nothing is left to read.
+    pub(super) closing_since: Cell<Option<Instant>>,
+    /// Bytes received in the current phase, of a body or while draining.
+    pub(super) phase_bytes: Cell<usize>,
+    /// Bytes received while a request was being processed; they are read first afterwards.
+    pub(super) read_ahead: RefCell<BytesMut>,
+    /// More was received than may be buffered, so that what follows can't be parsed any more.
+    pub(super) read_ahead_full: Cell<bool>,
+    /// Bytes discarded since the last sweep.
+    pub(super) discarded: Cell<usize>,
+    /// Set when the connection has to be terminated.
+    pub(super) termination: Cell<Option<Termination>>,
+    /// The last write was incomplete: the client does not read.
+    pub(super) write_blocked: Cell<bool>,
+    /// The request body is streamed to a server, so that the upload rate also depends on the server.
+    pub(super) streams_body: Cell<bool>,
+    /// The connection exceeds the limit; its requests are refused.
+    pub(super) over_limit: bool,
+    /// Causes the connection to be polled again.
+    pub(super) wake: Notify,
+}
+
+impl ClientConnection {
+    pub(super) fn new(over_limit: bool) -> ClientConnection {
+        ClientConnection {
+            phase: Cell::new(Phase::Connected),
+            phase_since: Cell::new(Instant::now()),
+            closing_since: Cell::default(),
+            phase_bytes: Cell::default(),
+            read_ahead: RefCell::default(),
+            read_ahead_full: Cell::default(),
+            discarded: Cell::default(),
+            termination: Cell::default(),
+            write_blocked: Cell::default(),
+            streams_body: Cell::default(),
+            over_limit,
+            wake: Notify::new(),
+        }
+    }
+
+    pub(super) fn enter(&self, phase: Phase) {
+        self.phase_since.set(Instant::now());
+        self.phase_bytes.set(0);
+        self.closing_since.set(None);
+        self.streams_body.set(false);
+        if self.phase.replace(phase) == Phase::Processing {
+            // Nothing was read for actix-http meanwhile.
+            self.wake.notify_one();
+        }
+    }
+
+    /// Completes when the connection has to be terminated. While a request is being processed, all input is read
+    /// here, whatever state actix-http is in: the end of the stream comes after the bytes that the client has sent.
+    pub(super) fn poll_termination(&self, stream: &TcpStream, cx: &mut Context<'_>) -> Poll<Termination> {
+        let mut received = [0; 4096];
+        while self.termination.get().is_none()
+            && self.phase.get() == Phase::Processing
+            && self.discarded.get() < MAX_DISCARDED_BYTES
+        {
+            let read = match stream.poll_read_ready(cx) {
+                Poll::Pending => return Poll::Pending,
+                Poll::Ready(ready) => ready.and_then(|()| stream.try_read(&mut received)),
+            };
+            match read {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Ok(0) | Err(_) => self.termination.set(Some(Termination::ClientLeft)),
+                Ok(n) => {
+                    let mut read_ahead = self.read_ahead.borrow_mut();
+                    if self.read_ahead_full.get() || read_ahead.len() + n > MAX_BUFFERED_BYTES {
+                        self.read_ahead_full.set(true);
+                        self.discarded.set(self.discarded.get() + n);
+                    } else {
+                        read_ahead.extend_from_slice(&received[..n]);
+                    }
+                }
+            }
+        }
+        self.termination.get().map_or(Poll::Pending, Poll::Ready)
+    }
+
+    /// When the timeout of the current phase expires.
+    pub(super) fn deadline(&self, options: &HttpOptions, stage: Stage) -> Option<Instant> {
+        let time = match self.phase.get() {
+            // Clients are being sent away, and no response is due that could tell this one.
+            Phase::Idle if matches!(stage, Stage::Emptying | Stage::Parting) => Duration::ZERO,
+            Phase::Connected if stage == Stage::Emptying => STANDBY_SILENT_TIMEOUT,
+            // All requests that can be parsed have been answered.
+            Phase::Idle | Phase::ReadingHead if self.read_ahead_full.get() => Duration::ZERO,
+            Phase::Connected | Phase::ReadingHead => options.client_request_timeout,
+            Phase::ReadingBody if self.streams_body.get() => return None,
+            Phase::ReadingBody => options.client_request_timeout + self.earned_time(),
+            Phase::Processing => return None,
+            Phase::Idle => options.client_idle_timeout,
+            Phase::Draining => DRAIN_TIMEOUT,
+        };
+        Some(self.phase_since.get() + time)
+    }
+
+    /// The extra time granted for the bytes of the body received so far, so that a slow client that keeps sending is
+    /// not cut off.
+    fn earned_time(&self) -> Duration {
+        Duration::from_secs_f64(self.phase_bytes.get() as f64 / MIN_UPLOAD_BYTES_PER_S)
+    }
+
+    pub(super) fn request_close(&self) {
+        self.closing_since.set(self.closing_since.get().or_else(|| Some(Instant::now())));
+        self.wake.notify_one();
+    }
+
+    /// Called after each sweep. Terminates a connection that was asked to close and did not, because its client reads
+    /// nothing.
+    pub(super) fn after_sweep(&self, now: Instant) {
+        if self.closing_since.get().is_some_and(|since| now - since >= DRAIN_TIMEOUT) {
+            self.termination.set(self.termination.get().or(Some(Termination::ClientLeft)));
+        }
+        if self.discarded.replace(0) >= MAX_DISCARDED_BYTES || self.termination.get().is_some() {
+            self.wake.notify_one();
+        }
+    }
+
+    /// How suitable the connection is for eviction: idle connections first, then those without a complete request,
+    /// the oldest first.
+    fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
+        if self.closing_since.get().is_some() {
+            return None;
+        }
+        let age = now - self.phase_since.get();
+        let (idle, min_age) = match self.phase.get() {
+            Phase::Idle => (true, EVICT_IDLE_AFTER),
+            Phase::Connected | Phase::ReadingHead => (false, EVICT_INCOMPLETE_AFTER),
+            Phase::ReadingBody if !self.streams_body.get() => {
+                (false, EVICT_INCOMPLETE_AFTER + self.earned_time())
+            }
+            Phase::ReadingBody | Phase::Processing | Phase::Draining => return None,
+        };
+        (age >= min_age).then_some(EvictionRank { idle, age })
+    }
+}
+
+/// How suitable a connection is for eviction; the highest rank is evicted first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionRank {
+    idle: bool,
+    age: Duration,
+}
+
+/// All client connections.
+pub(super) struct Clients {
+    pub(super) options: Rc<HttpOptions>,
+    pub(super) connections: RefCell<FxHashMap<u64, Rc<ClientConnection>>>,
+    pub(super) next_id: Cell<u64>,
+    /// New connections are still accepted, so that eviction serves a purpose.
+    pub(super) accepting: Cell<bool>,
+}
+
+impl Clients {
+    /// Registers a new connection. At the limit, a connection that serves no request is evicted, so that clients that
+    /// connect and send nothing, or stay connected after a single request, do not lock out others.
+    pub(super) fn register(self: &Rc<Clients>, permit: OwnedSemaphorePermit) -> ClientSlot {
+        let open =
+            self.connections.borrow().values().filter(|state| state.closing_since.get().is_none()).count();
+        let over_limit = open >= self.options.client_connection_limit() && !self.evict_one(Instant::now());
+        let state = Rc::new(ClientConnection::new(over_limit));
+        let number = self.next_id.replace(self.next_id.get() + 1);
+        self.connections.borrow_mut().insert(number, state.clone());
+        ClientSlot { clients: self.clone(), number, state, _permit: permit }
+    }
+
+    /// Whether three quarters of the connection limit are in use.
+    pub(super) fn is_crowded(&self) -> bool {
+        4 * self.connections.borrow().len() >= 3 * self.options.client_connection_limit().max(4)
+    }
+
+    /// Asks the connection with the highest eviction rank to close; returns whether there was one.
+    pub(super) fn evict_one(&self, now: Instant) -> bool {
+        let connections = self.connections.borrow();
+        let candidates = connections.values().filter_map(|state| Some((state.eviction_rank(now)?, state)));
+        let Some((_, state)) = candidates.max_by_key(|(rank, _)| *rank) else { return false };
+        state.request_close();
+        true
+    }
+}
+
+/// Number of connections in each phase, for the log.
+pub(super) struct ConnectionSummary<'a>(pub(super) &'a Clients);
+
+impl Display for ConnectionSummary<'_> {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        let connections = self.0.connections.borrow();
+        let count = |phase| connections.values().filter(|state| state.phase.get() == phase).count();
+        write!(
+            f,
+            "request refused: client connection limit reached: {} silent, {} sending, {} in progress, \
+             {} idle, {} draining",
+            count(Phase::Connected),
+            count(Phase::ReadingHead) + count(Phase::ReadingBody),
+            count(Phase::Processing),
+            count(Phase::Idle),
+            count(Phase::Draining)
+        )
+    }
+}
+
+/// The registration of a client connection; dropping it removes the connection.
+pub(super) struct ClientSlot {
+    pub(super) clients: Rc<Clients>,
+    pub(super) number: u64,
+    pub(super) state: Rc<ClientConnection>,
+    _permit: OwnedSemaphorePermit,
+}
+
+impl Drop for ClientSlot {
+    fn drop(&mut self) {
+        self.clients.connections.borrow_mut().remove(&self.number);
+    }
+}
--- a/crates/http/src/list.rs
+++ b/crates/http/src/list.rs
@@ -1,9 +1,9 @@
-//! The actor that follows discovery: the thin shell around `Follower`, which decides which watches to open. It owns
-//! one task a watch, dropped with its entry in `tasks`, and tells the engine what the list has become.
+//! The actor that follows discovery: the I/O around [`Follower`], which decides which watches to open. It owns one
+//! task per watch, which is aborted when its entry in `tasks` is dropped, and passes each new list to the engine.
 
 use crate::Handle;
-use crate::message::{Broken, list_uri, read_body, watch_uri};
-use crate::own::Own;
+use crate::message::{BodyAborted, list_uri, read_body, watch_uri};
+use crate::options::HttpOptions;
 use anyhow::Context;
 use awc::error::{ConnectError, SendRequestError};
 use awc::{Client, ClientResponse};
@@ -24,45 +24,46 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until};
 
-/// Lines of all watches that wait to be taken in; a watch that floods is read no faster.
-const WAITING: usize = 16;
-/// So many odd things of one list are told one by one.
-const ODD_LINES: usize = 5;
-/// The file of the list is replaced at most this often.
-const KEEP: Duration = Duration::from_secs(2);
+/// Capacity of the queue of messages of all watches. When it is full, the watches are read no faster than the
+/// messages are applied.
+const INPUT_QUEUE_CAPACITY: usize = 16;
+/// Maximum number of anomalies that are logged individually per list.
+const MAX_LOGGED_ANOMALIES: usize = 5;
+/// Minimum interval between writes of the list file.
+const SAVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the actor is told.
-enum Msg {
-    /// The module wants a watch, where the site's lists come only on request.
+/// A message to the actor.
+enum Message {
+    /// The decision module asks for a watch, where lists are delivered on request.
     Watch,
-    /// Discovery answers elsewhere from now on.
-    Moved(SocketAddr),
+    /// Discovery has a new address.
+    DiscoveryMoved(SocketAddr),
 }
 
-/// The actor's mailbox; it holds one word a call of the module's or a reload.
+/// Sender of the actor's mailbox, which receives one message per call of the decision module or reload.
 #[derive(Clone)]
-pub struct Caller(mpsc::UnboundedSender<Msg>);
+pub struct ListHandle(mpsc::UnboundedSender<Message>);
 
-/// The other end of the mailbox.
-pub struct Calls(mpsc::UnboundedReceiver<Msg>);
+/// Receiver of the actor's mailbox.
+pub struct ListMailbox(mpsc::UnboundedReceiver<Message>);
 
-/// A mailbox.
-pub fn mailbox() -> (Caller, Calls) {
-    let (caller, calls) = mpsc::unbounded_channel();
-    (Caller(caller), Calls(calls))
+/// Creates a mailbox.
+pub fn mailbox() -> (ListHandle, ListMailbox) {
+    let (handle, mailbox) = mpsc::unbounded_channel();
+    (ListHandle(handle), ListMailbox(mailbox))
 }
 
-impl Caller {
-    /// Discovery answers elsewhere from now on.
-    pub fn moved(&self, discovery: SocketAddr) {
+impl ListHandle {
+    /// Sets the address of discovery.
+    pub fn set_discovery(&self, discovery: SocketAddr) {
         // The actor lives as long as the process.
-        let _ = self.0.send(Msg::Moved(discovery));
+        let _ = self.0.send(Message::DiscoveryMoved(discovery));
     }
 }
 
-impl Directory for Caller {
+impl Directory for ListHandle {
     fn watch(&mut self) {
-        let _ = self.0.send(Msg::Watch);
+        let _ = self.0.send(Message::Watch);
     }
 }
 
@@ -70,56 +71,75 @@
 pub struct List {
     follower: Follower,
     clock: Clock,
-    own: Rc<Own>,
+    options: Rc<HttpOptions>,
     engine: Handle,
     client: Client,
-    tasks: FxHashMap<WatchId, Task>,
-    heard: mpsc::Sender<Input>,
-    /// The list that is to be kept on disk, and when it may next be written there.
-    unkept: bool,
-    keep_at: Instant,
+    tasks: FxHashMap<WatchId, WatchTask>,
+    inputs: mpsc::Sender<Input>,
+    /// Whether the list has changed since it was last written to the list file.
+    unsaved: bool,
+    /// When the list file may next be written.
+    next_save: Instant,
 }
 
 /// The task that reads a watch. Dropping it ends the watch and closes its connection.
-struct Task(JoinHandle<()>);
+struct WatchTask(JoinHandle<()>);
 
-impl Drop for Task {
+impl Drop for WatchTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
 impl List {
-    /// Starts the actor behind its mailbox, from the list as last held.
-    pub fn start(follower: Follower, clock: Clock, own: Rc<Own>, engine: Handle, calls: Calls) {
-        let (heard, hearing) = mpsc::channel(WAITING);
-        // A call is ended by the follower, when its time is over.
+    /// Starts the actor, with the list last known.
+    pub fn start(
+        follower: Follower,
+        clock: Clock,
+        options: Rc<HttpOptions>,
+        engine: Handle,
+        mailbox: ListMailbox,
+    ) {
+        let (inputs, input_receiver) = mpsc::channel(INPUT_QUEUE_CAPACITY);
+        // The follower has the timeouts of calls; that of awc must never take effect.
         let connector = awc::Connector::new().timeout(Duration::from_secs(1 << 30));
         let client = Client::builder().connector(connector).disable_timeout().disable_redirects().finish();
-        let (tasks, keep_at) = (FxHashMap::default(), Instant::now());
-        let list = List { follower, clock, own, engine, client, tasks, heard, unkept: false, keep_at };
-        actix_rt::spawn(list.run(calls.0, hearing));
+        let list = List {
+            follower,
+            clock,
+            options,
+            engine,
+            client,
+            tasks: FxHashMap::default(),
+            inputs,
+            unsaved: false,
+            next_save: Instant::now(),
+        };
+        actix_rt::spawn(list.run(mailbox.0, input_receiver));
     }
 
-    async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<Msg>, mut hearing: mpsc::Receiver<Input>) {
-        let mut out = Vec::new();
+    async fn run(
+        mut self,
+        mut mailbox: mpsc::UnboundedReceiver<Message>,
+        mut input_receiver: mpsc::Receiver<Input>,
+    ) {
+        let mut outputs = Vec::new();
         loop {
-            self.follower.wake(self.clock.now(), &mut out);
-            self.carry_out(&mut out);
+            self.follower.wake(self.clock.now(), &mut outputs);
+            self.perform(&mut outputs);
             self.engine.list_health(self.follower.health());
             let due = self.follower.due().map(|at| self.clock.instant(at));
-            let keep = self.unkept.then_some(self.keep_at);
             let input = tokio::select! {
                 biased;
-                msg = mailbox.recv() => match msg {
+                message = mailbox.recv() => match message {
                     None => return,
-                    Some(Msg::Watch) => Input::WatchRequested,
-                    Some(Msg::Moved(discovery)) => Input::AddressChanged(discovery),
+                    Some(Message::Watch) => Input::WatchRequested,
+                    Some(Message::DiscoveryMoved(discovery)) => Input::AddressChanged(discovery),
                 },
-                Some(input) = hearing.recv() => input,
+                Some(input) = input_receiver.recv() => input,
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => continue,
-                () = sleep_until(self.keep_at), if keep.is_some() => {
-                    self.keep();
+                () = sleep_until(self.next_save), if self.unsaved => {
+                    self.save();
                     continue;
                 }
             };
@@ -127,31 +147,32 @@
                 tracing::debug!("watch {} ended: {cause}", watch.0);
                 self.tasks.remove(watch);
             }
-            self.follower.input(self.clock.now(), input, &mut out);
+            self.follower.input(self.clock.now(), input, &mut outputs);
         }
     }
 
-    fn carry_out(&mut self, out: &mut Vec<Output>) {
-        for output in out.drain(..) {
+    fn perform(&mut self, outputs: &mut Vec<Output>) {
+        for output in outputs.drain(..) {
             match output {
                 Output::Open { watch, at, kind } => {
-                    tracing::debug!("watch {} of discovery at {at} opens: {kind:?}", watch.0);
-                    let (client, heard, own) = (self.client.clone(), self.heard.clone(), self.own.clone());
+                    tracing::debug!("opening watch {} of discovery at {at}: {kind:?}", watch.0);
+                    let (client, inputs, options) =
+                        (self.client.clone(), self.inputs.clone(), self.options.clone());
                     let task = actix_rt::spawn(async move {
-                        let cause = watched(&client, watch, at, kind, &own.interest, &heard).await;
+                        let cause = run_watch(&client, watch, at, kind, &options.interest, &inputs).await;
                         // The actor ends with the process.
-                        let _ = heard.send(Input::Ended(watch, cause)).await;
+                        let _ = inputs.send(Input::Ended(watch, cause)).await;
                     });
-                    self.tasks.insert(watch, Task(task));
+                    self.tasks.insert(watch, WatchTask(task));
                 }
                 Output::Close(watch) => drop(self.tasks.remove(&watch)),
                 Output::Deliver(delivery) => self.deliver(delivery),
                 Output::Failed => self.engine.discovery_failed(),
-                // One warning an outage: the next line of its kind says that a watch is followed again.
-                Output::Lost { at, why } => tracing::warn!("no watch of discovery at {at}: {why}"),
+                // One warning per outage; the message below reports its end.
+                Output::Lost { at, why } => tracing::warn!("no open watch of discovery at {at}: {why}"),
                 Output::Followed { at, rev, silence } => {
                     tracing::info!(
-                        "watch of discovery at {at} open after revision {rev}, unheard for {} ms",
+                        "watch of discovery at {at} open after revision {rev}, silent for {} ms",
                         silence.0 / 1000
                     );
                 }
@@ -160,35 +181,39 @@
     }
 
     fn deliver(&mut self, delivery: Delivery) {
-        // A list that is odd in every entry must not fill the log.
-        delivery.anomalies.iter().take(ODD_LINES).for_each(|odd| tracing::warn!("{odd}"));
-        if delivery.anomalies.len() > ODD_LINES {
+        // Limited, because a list may be invalid in every entry.
+        for anomaly in delivery.anomalies.iter().take(MAX_LOGGED_ANOMALIES) {
+            tracing::warn!("{anomaly}");
+        }
+        if delivery.anomalies.len() > MAX_LOGGED_ANOMALIES {
             tracing::warn!(
-                "and {} more odd things in revision {}",
-                delivery.anomalies.len() - ODD_LINES,
+                "{} more anomalies in revision {}",
+                delivery.anomalies.len() - MAX_LOGGED_ANOMALIES,
                 delivery.rev
             );
         }
-        self.unkept = self.own.list_file.is_some();
+        self.unsaved = self.options.list_file.is_some();
         self.engine.server_list(delivery);
     }
 
-    /// Writes the list as held to its file, off this thread.
-    fn keep(&mut self) {
-        (self.unkept, self.keep_at) = (false, Instant::now() + KEEP);
-        let Some(path) = self.own.list_file.clone() else { return };
+    /// Writes the list to its file on a blocking thread.
+    fn save(&mut self) {
+        self.unsaved = false;
+        self.next_save = Instant::now() + SAVE_INTERVAL;
+        let Some(path) = self.options.list_file.clone() else { return };
         let fresh_at = self.follower.health().fresh_at;
-        let (listing, interest) = (self.follower.table().listing(), self.own.interest.clone());
+        let listing = self.follower.table().listing();
+        let interest = self.options.interest.clone();
         let bytes = Snapshot { fresh_at, listing, interest }.encode();
         tokio::task::spawn_blocking(move || {
             if let Err(error) = replace(&path, &bytes) {
-                tracing::warn!("list not kept in {}: {error:#}", path.display());
+                tracing::warn!("cannot save the server list to {}: {error:#}", path.display());
             }
         });
     }
 }
 
-/// Replaces a file in one step: whoever reads it finds the old or the new one, whole.
+/// Replaces a file atomically: a reader sees either the old or the new content, complete.
 fn replace(path: &Path, bytes: &[u8]) -> anyhow::Result<()> {
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let new = PathBuf::from(format!("{}.new", path.display()));
@@ -196,71 +221,71 @@
     file.write_all(bytes)?;
     file.sync_all()?;
     std::fs::rename(&new, path)?;
-    // Without this the new name may be gone after a loss of power.
+    // Without this, the rename may be lost on a power failure.
     Ok(std::fs::File::open(folder)?.sync_all()?)
 }
 
-/// Opens a watch and tells what comes on it, until it ends.
-async fn watched(
+/// Runs a watch and reports its messages until it ends; returns why it ended.
+async fn run_watch(
     client: &Client,
     watch: WatchId,
     at: SocketAddr,
     kind: CallKind,
     interest: &Interest,
-    heard: &mpsc::Sender<Input>,
+    inputs: &mpsc::Sender<Input>,
 ) -> Cause {
     let follow = async {
         let after = match kind {
             CallKind::ChangesAfter(rev) => rev,
             CallKind::FullList | CallKind::Check => {
-                let mut answer = call(client, list_uri(at, interest)).await?;
-                let (body, whole) = read_body(&mut answer, MAX_LINE_BYTES)
+                let mut response = get(client, list_uri(at, interest)).await?;
+                let body = read_body(&mut response, MAX_LINE_BYTES)
                     .await
-                    .map_err(|Broken| Cause::Broke("within the whole list".to_owned()))?;
-                if !whole {
+                    .map_err(|BodyAborted| Cause::Broke("while reading the full list".to_owned()))?;
+                if !body.complete {
                     return Err(Cause::TooLong);
                 }
-                let listing = Listing { whole: true, ..decode(&body)? };
+                let listing = Listing { whole: true, ..decode_listing(&body.bytes)? };
                 let rev = listing.rev;
-                tell(heard, Input::Line(watch, Some(listing))).await?;
+                send_input(inputs, Input::Line(watch, Some(listing))).await?;
                 if kind == CallKind::Check {
                     return Ok(());
                 }
                 rev
             }
         };
-        let mut answer = call(client, watch_uri(at, after, interest)).await?;
-        tell(heard, Input::Opened(watch)).await?;
+        let mut response = get(client, watch_uri(at, after, interest)).await?;
+        send_input(inputs, Input::Opened(watch)).await?;
         let mut lines = Lines::default();
         loop {
-            let part = match answer.next().await {
-                Some(Ok(part)) => part,
+            let chunk = match response.next().await {
+                Some(Ok(chunk)) => chunk,
                 Some(Err(error)) => return Err(Cause::Broke(error.to_string())),
                 None => return Err(Cause::Ended),
             };
-            for line in lines.take(&part).map_err(|_| Cause::TooLong)? {
-                let listing = if line.is_empty() { None } else { Some(decode(&line)?) };
-                tell(heard, Input::Line(watch, listing)).await?;
+            for line in lines.take(&chunk).map_err(|_| Cause::TooLong)? {
+                let listing = if line.is_empty() { None } else { Some(decode_listing(&line)?) };
+                send_input(inputs, Input::Line(watch, listing)).await?;
             }
         }
     };
-    let ended: Result<(), Cause> = follow.await;
-    // A check that has come ends by itself.
-    ended.err().unwrap_or(Cause::Ended)
+    let result: Result<(), Cause> = follow.await;
+    // A completed check ends normally.
+    result.err().unwrap_or(Cause::Ended)
 }
 
-async fn tell(heard: &mpsc::Sender<Input>, input: Input) -> Result<(), Cause> {
-    heard.send(input).await.map_err(|_| Cause::Ended)
+async fn send_input(inputs: &mpsc::Sender<Input>, input: Input) -> Result<(), Cause> {
+    inputs.send(input).await.map_err(|_| Cause::Ended)
 }
 
-fn decode(line: &[u8]) -> Result<Listing, Cause> {
+fn decode_listing(line: &[u8]) -> Result<Listing, Cause> {
     Listing::decode(line).map_err(|error| Cause::Garbled(format!("{error:#}")))
 }
 
-async fn call(client: &Client, uri: String) -> Result<ClientResponse, Cause> {
+async fn get(client: &Client, uri: String) -> Result<ClientResponse, Cause> {
     match client.get(uri).send().await {
-        Ok(answer) if answer.status().is_success() => Ok(answer),
-        Ok(answer) => Err(Cause::Refused(answer.status().as_u16())),
+        Ok(response) if response.status().is_success() => Ok(response),
+        Ok(response) => Err(Cause::Refused(response.status().as_u16())),
         Err(error @ SendRequestError::Connect(ConnectError::Disconnected)) => {
             Err(Cause::Broke(error.to_string()))
         }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,35 +1,36 @@
-//! The protocol's messages: headers and bodies are decoded once into small typed values, and encoded once.
+//! The messages of the protocol: headers and bodies are decoded once into typed values, and encoded once.
+
+mod body;
+mod fenced_task;
+mod reply;
+mod uri;
 
 use crate::Answer;
-use actix_http::body::{BodySize, BodyStream, BoxBody, MessageBody, SizedStream};
-use actix_http::error::PayloadError;
+use actix_http::body::{BodyStream, BoxBody, SizedStream};
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead, Response, StatusCode};
-use awc::http::Uri;
-use bytes::{Bytes, BytesMut};
-use dunlincleat::api::{Effect, Span, Status};
-use dunlincleat_directory::Interest;
+use body::StreamingBody;
+pub use body::{
+    BodyAborted, BodyChunk, BodyChunks, BodyData, LimitedBody, RemainingBody, ResponseBody, read_body,
+};
+use bytes::Bytes;
+use dunlincleat::api::{Effect, Span};
 use dunlincleat_engine::RequestInfo;
 use dunlincleat_limits::{RequestAttributes, RuleSet};
 use dunlincleat_settings::{InstanceSettings, global_id};
-use futures_util::stream::{LocalBoxStream, once};
-use futures_util::{Stream, StreamExt};
-use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
-use serde_json::Value;
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
-use std::io;
+pub use fenced_task::{FenceRejection, FencedTask};
+use futures_util::StreamExt;
+use futures_util::stream::once;
+pub use reply::Reply;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll, ready};
 use std::time::Duration;
-use tokio::sync::mpsc;
+pub use uri::{list_uri, probe_uri, server_address, watch_uri};
 
-/// Where clients ask whether the sidecar serves, and sidecars whether a server does.
-pub const HEALTH: &str = "/healthz";
-/// A probe that brings the load report.
-pub const LOAD: &str = "/load";
+/// The health check of the sidecar for clients, and of servers for the sidecar.
+pub const HEALTH_PATH: &str = "/healthz";
+/// A probe that returns the load report.
+pub const LOAD_PATH: &str = "/load";
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 const TENANT: HeaderName = HeaderName::from_static("x-tenant-id");
@@ -37,7 +38,7 @@
 const RETRIED: HeaderName = HeaderName::from_static("x-retried");
 const COST: HeaderName = HeaderName::from_static("x-cost");
 const ATTRS: HeaderName = HeaderName::from_static("x-attrs");
-const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
 const DUTY_FENCE: HeaderName = HeaderName::from_static("x-duty-fence");
 const DUTY_PERIOD: HeaderName = HeaderName::from_static("x-duty-period");
@@ -45,193 +46,75 @@
 
 /// A client's request.
 pub struct Request {
-    /// The client's name for it.
+    /// The client's identifier for it.
     pub id: HeaderValue,
     method: Method,
-    /// Path and query as they came.
+    /// Path and query, unchanged.
     target: String,
     key: Option<HeaderValue>,
     content_type: Option<HeaderValue>,
     body: Bytes,
-    /// What follows the bytes held, where the body is passed on as it comes.
-    rest: Option<Rc<Rest>>,
-    /// What the engine is told of it.
-    pub ask: RequestInfo,
-    /// What it is sent for, where it is no client's.
-    errand: Option<Rc<Errand>>,
-}
-
-/// A request of the sidecar's own: what goes with it, whether it may still go, and what a server said that turned it down.
-pub struct Errand {
-    headers: BTreeMap<&'static str, String>,
-    may: Box<dyn Fn() -> bool>,
-    begun: Cell<bool>,
-    told: Cell<Option<(u64, u64)>>,
-}
-
-impl Errand {
-    /// One with these headers that may go as long as this says so.
-    pub fn new(headers: BTreeMap<&'static str, String>, may: impl Fn() -> bool + 'static) -> Errand {
-        Errand { headers, may: Box::new(may), begun: Cell::new(false), told: Cell::new(None) }
-    }
-
-    /// An attempt was let go out.
-    pub fn begun(&self) -> bool {
-        self.begun.get()
-    }
-
-    /// The fence and the period that a server had seen that turned it down.
-    pub fn told(&self) -> Option<(u64, u64)> {
-        self.told.get()
-    }
-
-    /// Whether an attempt may go out now; asked where its first byte is about to.
-    pub fn may(&self) -> bool {
-        let may = (self.may)();
-        self.begun.set(self.begun.get() || may);
-        may
-    }
-
-    /// A server's answer.
-    pub fn hears(&self, status: StatusCode, headers: &HeaderMap) {
-        let number = |name| text(headers, &name).and_then(|n| n.parse::<u64>().ok());
-        if status == StatusCode::CONFLICT
-            && let Some(fence) = number(DUTY_FENCE)
-        {
-            self.told.set(Some((fence, number(DUTY_PERIOD).unwrap_or(0))));
-        }
-    }
-}
-
-/// A server's answer.
-pub struct Body {
-    /// As the server sent it.
-    pub parts: Parts,
-    /// What it says the body is.
-    pub content_type: Option<HeaderValue>,
-}
-
-/// The bytes of an answer.
-pub enum Parts {
-    /// All of them.
-    Whole(Bytes),
-    /// What came first; the rest is passed on as it comes.
-    Passing {
-        /// The first bytes.
-        first: Bytes,
-        /// What follows; an end without the last word is one that broke off.
-        rest: mpsc::Receiver<Part>,
-        /// How long it is in all, where that was told.
-        length: Option<u64>,
-    },
-}
-
-/// A part of an answer that is passed on.
-pub enum Part {
-    /// Bytes.
-    Bytes(Bytes),
-    /// It came to its end.
-    End,
+    /// The part of the body after `body`, where the body is streamed.
+    rest: Option<Rc<RemainingBody>>,
+    /// The attributes that the engine needs.
+    pub info: RequestInfo,
+    /// The task that it belongs to, if it is a request of the sidecar itself.
+    task: Option<Rc<FencedTask>>,
 }
 
-/// The parts of a request's body, as they come.
-pub type Coming = LocalBoxStream<'static, Result<Bytes, PayloadError>>;
-
-/// The part of a request's body that has not come yet. It can be read once: an attempt that failed before it read any
-/// of it leaves it to the next.
-pub struct Rest {
-    /// Where it comes from.
-    parts: RefCell<Coming>,
-    read: Cell<bool>,
-    /// How long the whole body is, where that was told.
-    pub length: Option<u64>,
-}
-
-impl Rest {
-    /// The rest of a body of this length.
-    pub fn new(parts: Coming, length: Option<u64>) -> Rest {
-        Rest { parts: RefCell::new(parts), read: Cell::new(false), length }
-    }
-
-    /// Some of it was read: what is left is not the whole of it any more.
-    pub fn read(&self) -> bool {
-        self.read.get()
-    }
-
-    /// Reads on.
-    pub fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, PayloadError>>> {
-        self.read.set(true);
-        self.parts.borrow_mut().poll_next_unpin(cx)
-    }
-}
-
-/// Why a request was not taken.
+/// Why a request was rejected before it reached the engine.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed {
-    /// The status of the answer.
+    /// The status of the response.
     pub status: StatusCode,
-    /// What was wrong, for the body of the answer.
-    pub what: &'static str,
-    /// Its last byte came: it counts as one that failed.
-    pub taken: bool,
+    /// The reason, which is the body of the response.
+    pub reason: &'static str,
+    /// The request was received completely, so it counts as failed.
+    pub counts_as_failed: bool,
 }
 
 impl Request {
-    /// Reads a request's head; the body is added by `with_body`.
+    /// Decodes the head of a request; `with_body` adds the body.
     pub fn decode(
         head: &RequestHead,
         site: &InstanceSettings,
         rules: Option<&RuleSet>,
     ) -> Result<Request, Malformed> {
-        let bad = |what| Malformed { status: StatusCode::BAD_REQUEST, what, taken: true };
         let path = head.uri.path();
-        let unknown = Malformed { status: StatusCode::NOT_FOUND, what: "no such class", taken: true };
+        let unknown =
+            Malformed { status: StatusCode::NOT_FOUND, reason: "no such class", counts_as_failed: true };
         let class = class_of(path, site).ok_or(unknown)?;
         let settings = &site.settings.classes[class];
-        let key = head.headers.get(&KEY).cloned();
+        let key = head.headers.get(&IDEMPOTENCY_KEY).cloned();
         let method = match settings.effect {
             Effect::Safe => Method::GET,
             Effect::Keyed { .. } | Effect::Unsafe => Method::POST,
         };
         if head.method != method {
             let status = StatusCode::METHOD_NOT_ALLOWED;
-            return Err(Malformed { status, what: "the class is not asked for by this method", taken: true });
+            return Err(Malformed {
+                status,
+                reason: "the class is not asked for by this method",
+                counts_as_failed: true,
+            });
         }
         if matches!(settings.effect, Effect::Keyed { .. }) && key.is_none() {
-            return Err(bad("Idempotency-Key is missing"));
+            return Err(bad_request("Idempotency-Key is missing"));
         }
         let id = head.headers.get(&REQUEST_ID).filter(|id| !id.is_empty()).cloned();
-        let id = id.ok_or_else(|| bad("X-Request-ID is missing"))?;
-        let wait = match text(&head.headers, &TIMEOUT) {
-            None => settings.deadline,
-            // Nobody waits longer than the class allows over all tries: a huge one would hold its place for good.
-            Some(wait) => {
-                let wait = seconds(wait).ok_or_else(|| bad("X-Timeout is no number of seconds"))?;
-                wait.min(settings.deadline)
-            }
-        };
-        let tenant = text(&head.headers, &TENANT);
-        let tenant = site.tenants.iter().position(|t| Some(t.as_str()) == tenant);
-        // A hint is advice: one that can't be read is none.
-        let hint = text(&head.headers, &COST).and_then(|c| c.parse::<f64>().ok());
-        let mut attrs = text(&head.headers, &ATTRS).into_iter().flat_map(|attrs| attrs.split(','));
-        let object = attrs.find_map(|attr| attr.trim().strip_prefix("object="));
-        let ask = RequestInfo {
-            class: class as u32,
-            tenant: tenant.unwrap_or(site.tenants.len()) as u32,
-            wait,
-            hint: hint.filter(|c| c.is_finite() && *c >= 0.0).map(|c| Span(c as u64)),
-            key: object.filter(|object| !object.is_empty()).map(global_id),
-            repeat: text(&head.headers, &RETRIED) == Some("1"),
-            rule: None,
-        };
-        let rule = rules.map(|rules| {
+        let id = id.ok_or_else(|| bad_request("X-Request-ID is missing"))?;
+        let mut info = request_info(head, class, site)?;
+        info.rule = rules.map(|rules| {
             let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-            let (class, tenant) = (ask.class, ask.tenant);
-            let facts = RequestAttributes { path, method: method.as_str(), class, tenant, header: &header };
-            rules.find(&facts).clone()
+            let attributes = RequestAttributes {
+                path,
+                method: method.as_str(),
+                class: info.class,
+                tenant: info.tenant,
+                header: &header,
+            };
+            rules.find(&attributes).clone()
         });
-        let ask = RequestInfo { rule, ..ask };
         Ok(Request {
             id,
             method,
@@ -240,50 +123,51 @@
             content_type: head.headers.get(header::CONTENT_TYPE).cloned(),
             body: Bytes::new(),
             rest: None,
-            ask,
-            errand: None,
+            info,
+            task: None,
         })
     }
 
-    /// The same with its body.
-    pub fn with_body(mut self, body: Bytes, rest: Option<Rest>) -> Request {
-        (self.body, self.rest) = (body, rest.map(Rc::new));
+    /// Adds the body.
+    pub fn with_body(mut self, body: Bytes, rest: Option<RemainingBody>) -> Request {
+        self.body = body;
+        self.rest = rest.map(Rc::new);
         self
     }
 
-    /// The same on an errand of the sidecar's own.
-    pub fn on(mut self, errand: Rc<Errand>) -> Request {
-        self.errand = Some(errand);
+    /// Marks it as part of a task of the sidecar itself.
+    pub fn with_task(mut self, task: Rc<FencedTask>) -> Request {
+        self.task = Some(task);
         self
     }
 
-    /// What it is sent for, where it is no client's.
-    pub fn errand(&self) -> Option<&Errand> {
-        self.errand.as_deref()
+    /// The task that it belongs to, if it is a request of the sidecar itself.
+    pub fn task(&self) -> Option<&FencedTask> {
+        self.task.as_deref()
     }
 
-    /// What had not come of its body when it was taken; none where it is whole.
-    pub fn rest(&self) -> Option<Rc<Rest>> {
+    /// The part of the body that had not been received when the request was accepted; `None` if it is complete.
+    pub fn remaining_body(&self) -> Option<Rc<RemainingBody>> {
         self.rest.clone()
     }
 
-    /// The bytes of its body that are held.
-    pub fn held(&self) -> &Bytes {
+    /// The buffered bytes of the body.
+    pub fn buffered_body(&self) -> &Bytes {
         &self.body
     }
 
-    /// The length of its body, in bytes, as the head told it.
-    pub fn length(head: &RequestHead) -> Option<u64> {
-        text(&head.headers, &header::CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok())
+    /// The length of the body in bytes, as announced by the head.
+    pub fn content_length(head: &RequestHead) -> Option<u64> {
+        header_text(&head.headers, &header::CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok())
     }
 
-    /// Encodes it for a server; `left` is how long the sidecar will wait, `rest` what follows the bytes held.
+    /// Encodes it for a server. `left` is how long the sidecar will wait; `rest` is what follows the buffered body.
     pub fn encode(
         &self,
         client: &awc::Client,
         server: SocketAddr,
         left: Duration,
-        rest: Option<Coming>,
+        rest: Option<BodyChunks>,
     ) -> awc::SendClientRequest {
         let uri = format!("http://{server}{}", self.target);
         let request = client
@@ -291,23 +175,23 @@
             .insert_header((REQUEST_ID, self.id.clone()))
             .insert_header((TIMEOUT, format!("{:.6}", left.as_secs_f64())));
         let request = match &self.key {
-            Some(key) => request.insert_header((KEY, key.clone())),
+            Some(key) => request.insert_header((IDEMPOTENCY_KEY, key.clone())),
             None => request,
         };
         let request = match &self.content_type {
             Some(kind) => request.insert_header((header::CONTENT_TYPE, kind.clone())),
             None => request,
         };
-        let own = self.errand.iter().flat_map(|errand| &errand.headers);
+        let extra = self.task.iter().flat_map(|task| &task.headers);
         let request =
-            own.fold(request, |request, (name, value)| request.insert_header((*name, value.as_str())));
+            extra.fold(request, |request, (name, value)| request.insert_header((*name, value.as_str())));
         let first = self.body.clone();
         match rest {
-            Some(parts) => {
-                let parts = once(async move { Ok(first) }).chain(parts);
+            Some(chunks) => {
+                let chunks = once(async move { Ok(first) }).chain(chunks);
                 match self.rest.as_ref().and_then(|rest| rest.length) {
-                    Some(length) => request.send_body(SizedStream::new(length, parts)),
-                    None => request.send_body(BodyStream::new(parts)),
+                    Some(length) => request.send_body(SizedStream::new(length, chunks)),
+                    None => request.send_body(BodyStream::new(chunks)),
                 }
             }
             None if self.method == Method::GET && first.is_empty() => request.send(),
@@ -316,20 +200,53 @@
     }
 }
 
-/// The number of the class that a path names by its first part.
+/// The attributes of a request that the engine needs, without the rule that it is admitted under.
+fn request_info(head: &RequestHead, class: usize, site: &InstanceSettings) -> Result<RequestInfo, Malformed> {
+    let deadline = site.settings.classes[class].deadline;
+    let wait = match header_text(&head.headers, &TIMEOUT) {
+        None => deadline,
+        // The deadline of the class covers all attempts: a longer timeout gains nothing, and a huge one would hold
+        // its request permit forever.
+        Some(wait) => {
+            let wait = parse_seconds(wait).ok_or_else(|| bad_request("X-Timeout is no number of seconds"))?;
+            wait.min(deadline)
+        }
+    };
+    let tenant = header_text(&head.headers, &TENANT);
+    let tenant = site.tenants.iter().position(|t| Some(t.as_str()) == tenant);
+    // The cost is a hint: an unreadable one is ignored.
+    let hint = header_text(&head.headers, &COST).and_then(|c| c.parse::<f64>().ok());
+    let mut attrs = header_text(&head.headers, &ATTRS).into_iter().flat_map(|attrs| attrs.split(','));
+    let object = attrs.find_map(|attr| attr.trim().strip_prefix("object="));
+    Ok(RequestInfo {
+        class: class as u32,
+        tenant: tenant.unwrap_or(site.tenants.len()) as u32,
+        wait,
+        hint: hint.filter(|c| c.is_finite() && *c >= 0.0).map(|c| Span(c as u64)),
+        key: object.filter(|object| !object.is_empty()).map(global_id),
+        repeat: header_text(&head.headers, &RETRIED) == Some("1"),
+        rule: None,
+    })
+}
+
+fn bad_request(reason: &'static str) -> Malformed {
+    Malformed { status: StatusCode::BAD_REQUEST, reason, counts_as_failed: true }
+}
+
+/// The number of the class named by the first segment of a path.
 pub fn class_of(path: &str, site: &InstanceSettings) -> Option<usize> {
     let name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
     site.classes.iter().position(|c| c == name && !name.is_empty())
 }
 
 /// Encodes the final answer to a client.
-pub fn encode(answer: Answer) -> Response<BoxBody> {
+pub fn encode_answer(answer: Answer) -> Response<BoxBody> {
     match answer {
-        Answer::Served(Body { parts, content_type }) => {
-            let body = match parts {
-                Parts::Whole(body) => BoxBody::new(body),
-                Parts::Passing { first, rest, length } => {
-                    BoxBody::new(Passing { first, rest, length, ended: false })
+        Answer::Served(ResponseBody { data, content_type }) => {
+            let body = match data {
+                BodyData::Complete(body) => BoxBody::new(body),
+                BodyData::Streaming { first, rest, length } => {
+                    BoxBody::new(StreamingBody { first, rest, length, ended: false })
                 }
             };
             let mut response = Response::with_body(StatusCode::OK, body);
@@ -350,163 +267,24 @@
     }
 }
 
-/// An answer that is passed on as it comes. Where it breaks off, so does the client's connection: it is never taken for
-/// a whole one.
-struct Passing {
-    first: Bytes,
-    rest: mpsc::Receiver<Part>,
-    length: Option<u64>,
-    ended: bool,
-}
-
-impl MessageBody for Passing {
-    type Error = io::Error;
-
-    fn size(&self) -> BodySize {
-        self.length.map_or(BodySize::Stream, BodySize::Sized)
-    }
-
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        if !self.first.is_empty() {
-            return Poll::Ready(Some(Ok(std::mem::take(&mut self.first))));
-        }
-        if self.ended {
-            return Poll::Ready(None);
-        }
-        match ready!(self.rest.poll_recv(cx)) {
-            Some(Part::Bytes(bytes)) => Poll::Ready(Some(Ok(bytes))),
-            Some(Part::End) => {
-                self.ended = true;
-                Poll::Ready(None)
-            }
-            None => Poll::Ready(Some(Err(io::Error::other("the server's answer broke off")))),
-        }
-    }
-}
-
-impl From<Broken> for Malformed {
-    fn from(Broken: Broken) -> Malformed {
-        Malformed { status: StatusCode::BAD_REQUEST, what: "the body broke off", taken: false }
+impl From<BodyAborted> for Malformed {
+    fn from(BodyAborted: BodyAborted) -> Malformed {
+        Malformed { status: StatusCode::BAD_REQUEST, reason: "the body broke off", counts_as_failed: false }
     }
 }
 
 impl Malformed {
-    /// Encodes the answer.
+    /// Encodes the response.
     pub fn encode(self) -> Response<BoxBody> {
-        Response::with_body(self.status, BoxBody::new(Bytes::from_static(self.what.as_bytes())))
-    }
-}
-
-/// A server's answer to a request or a probe, without its body.
-pub struct Reply {
-    /// What it means.
-    pub status: Status,
-    /// The load report, in the order of the settings' fields; empty where none came.
-    pub load: Vec<f64>,
-    /// What it says its body is.
-    pub content_type: Option<HeaderValue>,
-    /// How long it says its body is, in bytes.
-    pub length: Option<u64>,
-}
-
-impl Reply {
-    /// Reads the head of an answer.
-    pub fn decode(status: StatusCode, headers: &HeaderMap, fields: &[String]) -> Reply {
-        let unseen = text(headers, &NOT_PROCESSED) == Some("1");
-        let status = match status {
-            StatusCode::OK => Status::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Status::Rejected,
-            // Whatever is no word of the protocol's may have run.
-            _ => Status::Error,
-        };
-        let load = text(headers, &SERVER_LOAD).map(|l| load(l.as_bytes(), fields)).unwrap_or_default();
-        let length = text(headers, &header::CONTENT_LENGTH).and_then(|l| l.parse().ok());
-        Reply { status, load, content_type: headers.get(header::CONTENT_TYPE).cloned(), length }
-    }
-
-    /// Reads the head and the body of a probe's answer: 503 is a probe's word for a server that is busy.
-    pub fn decode_probe(status: StatusCode, headers: &HeaderMap, body: &[u8], fields: &[String]) -> Reply {
-        let mut reply = Reply::decode(status, headers, fields);
-        if status == StatusCode::SERVICE_UNAVAILABLE {
-            reply.status = Status::Rejected;
-        }
-        if reply.load.is_empty() {
-            reply.load = load(body, fields);
-        }
-        reply
+        Response::with_body(self.status, BoxBody::new(Bytes::from_static(self.reason.as_bytes())))
     }
 }
 
-/// No server has this much of anything that a load report counts.
-const LOAD_MOST: f64 = 1e9;
-
-/// Reads a load report; a figure that lacks becomes no number. A report without any of them is none, and so is one
-/// with a figure that can't be true: a load under nothing would draw every request there.
-fn load(json: &[u8], fields: &[String]) -> Vec<f64> {
-    let Ok(Value::Object(report)) = serde_json::from_slice(json) else { return Vec::new() };
-    let figure = |name: &String| report.get(name).and_then(Value::as_f64).unwrap_or(f64::NAN);
-    let load: Vec<f64> = fields.iter().map(figure).collect();
-    let readable = load.iter().all(|v| v.is_nan() || (0.0..=LOAD_MOST).contains(v));
-    if readable && load.iter().any(|v| !v.is_nan()) { load } else { Vec::new() }
-}
-
-/// The connection of a body broke off.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Broken;
-
-/// Reads a body until it is whole or over so many bytes; tells whether it is whole.
-pub async fn read_body<E>(
-    parts: &mut (impl Stream<Item = Result<Bytes, E>> + Unpin),
-    most: usize,
-) -> Result<(Bytes, bool), Broken> {
-    let mut whole = BytesMut::new();
-    while whole.len() <= most {
-        let Some(part) = parts.next().await else { return Ok((whole.freeze(), true)) };
-        let part = part.map_err(|_| Broken)?;
-        if whole.is_empty() {
-            whole = BytesMut::from(part);
-        } else {
-            whole.extend_from_slice(&part);
-        }
-    }
-    Ok((whole.freeze(), false))
-}
-
-/// The address of the whole list, or of that of some services. Discovery may pass over which, and tell of all.
-pub fn list_uri(discovery: SocketAddr, interest: &Interest) -> String {
-    let models = models(interest).map(|models| format!("?{models}"));
-    format!("http://{discovery}/v1/servers{}", models.unwrap_or_default())
-}
-
-/// The address of a watch for what changed after a version, in the same way.
-pub fn watch_uri(discovery: SocketAddr, after: u64, interest: &Interest) -> String {
-    let models = models(interest).map(|models| format!("&{models}"));
-    format!("http://{discovery}/v1/servers?watch=1&after={after}{}", models.unwrap_or_default())
-}
-
-/// What a name needs no escape for in a query; a comma parts names.
-const PLAIN: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
-
-fn models(interest: &Interest) -> Option<String> {
-    let names = interest.services()?.map(|name| utf8_percent_encode(name, PLAIN).to_string());
-    Some(format!("models={}", names.collect::<Vec<_>>().join(",")))
-}
-
-/// The address of a probe.
-pub fn probe_uri(server: SocketAddr, with_load: bool) -> String {
-    format!("http://{server}{}", if with_load { LOAD } else { HEALTH })
-}
-
-/// The address and port of a URI that this program made.
-pub fn authority(uri: &Uri) -> Option<SocketAddr> {
-    uri.authority()?.as_str().parse().ok()
-}
-
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim)
 }
 
-fn seconds(text: &str) -> Option<Span> {
+fn parse_seconds(text: &str) -> Option<Span> {
     let seconds: f64 = text.parse().ok()?;
     (seconds.is_finite() && seconds >= 0.0).then_some(Span((seconds * 1e6).min(1e15) as u64))
 }
--- /dev/null
+++ b/crates/http/src/message/body.rs
@@ -0,0 +1,142 @@
+//! Bodies of requests and responses.
+
+use actix_http::body::{BodySize, MessageBody};
+use actix_http::error::PayloadError;
+use actix_http::header::HeaderValue;
+use bytes::{Bytes, BytesMut};
+use futures_util::stream::LocalBoxStream;
+use futures_util::{Stream, StreamExt};
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::pin::Pin;
+use std::task::{Context, Poll, ready};
+use tokio::sync::mpsc;
+
+/// The body of a server's response.
+pub struct ResponseBody {
+    /// Its bytes, as the server sent them.
+    pub data: BodyData,
+    /// Its `Content-Type`.
+    pub content_type: Option<HeaderValue>,
+}
+
+/// The bytes of a response body.
+pub enum BodyData {
+    /// The complete body.
+    Complete(Bytes),
+    /// The first bytes; the rest is streamed.
+    Streaming {
+        /// The bytes received first.
+        first: Bytes,
+        /// What follows. A channel that closes without [`BodyChunk::End`] means that the body broke off.
+        rest: mpsc::Receiver<BodyChunk>,
+        /// The total length, if announced.
+        length: Option<u64>,
+    },
+}
+
+/// A part of a streamed response.
+pub enum BodyChunk {
+    /// The next bytes.
+    Bytes(Bytes),
+    /// The end of the body.
+    End,
+}
+
+/// The chunks of a request body, as they are received.
+pub type BodyChunks = LocalBoxStream<'static, Result<Bytes, PayloadError>>;
+
+/// The part of a request body that has not been received yet. It can be read once: an attempt that failed before it
+/// read any of it leaves it to the next one.
+pub struct RemainingBody {
+    /// The source of the chunks.
+    chunks: RefCell<BodyChunks>,
+    read_started: Cell<bool>,
+    /// The length of the whole body, if announced.
+    pub length: Option<u64>,
+}
+
+impl RemainingBody {
+    /// Creates the rest of a body of the given total length.
+    pub fn new(chunks: BodyChunks, length: Option<u64>) -> RemainingBody {
+        RemainingBody { chunks: RefCell::new(chunks), read_started: Cell::new(false), length }
+    }
+
+    /// Whether any of it has been read, so that what is left is incomplete.
+    pub fn read_started(&self) -> bool {
+        self.read_started.get()
+    }
+
+    /// Reads the next chunk.
+    pub fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, PayloadError>>> {
+        self.read_started.set(true);
+        self.chunks.borrow_mut().poll_next_unpin(cx)
+    }
+}
+
+/// The body of a streamed response to a client. If it breaks off, so does the client's connection, so that it is
+/// never taken for a complete one.
+pub(super) struct StreamingBody {
+    pub(super) first: Bytes,
+    pub(super) rest: mpsc::Receiver<BodyChunk>,
+    pub(super) length: Option<u64>,
+    pub(super) ended: bool,
+}
+
+impl MessageBody for StreamingBody {
+    type Error = io::Error;
+
+    fn size(&self) -> BodySize {
+        self.length.map_or(BodySize::Stream, BodySize::Sized)
+    }
+
+    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
+        if !self.first.is_empty() {
+            return Poll::Ready(Some(Ok(std::mem::take(&mut self.first))));
+        }
+        if self.ended {
+            return Poll::Ready(None);
+        }
+        match ready!(self.rest.poll_recv(cx)) {
+            Some(BodyChunk::Bytes(bytes)) => Poll::Ready(Some(Ok(bytes))),
+            Some(BodyChunk::End) => {
+                self.ended = true;
+                Poll::Ready(None)
+            }
+            None => Poll::Ready(Some(Err(io::Error::other("the server's response broke off")))),
+        }
+    }
+}
+
+/// The connection broke off in the middle of a body.
+#[derive(Debug, PartialEq, Eq)]
+pub struct BodyAborted;
+
+/// A body read up to a limit.
+#[derive(Debug, PartialEq, Eq)]
+pub struct LimitedBody {
+    /// The bytes read.
+    pub bytes: Bytes,
+    /// Whether they are the complete body.
+    pub complete: bool,
+}
+
+/// Reads a body until it is complete or exceeds `limit`.
+pub async fn read_body<E>(
+    chunks: &mut (impl Stream<Item = Result<Bytes, E>> + Unpin),
+    limit: usize,
+) -> Result<LimitedBody, BodyAborted> {
+    let mut body = BytesMut::new();
+    while body.len() <= limit {
+        let Some(chunk) = chunks.next().await else {
+            return Ok(LimitedBody { bytes: body.freeze(), complete: true });
+        };
+        let chunk = chunk.map_err(|_| BodyAborted)?;
+        if body.is_empty() {
+            body = BytesMut::from(chunk);
+        } else {
+            body.extend_from_slice(&chunk);
+        }
+    }
+    Ok(LimitedBody { bytes: body.freeze(), complete: false })
+}
