--- a/crates/hollow/src/account.rs
+++ b/crates/hollow/src/account.rs
@@ -16,25 +16,25 @@
 
 thread_local! {
     /// Whose tasks are polled now.
-    static CURRENT: RefCell<Option<Rc<Account>>> = const { RefCell::new(None) };
+    static CURRENT_ACCOUNT: RefCell<Option<Rc<Account>>> = const { RefCell::new(None) };
 }
 
 /// Where it is noted which version came in force at which sidecar and when.
-pub type InForce = Rc<RefCell<Vec<(usize, u64, u64)>>>;
+pub type AppliedRevisions = Rc<RefCell<Vec<(usize, u64, u64)>>>;
 
 /// What is counted of one sidecar.
 pub struct Account {
     /// Its number.
     pub sidecar: usize,
     allocated: fn() -> usize,
-    in_force: InForce,
-    nanos: Cell<u64>,
+    applied_revisions: AppliedRevisions,
+    cpu_nanos: Cell<u64>,
     memory: Cell<i64>,
     /// Lists and changes that its engine was told, and the version of the latest.
     deliveries: Cell<u64>,
     rev: Cell<Option<u64>>,
     /// How often a watch began to be followed.
-    followed: Cell<u64>,
+    watches_started: Cell<u64>,
     /// Probes that its engine asked for.
     pub probes: Cell<u64>,
 }
@@ -42,10 +42,18 @@
 impl Account {
     /// An account with nothing on it.
     #[must_use]
-    pub fn new(sidecar: usize, allocated: fn() -> usize, in_force: InForce) -> Account {
-        let (nanos, memory, deliveries, rev) = (Cell::new(0), Cell::new(0), Cell::new(0), Cell::new(None));
-        let (followed, probes) = (Cell::new(0), Cell::new(0));
-        Account { sidecar, allocated, in_force, nanos, memory, deliveries, rev, followed, probes }
+    pub fn new(sidecar: usize, allocated: fn() -> usize, applied_revisions: AppliedRevisions) -> Account {
+        Account {
+            sidecar,
+            allocated,
+            applied_revisions,
+            cpu_nanos: Cell::new(0),
+            memory: Cell::new(0),
+            deliveries: Cell::new(0),
+            rev: Cell::new(None),
+            watches_started: Cell::new(0),
+            probes: Cell::new(0),
+        }
     }
 
     /// What stands on it.
@@ -53,7 +61,7 @@
     pub fn counts(&self) -> SidecarCounts {
         SidecarCounts {
             sidecar: self.sidecar,
-            cpu: self.nanos.get() / 1000,
+            cpu: self.cpu_nanos.get() / 1000,
             memory: u64::try_from(self.memory.get()).unwrap_or(0),
             deliveries: self.deliveries.get(),
             probes: self.probes.get(),
@@ -63,7 +71,7 @@
     /// How often a watch began to be followed.
     #[must_use]
     pub fn watches_started(&self) -> u64 {
-        self.followed.get()
+        self.watches_started.get()
     }
 
     /// Lists and changes that its engine was told.
@@ -73,12 +81,12 @@
     }
 
     /// A line of its log.
-    fn logged(&self, line: &str) {
+    fn observe_log_line(&self, line: &str) {
         if let Some(rev) = revision_of(line) {
             self.deliveries.set(self.deliveries.get() + 1);
             self.rev.set(Some(rev));
         } else if line.starts_with("watch of discovery at ") {
-            self.followed.set(self.followed.get() + 1);
+            self.watches_started.set(self.watches_started.get() + 1);
         }
     }
 }
@@ -86,8 +94,8 @@
 /// The version that a line of a sidecar's log says its engine took, the one that it started from left out.
 #[must_use]
 pub fn revision_of(line: &str) -> Option<u64> {
-    let told = ["list changes revision ", "list in whole revision "];
-    let rest = told.iter().find_map(|told| Some(line.split_once(told)?.1))?;
+    let markers = ["list changes revision ", "list in whole revision "];
+    let rest = markers.iter().find_map(|marker| Some(line.split_once(marker)?.1))?;
     rest.split(':').next()?.parse().ok()
 }
 
@@ -114,14 +122,14 @@
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<F::Output> {
         let account = self.account.clone();
-        CURRENT.set(Some(account.clone()));
-        let (memory, nanos) = ((account.allocated)() as i64, thread_nanos());
+        CURRENT_ACCOUNT.set(Some(account.clone()));
+        let (memory_before, nanos_before) = ((account.allocated)() as i64, thread_nanos());
         let polled = self.inner.as_mut().poll(cx);
-        account.nanos.set(account.nanos.get() + thread_nanos().saturating_sub(nanos));
-        account.memory.set(account.memory.get() + (account.allocated)() as i64 - memory);
-        CURRENT.set(None);
+        account.cpu_nanos.set(account.cpu_nanos.get() + thread_nanos().saturating_sub(nanos_before));
+        account.memory.set(account.memory.get() + (account.allocated)() as i64 - memory_before);
+        CURRENT_ACCOUNT.set(None);
         if let Some(rev) = account.rev.take() {
-            account.in_force.borrow_mut().push((account.sidecar, rev, now()));
+            account.applied_revisions.borrow_mut().push((account.sidecar, rev, now()));
         }
         polled
     }
@@ -158,9 +166,9 @@
     fn event(&self, event: &Event<'_>) {
         let mut message = Message::default();
         event.record(&mut message);
-        CURRENT.with_borrow(|current| {
+        CURRENT_ACCOUNT.with_borrow(|current| {
             if let Some(account) = current {
-                account.logged(&message.0);
+                account.observe_log_line(&message.0);
             }
         });
     }
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -28,9 +28,9 @@
 use tokio::time::{Instant, interval};
 
 /// How often it is told what came in force.
-const FLUSH: Duration = Duration::from_millis(50);
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// How often it is told what was counted, in flushes.
-const SAMPLE: u32 = 10;
+const REPORTS_PER_SAMPLE: u32 = 10;
 
 /// What the process is told on its standard input.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -50,7 +50,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Report {
     /// Sidecar, version and the time at which it was in force there, in microseconds of the machine's clock.
-    InForce(Vec<(usize, u64, u64)>),
+    #[serde(rename = "in_force")]
+    RevisionsApplied(Vec<(usize, u64, u64)>),
     /// What was counted.
     Sample(Sample),
 }
@@ -106,22 +107,27 @@
     // Fails only where one is set already, and then nothing would be heard.
     tracing::subscriber::set_global_default(LogSubscriber).context("the log")?;
     actix_rt::System::new().block_on(async move {
-        let in_force = Rc::new(RefCell::new(Vec::new()));
+        let applied_revisions = Rc::new(RefCell::new(Vec::new()));
         let running: Rc<RefCell<BTreeMap<usize, Running>>> = Rc::default();
-        actix_rt::spawn(tell(in_force.clone(), running.clone()));
-        let mut told: Option<Rc<sidecar::Shared>> = None;
-        let mut orders = BufReader::with_capacity(1 << 20, stdin()).lines();
-        while let Some(line) = orders.next_line().await? {
+        actix_rt::spawn(report(applied_revisions.clone(), running.clone()));
+        let mut shared_state: Option<Rc<sidecar::SharedState>> = None;
+        let mut commands = BufReader::with_capacity(1 << 20, stdin()).lines();
+        while let Some(line) = commands.next_line().await? {
             match serde_json::from_str(&line).context("an order of the rig's")? {
-                Command::Configure(shared) => told = Some(Rc::new(sidecar::Shared::new(&shared)?)),
+                Command::Configure(config) => {
+                    shared_state = Some(Rc::new(sidecar::SharedState::new(&config)?))
+                }
                 Command::Start(specs) => {
-                    let Some(shared) = &told else { bail!("a start before all that is shared was told") };
+                    let Some(shared) = &shared_state else {
+                        bail!("a start before all that is shared was told")
+                    };
                     for spec in specs {
                         // Ended before the new one begins, so that its memory counts as given back.
                         running.borrow_mut().remove(&spec.sidecar);
-                        let account = Rc::new(Account::new(spec.sidecar, allocated, in_force.clone()));
-                        let life = sidecar::run(shared.clone(), spec, account.clone());
-                        let task = actix_rt::spawn(Metered::new(life, account.clone()));
+                        let account =
+                            Rc::new(Account::new(spec.sidecar, allocated, applied_revisions.clone()));
+                        let sidecar_task = sidecar::run(shared.clone(), spec, account.clone());
+                        let task = actix_rt::spawn(Metered::new(sidecar_task, account.clone()));
                         running.borrow_mut().insert(account.sidecar, Running { account, task });
                     }
                 }
@@ -135,17 +141,22 @@
 }
 
 /// Tells what came in force and what was counted, and how late its own timer was.
-async fn tell(in_force: Rc<RefCell<Vec<(usize, u64, u64)>>>, running: Rc<RefCell<BTreeMap<usize, Running>>>) {
-    let (mut ticks, mut tick, late) = (interval(FLUSH), 0, Cell::new(0));
+async fn report(
+    applied_revisions: Rc<RefCell<Vec<(usize, u64, u64)>>>,
+    running: Rc<RefCell<BTreeMap<usize, Running>>>,
+) {
+    let mut ticks = interval(REPORT_INTERVAL);
+    let mut tick = 0;
+    let late = Cell::new(0);
     loop {
         let due = ticks.tick().await;
         late.set(late.get().max(Instant::now().saturating_duration_since(due).as_micros() as u64));
-        let new = in_force.take();
+        let new = applied_revisions.take();
         if !new.is_empty() {
-            write_report(&Report::InForce(new));
+            write_report(&Report::RevisionsApplied(new));
         }
         tick += 1;
-        if tick % SAMPLE == 0 {
+        if tick % REPORTS_PER_SAMPLE == 0 {
             let sidecars = running.borrow().values().map(|running| running.account.counts()).collect();
             let (at, late) = (now(), late.take());
             let (cpu, memory) = (processor_time(), resident_memory("self"));
--- a/crates/hollow/src/sidecar.rs
+++ b/crates/hollow/src/sidecar.rs
@@ -31,9 +31,9 @@
 use tokio::time::{Instant, sleep};
 
 /// Requests that a sidecar may hold.
-const REQUESTS: u32 = 1000;
+const MAX_REQUESTS: u32 = 1000;
 /// What a task holds that is leaked, in bytes.
-const LEAKED: usize = 64 << 10;
+const LEAKED_BYTES: usize = 64 << 10;
 
 /// What all sidecars of a process share.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -74,30 +74,31 @@
 }
 
 /// What all sidecars of a process share, as the crates take it.
-pub struct Shared {
-    site: Arc<InstanceSettings>,
+pub struct SharedState {
+    settings: Arc<InstanceSettings>,
     own: Rc<Own>,
     rate: f64,
 }
 
-impl Shared {
+impl SharedState {
     /// Reads the settings by the code that the program reads them by.
     ///
     /// # Errors
     ///
     /// They are at fault.
-    pub fn new(told: &SharedConfig) -> Result<Shared> {
-        let site = dunlincleat_settings::read_value(told.settings.clone()).context("settings")?;
+    pub fn new(config: &SharedConfig) -> Result<SharedState> {
+        let settings = dunlincleat_settings::read_value(config.settings.clone()).context("settings")?;
         // The program's defaults.
         let ms = Duration::from_millis;
-        let watch = Timing::derive(Span(2_000_000), Span(6_000_000), site.drain_grace.unwrap_or_default());
+        let watch =
+            Timing::derive(Span(2_000_000), Span(6_000_000), settings.drain_grace.unwrap_or_default());
         let own = Own {
             body_bytes: 64 << 10,
             client_connections: 0,
             client_request: ms(2600),
             client_idle: ms(3000),
             server_connections: 0,
-            requests: REQUESTS as usize,
+            requests: MAX_REQUESTS as usize,
             idle: ms(2500),
             connect: ms(1000),
             probe: ms(100),
@@ -107,17 +108,17 @@
             list_file: None,
             halved: Rc::default(),
         };
-        Ok(Shared { site: Arc::new(site), own: Rc::new(own), rate: told.rate })
+        Ok(SharedState { settings: Arc::new(settings), own: Rc::new(own), rate: config.rate })
     }
 }
 
 /// Servers that answer at once.
-struct Servers {
+struct InstantServers {
     engine: Handle,
     account: Rc<Account>,
 }
 
-impl Transports for Servers {
+impl Transports for InstantServers {
     type Payload = Rc<Request>;
     type Body = Body;
 
@@ -138,8 +139,9 @@
     ) {
         let parts = Parts::Whole(Vec::new().into());
         let body = Some(Body { parts, content_type: None });
-        let ended = Completion { status: Status::Ok, latency: Span(5000), load: vec![1.0, 0.0, 0.5], body };
-        self.engine.attempt_ended(id, attempt, server, ended);
+        let completion =
+            Completion { status: Status::Ok, latency: Span(5000), load: vec![1.0, 0.0, 0.5], body };
+        self.engine.attempt_ended(id, attempt, server, completion);
     }
 
     // What was asked has ended already.
@@ -149,9 +151,9 @@
 
     fn probe(&mut self, server: ServerId, asked: PoolId) {
         self.account.probes.set(self.account.probes.get() + 1);
-        let ended =
+        let completion =
             Completion { status: Status::Ok, latency: Span(1000), load: vec![1.0, 0.0, 0.5], body: None };
-        self.engine.probe_ended(server, asked, ended);
+        self.engine.probe_ended(server, asked, completion);
     }
 
     fn free_connections(&self) -> usize {
@@ -160,34 +162,34 @@
 }
 
 /// Lives until it is dropped.
-pub async fn run(shared: Rc<Shared>, spec: SidecarSpec, account: Rc<Account>) {
+pub async fn run(shared: Rc<SharedState>, spec: SidecarSpec, account: Rc<Account>) {
     let tasks = LocalSet::new();
     tasks.run_until(control_path(shared, spec, account)).await;
 }
 
-async fn control_path(shared: Rc<Shared>, spec: SidecarSpec, account: Rc<Account>) {
-    let Shared { site, own, rate } = &*shared;
+async fn control_path(shared: Rc<SharedState>, spec: SidecarSpec, account: Rc<Account>) {
+    let SharedState { settings, own, rate } = &*shared;
     let (engine, mail) = mailbox();
     let (caller, calls) = list::mailbox();
     let clock = Clock::begin();
     let known = Listing { whole: true, ..Listing::default() };
-    let mode = site.settings.discovery;
+    let mode = settings.settings.discovery;
     let interest = if spec.services.is_empty() { Interest::default() } else { Interest::of(spec.services) };
     let own = Rc::new(Own { interest: interest.clone(), ..Own::clone(own) });
     let (at, seed) = (spec.discovery, spec.seed);
     let (follower, known) = Follower::with_interest(clock.now(), own.watch, mode, at, seed, known, interest);
     List::start(follower, clock, own.clone(), engine.clone(), calls);
-    let decides = Engine::new(site, spec.seed, REQUESTS);
+    let engine_state = Engine::new(settings, spec.seed, MAX_REQUESTS);
     let gauges = Gauges { metrics: Arc::new(Metrics::default()), sample_avoided: false };
-    let servers = Servers { engine: engine.clone(), account: account.clone() };
-    let actor = Actor::new(decides, clock, servers, caller.clone(), gauges);
+    let servers = InstantServers { engine: engine.clone(), account: account.clone() };
+    let actor = Actor::new(engine_state, clock, servers, caller.clone(), gauges);
     if *rate > 0.0 {
-        spawn_local(ask(engine, site.clone(), spec.seed, *rate));
+        spawn_local(send_requests(engine, settings.clone(), spec.seed, *rate));
     }
     match spec.fault {
         None => {}
         Some(InjectedFault::WholeList(elsewhere)) => {
-            spawn_local(to_and_fro(account.clone(), caller, [elsewhere, spec.discovery]));
+            spawn_local(alternate_discovery(account.clone(), caller, [elsewhere, spec.discovery]));
         }
         Some(InjectedFault::Unresponsive) => {
             let actor = Box::pin(actor.run(mail, known));
@@ -199,10 +201,10 @@
 }
 
 /// Asks for something now and then.
-async fn ask(engine: Handle, site: Arc<InstanceSettings>, seed: u64, rate: f64) {
+async fn send_requests(engine: Handle, settings: Arc<InstanceSettings>, seed: u64, rate: f64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut head = RequestHead::default();
-    let name = site.classes.first().cloned().unwrap_or_default();
+    let name = settings.classes.first().cloned().unwrap_or_default();
     // A class's name that is no path is asked for by nobody.
     let Ok(uri) = format!("/{name}").parse() else { return };
     head.uri = uri;
@@ -210,7 +212,7 @@
         sleep(Duration::from_secs_f64(rng.random_range(0.5..1.5) / rate)).await;
         let id = HeaderValue::from(number);
         head.headers.insert(HeaderName::from_static("x-request-id"), id);
-        let Ok(request) = Request::decode(&head, &site, None) else { return };
+        let Ok(request) = Request::decode(&head, &settings, None) else { return };
         let (slot, answer) = oneshot::channel();
         engine.request(RequestId(number), request.ask.clone(), Rc::new(request), Instant::now(), slot);
         // Whatever the answer is, the next is asked for later.
@@ -219,19 +221,19 @@
 }
 
 /// How often a planted fault looks whether its time has come.
-const LOOK: Duration = Duration::from_millis(100);
+const FAULT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-async fn to_and_fro(account: Rc<Account>, caller: list::Caller, places: [SocketAddr; 2]) {
+async fn alternate_discovery(account: Rc<Account>, caller: list::Caller, addresses: [SocketAddr; 2]) {
     let mut seen = 0;
-    for at in places.iter().cycle() {
+    for at in addresses.iter().cycle() {
         // Of each two the one is the whole list that the other brought.
         while account.deliveries() <= seen {
-            sleep(LOOK).await;
+            sleep(FAULT_POLL_INTERVAL).await;
         }
         caller.moved(*at);
-        let told = account.deliveries();
-        while account.deliveries() == told {
-            sleep(LOOK).await;
+        let before = account.deliveries();
+        while account.deliveries() == before {
+            sleep(FAULT_POLL_INTERVAL).await;
         }
         seen = account.deliveries();
     }
@@ -240,11 +242,11 @@
 async fn leak(account: Rc<Account>) {
     let mut seen = 0;
     loop {
-        sleep(LOOK).await;
+        sleep(FAULT_POLL_INTERVAL).await;
         while seen < account.watches_started() {
             seen += 1;
             spawn_local(async {
-                let held = vec![1_u8; LEAKED];
+                let held = vec![1_u8; LEAKED_BYTES];
                 std::future::pending::<()>().await;
                 drop(held);
             });
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -599,7 +599,7 @@
             From::Control(_, control::Report::Fault(fault)) => self.fault = Some(fault),
             From::Control(n, control::Report::Serves(count)) => drop(self.serves.insert(n, count)),
             From::Control(n, control::Report::Sample(sample)) => self.control_sample(n, sample),
-            From::Hollow(_, hollow::Report::InForce(all)) => {
+            From::Hollow(_, hollow::Report::RevisionsApplied(all)) => {
                 all.into_iter().for_each(|(sidecar, rev, at)| self.took(sidecar, rev, at));
             }
             From::Hollow(n, hollow::Report::Sample(sample)) => {
--- a/crates/lab/src/slopes/program.rs
+++ b/crates/lab/src/slopes/program.rs
@@ -241,13 +241,13 @@
     let history = Rc::new(RefCell::new(Vec::new()));
     let now = Rc::new(RefCell::new(SecondStats::new()?));
     let (name, cell) = (NAME.to_owned(), Rc::new(Cell::new(Some(at))));
-    let application = Application { name, at: cell, history: history.clone(), now };
+    let application = Application { name, at: cell, history: history.clone(), current_second: now };
     let rate = LoadSpec {
         requests_per_s: calls,
         duration: times.warm + times.serves,
         client_timeout: Duration::from_millis(740),
     };
-    let asks = actix_rt::spawn(application.ask(rate, SmallRng::seed_from_u64(context.seed)));
+    let asks = actix_rt::spawn(application.run(rate, SmallRng::seed_from_u64(context.seed)));
     sleep(times.warm).await;
     let (first, begun) = (cpu_of(id)?, Instant::now());
     sleep(times.serves - times.serves / 10).await;
--- a/crates/trial/src/audit.rs
+++ b/crates/trial/src/audit.rs
@@ -81,89 +81,113 @@
     Void(u64),
 }
 
-/// Stretches of time, each from and until.
-type Windows = Vec<(u64, u64)>;
+/// A stretch of time.
+struct Window {
+    from: u64,
+    until: u64,
+}
+
+type Windows = Vec<Window>;
 
 fn overlaps(windows: Option<&Windows>, from: u64, until: u64) -> bool {
-    windows.is_some_and(|w| w.iter().any(|(a, b)| *a <= until && from <= *b))
+    windows.is_some_and(|windows| windows.iter().any(|window| window.from <= until && from <= window.until))
+}
+
+/// An answer that a client received.
+pub(crate) struct TimedAnswer<'a> {
+    pub(crate) at: u64,
+    pub(crate) answer: &'a Answer,
+}
+
+/// The start of a request at a server.
+struct Start<'a> {
+    at: u64,
+    server: &'a str,
+    body: &'a str,
 }
 
 struct Request<'a> {
-    by: &'a str,
-    once: bool,
-    asked: u64,
+    instance: &'a str,
+    at_most_once: bool,
+    sent_at: u64,
     client_timeout: u64,
-    answers: Vec<(u64, &'a Answer)>,
-    began: Vec<(u64, &'a str, &'a str)>,
+    answers: Vec<TimedAnswer<'a>>,
+    starts: Vec<Start<'a>>,
 }
 
 /// What the history says of processes and ways.
 #[derive(Default)]
-struct World<'a> {
+struct Observations<'a> {
     /// When an instance served and stood still or ended.
     starts: BTreeMap<&'a str, Vec<u64>>,
     /// Not there, or standing still: what is asked of it then can't be answered in time.
-    away: BTreeMap<&'a str, Windows>,
+    unavailable: BTreeMap<&'a str, Windows>,
     /// The list can't reach the instance.
-    unheard: BTreeMap<&'a str, Windows>,
+    unreachable: BTreeMap<&'a str, Windows>,
     /// When an instance was told that a server leaves.
-    told: BTreeMap<(&'a str, &'a str), Vec<u64>>,
+    drains_announced: BTreeMap<(&'a str, &'a str), Vec<u64>>,
 }
 
-impl<'a> World<'a> {
-    fn read(history: &'a [Event]) -> World<'a> {
-        let mut world = World::default();
+impl<'a> Observations<'a> {
+    fn read(history: &'a [Event]) -> Observations<'a> {
+        let mut observations = Observations::default();
         fn close<'a>(windows: &mut BTreeMap<&'a str, Windows>, process: &'a str, at: u64) {
             // A kill and the end that follows it open one each: one left open would excuse the instance for good.
-            windows.entry(process).or_default().iter_mut().for_each(|window| window.1 = window.1.min(at));
+            windows
+                .entry(process)
+                .or_default()
+                .iter_mut()
+                .for_each(|window| window.until = window.until.min(at));
         }
         fn open<'a>(windows: &mut BTreeMap<&'a str, Windows>, process: &'a str, at: u64) {
-            windows.entry(process).or_default().push((at, u64::MAX));
+            windows.entry(process).or_default().push(Window { from: at, until: u64::MAX });
         }
         for Event { at, what } in history {
             match what {
                 EventKind::Up { process, .. } => {
-                    close(&mut world.away, process, *at);
-                    world.starts.entry(process).or_default().push(*at);
+                    close(&mut observations.unavailable, process, *at);
+                    observations.starts.entry(process).or_default().push(*at);
                 }
-                EventKind::Down { process, .. } => open(&mut world.away, process, *at),
+                EventKind::Down { process, .. } => open(&mut observations.unavailable, process, *at),
                 EventKind::FaultInjected { fault: Fault::Kill { process } | Fault::Stop { process } } => {
-                    open(&mut world.away, process, *at);
+                    open(&mut observations.unavailable, process, *at);
                 }
                 EventKind::FaultInjected { fault: Fault::Continue { process } } => {
-                    close(&mut world.away, process, *at)
+                    close(&mut observations.unavailable, process, *at)
                 }
                 EventKind::FaultInjected { fault: Fault::Link { from, to, impairment } }
                     if from == "list" =>
                 {
-                    close(&mut world.unheard, to, *at);
+                    close(&mut observations.unreachable, to, *at);
                     if *impairment != Impairment::default() {
-                        open(&mut world.unheard, to, *at);
+                        open(&mut observations.unreachable, to, *at);
                     }
                 }
                 EventKind::DrainAnnounced { to, server } => {
-                    world.told.entry((to, server)).or_default().push(*at)
+                    observations.drains_announced.entry((to, server)).or_default().push(*at)
                 }
                 _ => {}
             }
         }
-        world
+        observations
     }
 
     /// When an instance knew for sure, in the life that it leads at a time, that a server leaves.
-    fn knew(&self, instance: &str, server: &str, at: u64) -> Option<u64> {
-        let born = self.starts.get(instance)?.iter().rev().find(|start| **start <= at)?;
-        let told = self.told.get(&(instance, server))?.iter().find(|told| *told >= born)?;
-        let unheard = self.unheard.get(instance);
-        let away = self.away.get(instance);
-        let mut knew = *told;
+    fn drain_known_at(&self, instance: &str, server: &str, at: u64) -> Option<u64> {
+        let started = self.starts.get(instance)?.iter().rev().find(|start| **start <= at)?;
+        let announced =
+            self.drains_announced.get(&(instance, server))?.iter().find(|announced| *announced >= started)?;
+        let unreachable = self.unreachable.get(instance);
+        let unavailable = self.unavailable.get(instance);
+        let mut known_at = *announced;
         // Told while the way was cut or it stood still: it can know once both are over.
-        for (from, until) in unheard.into_iter().chain(away).flatten().filter(|w| w.0 <= at) {
-            if *from <= knew && knew < *until {
-                knew = *until;
+        for window in unreachable.into_iter().chain(unavailable).flatten().filter(|window| window.from <= at)
+        {
+            if window.from <= known_at && known_at < window.until {
+                known_at = window.until;
             }
         }
-        Some(knew)
+        Some(known_at)
     }
 }
 
@@ -177,34 +201,43 @@
     if late > bounds.timer_lateness {
         return Verdict::Void(late);
     }
-    let world = World::read(history);
-    let mut broken = Vec::new();
-    let mut add = |property, at, what| broken.push(Violation { property, at, what });
+    let observations = Observations::read(history);
+    let mut violations = Vec::new();
+    let mut add = |property, at, what| violations.push(Violation { property, at, what });
     let mut requests: BTreeMap<&str, Request<'_>> = BTreeMap::new();
     for Event { at, what } in history {
         match what {
-            EventKind::RequestSent { by, id, at_most_once: once, client_timeout } => {
-                let (answers, began) = (Vec::new(), Vec::new());
+            EventKind::RequestSent { instance, id, at_most_once, client_timeout } => {
+                let (answers, starts) = (Vec::new(), Vec::new());
                 requests.insert(
                     id,
-                    Request { by, once: *once, asked: *at, client_timeout: *client_timeout, answers, began },
+                    Request {
+                        instance,
+                        at_most_once: *at_most_once,
+                        sent_at: *at,
+                        client_timeout: *client_timeout,
+                        answers,
+                        starts,
+                    },
                 );
             }
             EventKind::Answered { id, answer } => {
                 if let Some(request) = requests.get_mut(id.as_str()) {
-                    request.answers.push((*at, answer));
+                    request.answers.push(TimedAnswer { at: *at, answer });
                 }
             }
             EventKind::RequestStarted { server, id, body } => match requests.get_mut(id.as_str()) {
                 Some(request) => {
-                    request.began.push((*at, server, body));
-                    let knew = world.knew(request.by, server, *at);
-                    if let Some(knew) =
-                        knew.filter(|knew| *at > knew.saturating_add(bounds.drain_grace + bounds.slack))
+                    request.starts.push(Start { at: *at, server, body });
+                    let known_at = observations.drain_known_at(request.instance, server, *at);
+                    if let Some(known_at) = known_at
+                        .filter(|known_at| *at > known_at.saturating_add(bounds.drain_grace + bounds.slack))
                     {
-                        let (late, by) = ((at - knew) / 1000, request.by);
-                        let what =
-                            format!("request {id} of {by} came to {server} {late} ms after it was told");
+                        let late = (at - known_at) / 1000;
+                        let instance = request.instance;
+                        let what = format!(
+                            "request {id} of {instance} came to {server} {late} ms after it was told"
+                        );
                         add(Property::DrainRespected, *at, what);
                     }
                 }
@@ -218,43 +251,45 @@
             _ => {}
         }
     }
-    duties(history, bounds, &mut add);
+    judge_duties(history, bounds, &mut add);
     for (id, request) in &requests {
-        request.judge(id, &world, bounds, &mut add);
+        request.judge(id, &observations, bounds, &mut add);
     }
-    broken.sort_by_key(|b| b.at);
-    if broken.is_empty() { Verdict::Kept } else { Verdict::Broken(broken) }
+    violations.sort_by_key(|violation| violation.at);
+    if violations.is_empty() { Verdict::Kept } else { Verdict::Broken(violations) }
 }
 
 /// What was done of the duties.
-fn duties(history: &[Event], bounds: Bounds, add: &mut impl FnMut(Property, u64, String)) {
+fn judge_duties(history: &[Event], bounds: Bounds, add: &mut impl FnMut(Property, u64, String)) {
     let mut periods: BTreeMap<(&str, u64), u64> = BTreeMap::new();
-    let mut lives: BTreeMap<(&str, u64), &str> = BTreeMap::new();
+    let mut incarnations: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     let mut highest: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut last = 0;
+    let mut last_effect = 0;
     for Event { at, what } in history {
         let EventKind::DutyEffect { duty, period, fence, id, accepted } = what else { continue };
         // A request of a duty is named duty-LIFE-FENCE-PERIOD.
-        let life = id.split('-').nth(1).unwrap_or(id);
-        let held = *lives.entry((duty, *fence)).or_insert(life);
-        if held != life {
+        let incarnation = id.split('-').nth(1).unwrap_or(id);
+        let user = *incarnations.entry((duty, *fence)).or_insert(incarnation);
+        if user != incarnation {
             add(
                 Property::FencesMonotonic,
                 *at,
-                format!("{duty}: fence {fence} is used by lives {held} and {life}"),
+                format!("{duty}: fence {fence} is used by lives {user} and {incarnation}"),
             );
         }
         if !accepted {
             continue;
         }
-        last = *at;
-        let times = periods.entry((duty, *period)).or_default();
-        *times += 1;
-        if *times > 1 {
+        last_effect = *at;
+        let executions = periods.entry((duty, *period)).or_default();
+        *executions += 1;
+        if *executions > 1 {
             add(
                 Property::OncePerPeriod,
                 *at,
-                format!("{duty}: period {period} was carried out {times} times, now under fence {fence}"),
+                format!(
+                    "{duty}: period {period} was carried out {executions} times, now under fence {fence}"
+                ),
             );
         }
         let highest = highest.entry(duty).or_default();
@@ -274,17 +309,17 @@
         .iter()
         .filter(|event| matches!(event.what, EventKind::FaultInjected { .. } | EventKind::Up { .. }));
     // What the rig does to end the trial itself comes after the last answer.
-    let ends = history
+    let last_answer = history
         .iter()
         .rev()
         .find(|event| matches!(event.what, EventKind::Answered { .. }))
         .map_or(0, |event| event.at);
-    let quiet = faults.map(|event| event.at).filter(|at| *at < ends).max().unwrap_or(0);
-    if ends > quiet + bounds.duty_recovery && last < quiet {
+    let last_fault = faults.map(|event| event.at).filter(|at| *at < last_answer).max().unwrap_or(0);
+    if last_answer > last_fault + bounds.duty_recovery && last_effect < last_fault {
         add(
             Property::DutyResumes,
-            quiet + bounds.duty_recovery,
-            format!("no effect since {} ms before the last fault", (quiet - last) / 1000),
+            last_fault + bounds.duty_recovery,
+            format!("no effect since {} ms before the last fault", (last_fault - last_effect) / 1000),
         );
     }
 }
@@ -293,24 +328,37 @@
     fn judge(
         &self,
         id: &str,
-        world: &World<'_>,
+        observations: &Observations<'_>,
         bounds: Bounds,
         add: &mut impl FnMut(Property, u64, String),
     ) {
-        let limit = self.asked + self.client_timeout + bounds.slack;
+        let deadline = self.sent_at + self.client_timeout + bounds.slack;
         // Its own sidecar was killed or stood still meanwhile: nobody else can answer for it.
-        let excused = overlaps(world.away.get(self.by), self.asked, limit);
-        let of = format!("request {id} of {}", self.by);
-        if self.once && self.began.len() > 1 {
-            let (at, server, _) = self.began[1];
-            add(Property::AtMostOnce, at, format!("{of} ran {} times, then at {server}", self.began.len()));
+        let excused = overlaps(observations.unavailable.get(self.instance), self.sent_at, deadline);
+        let label = format!("request {id} of {}", self.instance);
+        if self.at_most_once && self.starts.len() > 1 {
+            let second = &self.starts[1];
+            let (at, server) = (second.at, second.server);
+            add(
+                Property::AtMostOnce,
+                at,
+                format!("{label} ran {} times, then at {server}", self.starts.len()),
+            );
         }
         match self.answers.as_slice() {
             [] if excused => {}
-            [] => add(Property::OneAnswer, limit, format!("{of} got none")),
+            [] => add(Property::OneAnswer, deadline, format!("{label} got none")),
             answers => {
-                let bodies = self.began.iter().map(|(.., body)| *body).collect();
-                Answers { of: &of, answers, bodies, once: self.once, limit, excused }.judge(add);
+                let bodies = self.starts.iter().map(|start| start.body).collect();
+                Answers {
+                    label: &label,
+                    answers,
+                    bodies,
+                    at_most_once: self.at_most_once,
+                    deadline,
+                    excused,
+                }
+                .judge(add);
             }
         }
     }
@@ -319,39 +367,39 @@
 /// What a request was answered, one time or more, as every trial judges it.
 pub(crate) struct Answers<'a> {
     /// The request, as it is told.
-    pub(crate) of: &'a str,
+    pub(crate) label: &'a str,
     /// When it was answered, and how.
-    pub(crate) answers: &'a [(u64, &'a Answer)],
+    pub(crate) answers: &'a [TimedAnswer<'a>],
     /// What servers that began it answer with.
     pub(crate) bodies: Vec<&'a str>,
     /// It must not run twice.
-    pub(crate) once: bool,
+    pub(crate) at_most_once: bool,
     /// Until when the answer is due.
-    pub(crate) limit: u64,
+    pub(crate) deadline: u64,
     /// Nobody could answer for it in time.
     pub(crate) excused: bool,
 }
 
 impl Answers<'_> {
     pub(crate) fn judge(&self, add: &mut impl FnMut(Property, u64, String)) {
-        let Answers { of, answers, bodies, once, limit, excused } = self;
-        let [(at, answer)] = answers else {
-            let last = answers.last().map_or(0, |(at, _)| *at);
-            return add(Property::OneAnswer, last, format!("{of} got {}", answers.len()));
+        let Answers { label, answers, bodies, at_most_once, deadline, excused } = self;
+        let [TimedAnswer { at, answer }] = answers else {
+            let last = answers.last().map_or(0, |answer| answer.at);
+            return add(Property::OneAnswer, last, format!("{label} got {}", answers.len()));
         };
-        if at > limit && !excused {
-            let late = (at - limit) / 1000;
-            add(Property::OneAnswer, *at, format!("{of} got it {late} ms after its time"));
+        if at > deadline && !excused {
+            let late = (at - deadline) / 1000;
+            add(Property::OneAnswer, *at, format!("{label} got it {late} ms after its time"));
         }
         match answer {
             Answer::Served(body) if !bodies.contains(&body.as_str()) => {
-                add(Property::OneAnswer, *at, format!("{of} got '{body}', which no server made"));
+                add(Property::OneAnswer, *at, format!("{label} got '{body}', which no server made"));
             }
-            Answer::Refused if *once && !bodies.is_empty() => {
-                add(Property::AtMostOnce, *at, format!("{of} was refused after it ran"));
+            Answer::Refused if *at_most_once && !bodies.is_empty() => {
+                add(Property::AtMostOnce, *at, format!("{label} was refused after it ran"));
             }
             Answer::Broken(why) if !excused => {
-                add(Property::OneAnswer, *at, format!("{of} got none that is whole: {why}"));
+                add(Property::OneAnswer, *at, format!("{label} got none that is whole: {why}"));
             }
             Answer::Served(_) | Answer::Refused | Answer::Failed | Answer::Broken(_) => {}
         }
--- a/crates/trial/src/callers.rs
+++ b/crates/trial/src/callers.rs
@@ -34,9 +34,9 @@
 /// Its servers among all that are known.
 pub const CALLED_SERVERS: usize = 6;
 /// Services that the rest of 3,100 belong to, as the plan has it; fewer where fewer are known.
-const SERVICES: usize = 489;
+const SERVICES_AT_FULL_SIZE: usize = 489;
 /// Descriptors of a stand-in beside its listeners and connections.
-const SPARE: u64 = 64;
+const SPARE_DESCRIPTORS: u64 = 64;
 
 /// Callers, their sidecars and what these know.
 pub struct Callers {
@@ -98,8 +98,8 @@
 }
 
 impl SecondSample {
-    fn side(&mut self, by: CallPath) -> &mut PathStats {
-        match by {
+    fn stats(&mut self, path: CallPath) -> &mut PathStats {
+        match path {
             CallPath::Direct => &mut self.direct,
             CallPath::Sidecar => &mut self.via_sidecar,
         }
@@ -123,12 +123,12 @@
 /// # Errors
 ///
 /// They are not: names the need, the limit and what would be right.
-pub fn descriptors(known: usize, real: usize) -> Result<()> {
+pub fn descriptors(known_servers: usize, sidecars: usize) -> Result<()> {
     // A connection of each call that may be out, of each caller, both ways; an idle one for each is kept.
-    let needed = known as u64 + (real.max(1) * 2 * MAX_IN_FLIGHT) as u64 + SPARE;
+    let needed = known_servers as u64 + (sidecars.max(1) * 2 * MAX_IN_FLIGHT) as u64 + SPARE_DESCRIPTORS;
     match getrlimit(Resource::Nofile).current {
         Some(allowed) if allowed < needed => bail!(
-            "--known {known} with --real {real}: the stand-in servers need {needed} descriptors, `ulimit -n` allows \
+            "--known {known_servers} with --real {sidecars}: the stand-in servers need {needed} descriptors, `ulimit -n` allows \
              {allowed}; right would be a limit of {needed} or fewer servers"
         ),
         _ => Ok(()),
@@ -136,30 +136,30 @@
 }
 
 /// The servers that a sidecar is told of: those of the called service spread evenly among those of others.
-fn listed(on: &[SocketAddr]) -> Vec<ListedServer> {
-    let known = on.len();
-    let called: Vec<usize> = (0..CALLED_SERVERS).map(|n| n * known / CALLED_SERVERS).collect();
-    let services = (known * SERVICES).div_ceil(3100).max(1);
+fn server_entries(addresses: &[SocketAddr]) -> Vec<ListedServer> {
+    let known_servers = addresses.len();
+    let called: Vec<usize> = (0..CALLED_SERVERS).map(|n| n * known_servers / CALLED_SERVERS).collect();
+    let services = (known_servers * SERVICES_AT_FULL_SIZE).div_ceil(3100).max(1);
     let entry = |(n, at): (usize, &SocketAddr)| {
         let model = if called.contains(&n) { CALLED.to_owned() } else { format!("svc-{:03}", n % services) };
         ListedServer { uid: crate::stubs::stub_name(n), address: *at, model }
     };
-    on.iter().enumerate().map(entry).collect()
+    addresses.iter().enumerate().map(entry).collect()
 }
 
 /// A call that is due.
 struct Due {
-    after: Duration,
+    offset: Duration,
     caller: usize,
-    by: CallPath,
-    one: PlannedRequest,
+    path: CallPath,
+    planned: PlannedRequest,
 }
 
 impl Callers {
     /// All calls, drawn beforehand. A pair is due at times of a Poisson process; one of the two comes half a mean gap later.
     fn draw(&self, start: Instant, rng: &mut SmallRng) -> Result<Vec<Due>> {
         let gaps = Exp::new(self.calls_per_s).context("calls a second")?;
-        let apart = Duration::from_secs_f64(0.5 / self.calls_per_s);
+        let pair_gap = Duration::from_secs_f64(0.5 / self.calls_per_s);
         let mut all = Vec::new();
         for caller in 0..self.sidecars.max(1) {
             let mut at = Duration::ZERO;
@@ -168,19 +168,19 @@
                 if at >= self.warm_up + self.duration {
                     break;
                 }
-                let mut ways = [CallPath::Direct, CallPath::Sidecar];
+                let mut paths = [CallPath::Direct, CallPath::Sidecar];
                 if rng.random() {
-                    ways.reverse();
+                    paths.reverse();
                 }
-                for (by, after) in ways.into_iter().zip([at, at + apart]) {
-                    let one = PlannedRequest::draw(rng, self.client_timeout, (start + after).into());
-                    if by == CallPath::Direct || self.sidecars > 0 {
-                        all.push(Due { after, caller, by, one });
+                for (path, offset) in paths.into_iter().zip([at, at + pair_gap]) {
+                    let planned = PlannedRequest::draw(rng, self.client_timeout, (start + offset).into());
+                    if path == CallPath::Direct || self.sidecars > 0 {
+                        all.push(Due { offset, caller, path, planned });
                     }
                 }
             }
         }
-        all.sort_by_key(|due| due.after);
+        all.sort_by_key(|due| due.offset);
         Ok(all)
     }
 
@@ -198,19 +198,23 @@
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let servers =
             StubProcess::start(&self.lab, &["many", &self.known_servers.to_string()], &history).await?;
-        let listed = listed(&servers.on);
-        let called: Vec<SocketAddr> =
-            listed.iter().filter(|server| server.model == CALLED).map(|server| server.address).collect();
+        let server_entries = server_entries(&servers.addresses);
+        let called: Vec<SocketAddr> = server_entries
+            .iter()
+            .filter(|server| server.model == CALLED)
+            .map(|server| server.address)
+            .collect();
         let names: Vec<String> = (0..self.sidecars).map(|n| format!("n{n}")).collect();
         let arguments: Vec<&str> = ["list"].into_iter().chain(names.iter().map(String::as_str)).collect();
         let mut list = StubProcess::start(&self.lab, &arguments, &history).await?;
-        let hold = names.iter().map(|name| (name.clone(), listed.clone())).collect();
-        list.tell(&ListCommand::ReplaceLists(hold)).await?;
-        seen(&history, "the list holds nothing", |what| matches!(what, EventKind::ListsReplaced)).await?;
+        let lists = names.iter().map(|name| (name.clone(), server_entries.clone())).collect();
+        list.send_command(&ListCommand::ReplaceLists(lists)).await?;
+        wait_for_event(&history, "the list holds nothing", |what| matches!(what, EventKind::ListsReplaced))
+            .await?;
 
         let mut sidecars = Vec::new();
         for (n, name) in names.iter().enumerate() {
-            sidecars.push(self.sidecar(name, list.on[n], rng.random(), &history).await?);
+            sidecars.push(self.sidecar(name, list.addresses[n], rng.random(), &history).await?);
         }
         for name in &names {
             // Discovery may leave out what a sidecar has said that it does not call.
@@ -218,18 +222,18 @@
                 servers == self.known_servers || (self.declare_interest && servers == CALLED_SERVERS)
             };
             let all = |what: &EventKind| matches!(what, EventKind::EntriesSent { to, servers } if to == name && enough(*servers));
-            seen(&history, &format!("{name} is not told of all servers"), all).await?;
+            wait_for_event(&history, &format!("{name} is not told of all servers"), all).await?;
         }
         let processes: Vec<u32> = history.borrow().iter().filter_map(|event| pid_of(&event.what)).collect();
 
-        let watches = watch_timers(history.clone());
+        let timer_watch = watch_timers(history.clone());
         let (at, client) =
             (sidecars.iter().map(|sidecar| sidecar.at.clone()).collect(), http_client(self.client_timeout));
         let calls = Calls { names, at, called, client, history: history.clone(), rng, warm_up: self.warm_up };
-        let done = calls.run(self, &processes).await?;
-        watches.abort();
+        let results = calls.run(self, &processes).await?;
+        timer_watch.abort();
         for sidecar in sidecars {
-            let _ = sidecar.orders.send(InstanceCommand::End);
+            let _ = sidecar.commands.send(InstanceCommand::End);
             timeout(PROCESS_TIMEOUT, sidecar.task).await.context("a sidecar does not end")??;
         }
         servers.end().await?;
@@ -237,7 +241,7 @@
         let mut history = history.take();
         history.sort_by_key(|event| event.at);
         let verdict = judge(&history, self.bounds);
-        let (seconds, cpu_time, max_resident_bytes) = done;
+        let CallResults { seconds, cpu_time, max_resident_bytes } = results;
         Ok(Measurements { seconds, cpu_time, max_resident_bytes, verdict })
     }
 
@@ -247,15 +251,15 @@
         let times = ClassTimes {
             aim: Duration::from_millis(300),
             client_timeout: self.client_timeout,
-            grace: self.bounds.drain_grace,
+            drain_grace: self.bounds.drain_grace,
         };
         let mut config = sidecar_config(times, name, list, &list_body(std::iter::empty(), true, 0), seed);
         if self.declare_interest {
             config["sidecar"] = json!({"services": [CALLED]});
         }
         std::fs::write(folder.path().join("config.json"), config.to_string())?;
-        let folder_of = folder.path().to_owned();
-        let sidecar = Instance::new(&self.lab, &self.program, name, folder_of, history).serve().await?;
+        let folder_path = folder.path().to_owned();
+        let sidecar = Instance::new(&self.lab, &self.program, name, folder_path, history).serve().await?;
         // It has read what it was told, and a rig that is killed leaves no folder behind.
         drop(folder);
         Ok(sidecar)
@@ -267,13 +271,24 @@
 }
 
 /// Waits until something was seen.
-async fn seen(history: &History, else_: &str, what: impl Fn(&EventKind) -> bool) -> Result<()> {
+async fn wait_for_event(
+    history: &History,
+    timeout_message: &str,
+    what: impl Fn(&EventKind) -> bool,
+) -> Result<()> {
     let until = async {
         while !history.borrow().iter().any(|event| what(&event.what)) {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PROCESS_TIMEOUT, until).await.with_context(|| else_.to_owned())
+    timeout(PROCESS_TIMEOUT, until).await.with_context(|| timeout_message.to_owned())
+}
+
+/// What was measured of the calls.
+struct CallResults {
+    seconds: Vec<SecondSample>,
+    cpu_time: Duration,
+    max_resident_bytes: u64,
 }
 
 /// The callers at work.
@@ -290,81 +305,78 @@
 impl Calls {
     /// Sends all that is due, whether or not earlier ones are answered, and waits for the last answer. Gives the seconds
     /// that count, the sidecars' processor time in them, and the most memory that one has resident.
-    async fn run(
-        mut self,
-        callers: &Callers,
-        processes: &[u32],
-    ) -> Result<(Vec<SecondSample>, Duration, u64)> {
+    async fn run(mut self, callers: &Callers, processes: &[u32]) -> Result<CallResults> {
         // The clock of a runtime counts whole milliseconds; a thread's sleep is late by less than a tenth of one.
         let start = Instant::now() + Duration::from_millis(50);
-        let mut due = clock(start, callers.draw(start, &mut self.rng)?);
+        let mut due = schedule_calls(start, callers.draw(start, &mut self.rng)?);
         let count = usize::try_from(callers.duration.as_secs()).unwrap_or(0).max(1);
         let seconds = Rc::new(RefCell::new(vec![SecondSample::default(); count]));
-        let places = std::sync::Arc::new(Semaphore::new(MAX_IN_FLIGHT * 2 * callers.sidecars.max(1)));
-        let (mut out, mut began) = (Vec::new(), None);
-        while let Some(Due { after, caller, by, one }) = due.recv().await {
+        let permits = std::sync::Arc::new(Semaphore::new(MAX_IN_FLIGHT * 2 * callers.sidecars.max(1)));
+        let (mut tasks, mut cpu_at_start) = (Vec::new(), None);
+        while let Some(Due { offset, caller, path, planned }) = due.recv().await {
             let second =
-                after.checked_sub(self.warm_up).and_then(|after| usize::try_from(after.as_secs()).ok());
+                offset.checked_sub(self.warm_up).and_then(|offset| usize::try_from(offset.as_secs()).ok());
             if let Some(n) = second
                 && let Some(second) = seconds.borrow_mut().get_mut(n)
             {
                 second.max_send_delay_us =
-                    second.max_send_delay_us.max((start + after).elapsed().as_micros() as u64);
-                second.side(by).due += 1;
-                if began.is_none() {
-                    began = Some(processor_time(processes)?);
+                    second.max_send_delay_us.max((start + offset).elapsed().as_micros() as u64);
+                second.stats(path).due += 1;
+                if cpu_at_start.is_none() {
+                    cpu_at_start = Some(cpu_time_of(processes)?);
                 }
             }
-            let count = move |seconds: &RefCell<Vec<SecondSample>>, what: &dyn Fn(&mut PathStats)| {
+            let count = move |seconds: &RefCell<Vec<SecondSample>>, update: &dyn Fn(&mut PathStats)| {
                 if let Some(n) = second
                     && let Some(second) = seconds.borrow_mut().get_mut(n)
                 {
-                    what(second.side(by));
+                    update(second.stats(path));
                 }
             };
-            let at = match by {
+            let at = match path {
                 CallPath::Direct => Some(self.called[self.rng.random_range(0..self.called.len())]),
                 CallPath::Sidecar => self.at[caller].get(),
             };
-            let (Some(at), Ok(place)) = (at, places.clone().try_acquire_owned()) else {
-                count(&seconds, &|side| side.lost += 1);
+            let (Some(at), Ok(permit)) = (at, permits.clone().try_acquire_owned()) else {
+                count(&seconds, &|stats| stats.lost += 1);
                 continue;
             };
             let (client, history, seconds) = (self.client.clone(), self.history.clone(), seconds.clone());
-            let name = match by {
+            let name = match path {
                 CallPath::Direct => "direct".to_owned(),
                 CallPath::Sidecar => self.names[caller].clone(),
             };
-            out.push(actix_rt::spawn(async move {
-                let (answer, took) = one.ask(&client, at, &name, &history).await;
-                drop(place);
-                count(&seconds, &|side| match &answer {
-                    Answer::Served(_) => side.latencies_us.push(took.as_micros() as u64),
-                    Answer::Refused => side.refused += 1,
-                    Answer::Failed | Answer::Broken(_) => side.lost += 1,
+            tasks.push(actix_rt::spawn(async move {
+                let (answer, latency) = planned.send(&client, at, &name, &history).await;
+                drop(permit);
+                count(&seconds, &|stats| match &answer {
+                    Answer::Served(_) => stats.latencies_us.push(latency.as_micros() as u64),
+                    Answer::Refused => stats.refused += 1,
+                    Answer::Failed | Answer::Broken(_) => stats.lost += 1,
                 });
             }));
-            if out.len() > 2 * MAX_IN_FLIGHT {
-                out.retain(|task| !task.is_finished());
+            if tasks.len() > 2 * MAX_IN_FLIGHT {
+                tasks.retain(|task| !task.is_finished());
             }
         }
-        let began = began.context("no call was due")?;
-        let processor = processor_time(processes).unwrap_or(began).saturating_sub(began);
-        let resident = processes.iter().filter_map(|process| resident(*process)).max().unwrap_or(0);
-        for task in out {
+        let cpu_at_start = cpu_at_start.context("no call was due")?;
+        let cpu_time = cpu_time_of(processes).unwrap_or(cpu_at_start).saturating_sub(cpu_at_start);
+        let max_resident_bytes =
+            processes.iter().filter_map(|process| resident_bytes(*process)).max().unwrap_or(0);
+        for task in tasks {
             let _ = task.await;
         }
-        Ok((seconds.take(), processor, resident))
+        Ok(CallResults { seconds: seconds.take(), cpu_time, max_resident_bytes })
     }
 }
 
 /// Gives each call when it is due; ends where nobody listens any more.
-fn clock(start: Instant, all: Vec<Due>) -> UnboundedReceiver<Due> {
-    let (tell, due) = unbounded_channel();
+fn schedule_calls(start: Instant, all: Vec<Due>) -> UnboundedReceiver<Due> {
+    let (sender, due) = unbounded_channel();
     std::thread::spawn(move || {
-        for one in all {
-            std::thread::sleep((start + one.after).saturating_duration_since(Instant::now()));
-            if tell.send(one).is_err() {
+        for planned in all {
+            std::thread::sleep((start + planned.offset).saturating_duration_since(Instant::now()));
+            if sender.send(planned).is_err() {
                 return;
             }
         }
@@ -373,7 +385,7 @@
 }
 
 /// Processor time of processes until now, of all their threads.
-fn processor_time(processes: &[u32]) -> Result<Duration> {
+fn cpu_time_of(processes: &[u32]) -> Result<Duration> {
     let mut sum = 0;
     for process in processes {
         let threads = std::fs::read_dir(format!("/proc/{process}/task"));
@@ -388,7 +400,7 @@
 }
 
 /// Memory that a process has resident, in bytes.
-fn resident(process: u32) -> Option<u64> {
+fn resident_bytes(process: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     Some(line.split_whitespace().next()?.parse::<u64>().ok()? * 1024)
--- a/crates/trial/src/control.rs
+++ b/crates/trial/src/control.rs
@@ -25,13 +25,13 @@
 use tokio::time::{Instant, interval, sleep, timeout};
 
 /// How often a watch brings a sign of life.
-const HEARTBEAT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// How often what was counted is told.
-const SAMPLE: Duration = Duration::from_millis(200);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 /// Changes that are kept as they were encoded; a watch further behind is told from the entries.
-const RECENT: usize = 1024;
+const MAX_RECENT_CHANGES: usize = 1024;
 /// The longest head of a request that is read.
-const HEAD: usize = 8 << 10;
+const MAX_HEAD_BYTES: usize = 8 << 10;
 
 /// An entry of the list, in discovery's words.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -133,8 +133,8 @@
 /// The resident memory of a process in bytes; nothing where it has gone.
 #[must_use]
 pub fn resident_memory(process: &str) -> u64 {
-    let told = std::fs::read_to_string(format!("/proc/{process}/statm")).unwrap_or_default();
-    let pages: u64 = told.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
+    let text = std::fs::read_to_string(format!("/proc/{process}/statm")).unwrap_or_default();
+    let pages: u64 = text.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
     pages * rustix::param::page_size() as u64
 }
 
@@ -149,30 +149,45 @@
 }
 
 /// An entry as it is held.
-struct Held {
+struct StoredEntry {
     entry: Entry,
     /// The version that last changed it.
-    since: u64,
+    changed_at: u64,
     encoded: String,
 }
 
+/// An entry as JSON, with the service that it belongs to.
+struct EncodedEntry {
+    model: String,
+    text: String,
+}
+
+/// The encoded whole list.
+#[derive(Clone)]
+struct WholeList {
+    /// As the body of a response.
+    body: Bytes,
+    /// As the first chunk of a watch.
+    chunk: Bytes,
+}
+
 /// A change as it was encoded.
 struct Change {
     rev: u64,
     /// The service of each entry, and the entry as it is written.
-    entries: Vec<(String, String)>,
+    entries: Vec<EncodedEntry>,
     /// The line of all in its chunk.
     chunk: Bytes,
 }
 
 impl Change {
     /// What of it is told to who wants this: nothing where none of its entries is wanted.
-    fn told(&self, interest: &Interest) -> Option<Bytes> {
-        let wanted = || self.entries.iter().filter(|(model, _)| interest.wants(model));
+    fn message_for(&self, interest: &Interest) -> Option<Bytes> {
+        let wanted = || self.entries.iter().filter(|entry| interest.wants(&entry.model));
         match wanted().count() {
             0 => None,
             all if all == self.entries.len() => Some(self.chunk.clone()),
-            _ => Some(chunk(&line(self.rev, false, wanted().map(|(_, text)| text.as_str())))),
+            _ => Some(chunk(&line(self.rev, false, wanted().map(|entry| entry.text.as_str())))),
         }
     }
 }
@@ -181,12 +196,12 @@
 #[derive(Default)]
 struct List {
     rev: u64,
-    held: BTreeMap<String, Held>,
+    entries: BTreeMap<String, StoredEntry>,
     recent: VecDeque<Change>,
     /// The versions of `recent` begin after this one.
-    from: u64,
+    recent_after: u64,
     /// The whole list of the present version, encoded: as a body, and as a watch's first line.
-    whole: Option<(Bytes, Bytes)>,
+    whole: Option<WholeList>,
 }
 
 /// The services of which a sidecar wants to be told; all where none is named.
@@ -209,74 +224,75 @@
 }
 
 impl List {
-    fn take(&mut self, rev: u64, entries: Vec<Entry>, all: bool) {
+    fn apply(&mut self, rev: u64, entries: Vec<Entry>, all: bool) {
         if all {
-            self.held.clear();
+            self.entries.clear();
             self.recent.clear();
-            self.from = rev;
+            self.recent_after = rev;
         }
-        (self.rev, self.whole) = (rev, None);
+        self.rev = rev;
+        self.whole = None;
         let mut changed = Vec::new();
         for entry in entries {
             let text = serde_json::to_string(&entry).unwrap_or_default();
             if !all {
-                changed.push((entry.model.clone(), text.clone()));
+                changed.push(EncodedEntry { model: entry.model.clone(), text: text.clone() });
             }
-            self.held.insert(entry.uid.clone(), Held { entry, since: rev, encoded: text });
+            self.entries.insert(entry.uid.clone(), StoredEntry { entry, changed_at: rev, encoded: text });
         }
         if !all {
-            let chunk = chunk(&line(rev, false, changed.iter().map(|(_, text)| text.as_str())));
+            let chunk = chunk(&line(rev, false, changed.iter().map(|entry| entry.text.as_str())));
             self.recent.push_back(Change { rev, entries: changed, chunk });
-            if self.recent.len() > RECENT {
-                self.from = self.recent.pop_front().map_or(self.from, |change| change.rev);
+            if self.recent.len() > MAX_RECENT_CHANGES {
+                self.recent_after = self.recent.pop_front().map_or(self.recent_after, |change| change.rev);
             }
         }
     }
 
-    fn of(&self, interest: &Interest, after: Option<u64>) -> String {
-        let entries = self.held.values().filter(|held| match after {
-            Some(after) => held.since > after,
-            None => held.entry.state != "removed",
+    fn encode(&self, interest: &Interest, after: Option<u64>) -> String {
+        let entries = self.entries.values().filter(|stored| match after {
+            Some(after) => stored.changed_at > after,
+            None => stored.entry.state != "removed",
         });
-        let wanted = entries.filter(|held| interest.wants(&held.entry.model));
-        line(self.rev, after.is_none(), wanted.map(|held| held.encoded.as_str()))
+        let wanted = entries.filter(|stored| interest.wants(&stored.entry.model));
+        line(self.rev, after.is_none(), wanted.map(|stored| stored.encoded.as_str()))
     }
 
     /// The whole list, as the body of an answer and as a watch's first line.
-    fn whole(&mut self, interest: &Interest) -> (Bytes, Bytes) {
-        let encode = |list: &List| {
-            let line = list.of(interest, None);
-            (Bytes::from(line.clone()), chunk(&line))
+    fn whole(&mut self, interest: &Interest) -> WholeList {
+        let encoded = |list: &List| {
+            let line = list.encode(interest, None);
+            WholeList { body: Bytes::from(line.clone()), chunk: chunk(&line) }
         };
         if interest.0.is_some() {
-            return encode(self);
+            return encoded(self);
         }
         if let Some(whole) = &self.whole {
             return whole.clone();
         }
-        let whole = encode(self);
+        let whole = encoded(self);
         self.whole = Some(whole.clone());
         whole
     }
 
     /// A watch's first line: what changed after a version, or the whole list to one that has none, or one of another count.
-    fn first(&mut self, interest: &Interest, after: u64) -> Bytes {
+    fn first_message(&mut self, interest: &Interest, after: u64) -> Bytes {
         if after == 0 || after > self.rev {
-            return self.whole(interest).1;
+            return self.whole(interest).chunk;
         }
-        chunk(&self.of(interest, Some(after)))
+        chunk(&self.encode(interest, Some(after)))
     }
 
     /// The lines after a version, of what is wanted.
-    fn after(&self, interest: &Interest, after: u64, lines: &mut Vec<Bytes>) {
+    fn messages_after(&self, interest: &Interest, after: u64, lines: &mut Vec<Bytes>) {
         if after >= self.rev {
             return;
         }
-        if after < self.from {
-            return lines.push(chunk(&self.of(interest, Some(after))));
+        if after < self.recent_after {
+            return lines.push(chunk(&self.encode(interest, Some(after))));
         }
-        let behind = self.recent.partition_point(|change| change.rev <= after);
-        lines.extend(self.recent.range(behind..).filter_map(|change| change.told(interest)));
+        let first_new = self.recent.partition_point(|change| change.rev <= after);
+        lines.extend(self.recent.range(first_new..).filter_map(|change| change.message_for(interest)));
     }
 }
 
@@ -284,7 +300,7 @@
 struct Control {
     list: RefCell<List>,
     rev: watch::Sender<u64>,
-    breaks: watch::Sender<u64>,
+    connection_resets: watch::Sender<u64>,
     sent: RefCell<BTreeMap<usize, SentCounts>>,
     changed: RefCell<BTreeSet<usize>>,
     late: Cell<u64>,
@@ -300,16 +316,16 @@
         let control = Rc::new(Control {
             list: RefCell::default(),
             rev: watch::channel(0).0,
-            breaks: watch::channel(0).0,
+            connection_resets: watch::channel(0).0,
             sent: RefCell::default(),
             changed: RefCell::default(),
             late: Cell::new(0),
         });
-        actix_rt::spawn(samples(control.clone()));
-        let mut orders = BufReader::with_capacity(1 << 20, stdin()).lines();
-        while let Some(line) = orders.next_line().await? {
-            let order = serde_json::from_str(&line).context("an order of the rig's")?;
-            match order {
+        actix_rt::spawn(report_samples(control.clone()));
+        let mut commands = BufReader::with_capacity(1 << 20, stdin()).lines();
+        while let Some(line) = commands.next_line().await? {
+            let command = serde_json::from_str(&line).context("an order of the rig's")?;
+            match command {
                 Command::Serve(sidecars) => {
                     for (sidecar, at) in sidecars {
                         control.count(sidecar, |_| {});
@@ -318,18 +334,18 @@
                             Err(error) => write_report(&Report::Fault(format!("{at}: {error}"))),
                         }
                     }
-                    let serves = control.sent.borrow().len();
-                    write_report(&Report::Serves(serves));
+                    let sidecar_count = control.sent.borrow().len();
+                    write_report(&Report::Serves(sidecar_count));
                 }
                 Command::List { rev, entries } => {
-                    control.list.borrow_mut().take(rev, entries, true);
+                    control.list.borrow_mut().apply(rev, entries, true);
                     control.rev.send_replace(rev);
                 }
                 Command::Change { rev, entries } => {
-                    control.list.borrow_mut().take(rev, entries, false);
+                    control.list.borrow_mut().apply(rev, entries, false);
                     control.rev.send_replace(rev);
                 }
-                Command::CloseConnections => control.breaks.send_modify(|n| *n += 1),
+                Command::CloseConnections => control.connection_resets.send_modify(|n| *n += 1),
             }
         }
         // What was counted last.
@@ -338,8 +354,8 @@
     })
 }
 
-async fn samples(control: Rc<Control>) {
-    let mut ticks = interval(SAMPLE);
+async fn report_samples(control: Rc<Control>) {
+    let mut ticks = interval(SAMPLE_INTERVAL);
     loop {
         let due = ticks.tick().await;
         let late = Instant::now().saturating_duration_since(due).as_micros() as u64;
@@ -371,12 +387,12 @@
             };
             let _ = stream.set_nodelay(true);
             let control = self.clone();
-            let mut breaks = self.breaks.subscribe();
+            let mut connection_resets = self.connection_resets.subscribe();
             actix_rt::spawn(async move {
                 tokio::select! {
                     // A connection that breaks is the other side's to mend.
                     _ = control.serve(sidecar, stream) => {}
-                    _ = breaks.changed() => {}
+                    _ = connection_resets.changed() => {}
                 }
             });
         }
@@ -400,11 +416,11 @@
         let mut read = Vec::new();
         loop {
             let target = loop {
-                if let Some((target, length)) = head(&read)? {
+                if let Some((target, length)) = parse_head(&read)? {
                     read.drain(..length);
                     break target;
                 }
-                if read.len() > HEAD || stream.read_buf(&mut read).await? == 0 {
+                if read.len() > MAX_HEAD_BYTES || stream.read_buf(&mut read).await? == 0 {
                     bail!("no call");
                 }
             };
@@ -420,14 +436,17 @@
             let models = key("models").map(|models| models.split(',').map(str::to_owned).collect());
             let interest = Interest(models);
             if key("watch").as_deref() != Some("1") {
-                let (whole, _) = self.list.borrow_mut().whole(&interest);
+                let whole = self.list.borrow_mut().whole(&interest).body;
                 let head = format!(
                     "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n",
                     whole.len()
                 );
                 self.write(&mut stream, sidecar, head.as_bytes()).await?;
                 self.write(&mut stream, sidecar, &whole).await?;
-                self.count(sidecar, |sent| (sent.messages, sent.whole) = (sent.messages + 1, sent.whole + 1));
+                self.count(sidecar, |sent| {
+                    sent.messages += 1;
+                    sent.whole += 1;
+                });
                 continue;
             }
             let after = key("after").and_then(|after| after.parse().ok()).unwrap_or(0);
@@ -444,45 +463,45 @@
     ) -> Result<()> {
         self.count(sidecar, |sent| sent.watches += 1);
         let head = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n";
-        let mut told = self.rev.subscribe();
-        let mut rev = *told.borrow_and_update();
-        let first = self.list.borrow_mut().first(&interest, after);
+        let mut revisions = self.rev.subscribe();
+        let mut rev = *revisions.borrow_and_update();
+        let first = self.list.borrow_mut().first_message(&interest, after);
         self.write(&mut stream, sidecar, head).await?;
         self.write(&mut stream, sidecar, &first).await?;
         self.count(sidecar, |sent| sent.messages += 1);
-        let mut spoke = Instant::now();
-        let (mut lines, mut ends) = (Vec::new(), [0; 64]);
+        let mut last_write = Instant::now();
+        let (mut lines, mut discard) = (Vec::new(), [0; 64]);
         loop {
-            let waits = HEARTBEAT.saturating_sub(spoke.elapsed());
+            let until_heartbeat = HEARTBEAT_INTERVAL.saturating_sub(last_write.elapsed());
             tokio::select! {
-                changed = timeout(waits, told.changed()) => {
+                changed = timeout(until_heartbeat, revisions.changed()) => {
                     if changed.is_err() {
                         self.write(&mut stream, sidecar, b"1\r\n\n\r\n").await?;
                         self.count(sidecar, |sent| sent.heartbeats += 1);
-                        spoke = Instant::now();
+                        last_write = Instant::now();
                         continue;
                     }
                 }
                 // Nothing comes on a watch: what can be read is its end.
-                read = stream.read(&mut ends) => match read {
+                read = stream.read(&mut discard) => match read {
                     Ok(0) | Err(_) => return Ok(()),
                     Ok(_) => continue,
                 },
             }
-            let new = *told.borrow_and_update();
-            self.list.borrow().after(&interest, rev, &mut lines);
+            let new = *revisions.borrow_and_update();
+            self.list.borrow().messages_after(&interest, rev, &mut lines);
             rev = new;
             for line in lines.drain(..) {
                 self.write(&mut stream, sidecar, &line).await?;
                 self.count(sidecar, |sent| sent.messages += 1);
-                spoke = Instant::now();
+                last_write = Instant::now();
             }
         }
     }
 }
 
 /// The target of a call whose head has come whole, and the head's length.
-fn head(read: &[u8]) -> Result<Option<(String, usize)>> {
+fn parse_head(read: &[u8]) -> Result<Option<(String, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(read).context("no HTTP")? {
--- a/crates/trial/src/duty_stats.rs
+++ b/crates/trial/src/duty_stats.rs
@@ -38,76 +38,79 @@
 
 /// Who holds it, and since when it is nobody's.
 #[derive(Default)]
-struct Hold<'a> {
+struct HolderTracker<'a> {
     holder: Option<&'a str>,
     since: u64,
     /// When it was lost, and how.
     lost: Option<(u64, LossKind)>,
-    total: u64,
+    held_total: u64,
 }
 
-impl Hold<'_> {
-    fn is(&self, process: &str) -> bool {
+impl HolderTracker<'_> {
+    fn is_held_by(&self, process: &str) -> bool {
         self.holder == Some(process)
     }
 
-    fn lose(&mut self, at: u64, how: LossKind) {
+    fn lose(&mut self, at: u64, kind: LossKind) {
         if self.holder.take().is_some() {
-            self.lost = Some((at, how));
-            self.total += at.saturating_sub(self.since);
+            self.lost = Some((at, kind));
+            self.held_total += at.saturating_sub(self.since);
         }
     }
 }
 
 /// How long after it was told to end a holder's letting go counts as handing on, in microseconds.
-const HANDS_ON: u64 = 2_000_000;
+const HANDOVER_US: u64 = 2_000_000;
 
 /// Counts a history.
 #[must_use]
 pub fn duty_stats(history: &[Event]) -> DutyStats {
-    let mut found = DutyStats::default();
-    let mut hold = Hold::default();
-    let mut still: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut terms: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut stats = DutyStats::default();
+    let mut tracker = HolderTracker::default();
+    let mut stopped_since: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut terminating_since: BTreeMap<&str, u64> = BTreeMap::new();
     let mut first = None;
     let end = history.last().map_or(0, |event| event.at);
     for Event { at, what } in history {
         match what {
-            EventKind::DutyEffect { accepted: true, .. } => found.effects += 1,
-            EventKind::DutyEffect { accepted: false, .. } => found.fenced += 1,
-            EventKind::FaultInjected { fault: Fault::Kill { process } } if hold.is(process) => {
-                hold.lose(*at, LossKind::Kill)
+            EventKind::DutyEffect { accepted: true, .. } => stats.effects += 1,
+            EventKind::DutyEffect { accepted: false, .. } => stats.fenced += 1,
+            EventKind::FaultInjected { fault: Fault::Kill { process } } if tracker.is_held_by(process) => {
+                tracker.lose(*at, LossKind::Kill)
             }
             EventKind::FaultInjected { fault: Fault::Stop { process } } => {
-                still.insert(process, *at);
+                stopped_since.insert(process, *at);
             }
             EventKind::FaultInjected { fault: Fault::Continue { process } } => {
-                still.remove(process.as_str());
+                stopped_since.remove(process.as_str());
             }
             EventKind::FaultInjected { fault: Fault::Term { process } } => {
-                terms.insert(process, *at);
+                terminating_since.insert(process, *at);
             }
-            EventKind::DutyReleased { process, .. } if hold.is(process) => {
-                let term = terms.get(process.as_str()).filter(|term| *at < **term + HANDS_ON);
-                hold.lose(*at, if term.is_some() { LossKind::Term } else { LossKind::Other });
+            EventKind::DutyReleased { process, .. } if tracker.is_held_by(process) => {
+                let handover =
+                    terminating_since.get(process.as_str()).filter(|term| *at < **term + HANDOVER_US);
+                tracker.lose(*at, if handover.is_some() { LossKind::Term } else { LossKind::Other });
+            }
+            EventKind::Down { process, .. } if tracker.is_held_by(process) => {
+                tracker.lose(*at, LossKind::Other)
             }
-            EventKind::Down { process, .. } if hold.is(process) => hold.lose(*at, LossKind::Other),
             EventKind::DutyAcquired { process, .. } => {
-                found.grants += 1;
+                stats.grants += 1;
                 // One that stands still says nothing of its loss: it began when it stood still.
-                if let Some(stood) = hold.holder.and_then(|before| still.get(before)) {
-                    hold.lose(*stood, LossKind::Stall);
+                if let Some(stopped) = tracker.holder.and_then(|before| stopped_since.get(before)) {
+                    tracker.lose(*stopped, LossKind::Stall);
                 }
-                if let Some((gone, how)) = hold.lost.take() {
-                    found.takeovers_ms.entry(how).or_default().push((at - gone) as f64 / 1e3);
+                if let Some((lost_at, kind)) = tracker.lost.take() {
+                    stats.takeovers_ms.entry(kind).or_default().push((at - lost_at) as f64 / 1e3);
                 }
                 first.get_or_insert(*at);
-                (hold.holder, hold.since) = (Some(process.as_str()), *at);
+                (tracker.holder, tracker.since) = (Some(process.as_str()), *at);
             }
             _ => {}
         }
     }
-    hold.lose(end, LossKind::Other);
-    found.held_fraction = first.map_or(0.0, |first| hold.total as f64 / (end - first).max(1) as f64);
-    found
+    tracker.lose(end, LossKind::Other);
+    stats.held_fraction = first.map_or(0.0, |first| tracker.held_total as f64 / (end - first).max(1) as f64);
+    stats
 }
--- a/crates/trial/src/history.rs
+++ b/crates/trial/src/history.rs
@@ -33,7 +33,8 @@
     #[serde(rename = "asked")]
     RequestSent {
         /// The instance.
-        by: String,
+        #[serde(rename = "by")]
+        instance: String,
         /// The request.
         id: String,
         /// It must not run twice.
--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -66,55 +66,56 @@
     /// What was seen.
     pub history: Rc<RefCell<Vec<Event>>>,
     /// What became of this second's requests.
-    pub now: Rc<RefCell<SecondStats>>,
+    pub current_second: Rc<RefCell<SecondStats>>,
 }
 
 impl Application {
     /// Asks until the time is over and all is answered.
-    pub async fn ask(self, rate: LoadSpec, mut rng: SmallRng) {
-        let client = http_client(rate.client_timeout);
-        let places = std::sync::Arc::new(Semaphore::new(MAX_IN_FLIGHT));
-        let gaps = Exp::new(rate.requests_per_s).ok();
+    pub async fn run(self, load: LoadSpec, mut rng: SmallRng) {
+        let client = http_client(load.client_timeout);
+        let permits = std::sync::Arc::new(Semaphore::new(MAX_IN_FLIGHT));
+        let gaps = Exp::new(load.requests_per_s).ok();
         let mut due = Instant::now();
-        let ends = due + rate.duration;
-        let mut out = Vec::new();
+        let ends = due + load.duration;
+        let mut tasks = Vec::new();
         loop {
             due += Duration::from_secs_f64(gaps.map_or(1.0, |gaps| gaps.sample(&mut rng)));
             if due >= ends {
                 break;
             }
-            let one = PlannedRequest::draw(&mut rng, rate.client_timeout, due);
+            let request = PlannedRequest::draw(&mut rng, load.client_timeout, due);
             sleep_until(due).await;
             let Some(at) = self.at.get() else { continue };
-            let Ok(place) = places.clone().try_acquire_owned() else {
-                self.now.borrow_mut().unsent += 1;
+            let Ok(permit) = permits.clone().try_acquire_owned() else {
+                self.current_second.borrow_mut().unsent += 1;
                 continue;
             };
             let (client, application) = (client.clone(), self.clone());
-            out.push(actix_rt::spawn(async move {
-                application.now.borrow_mut().sent += 1;
-                let (answer, took) = one.ask(&client, at, &application.name, &application.history).await;
-                application.count(&answer, took);
-                drop(place);
+            tasks.push(actix_rt::spawn(async move {
+                application.current_second.borrow_mut().sent += 1;
+                let (answer, latency) =
+                    request.send(&client, at, &application.name, &application.history).await;
+                application.count(&answer, latency);
+                drop(permit);
             }));
-            if out.len() > 2 * MAX_IN_FLIGHT {
-                out.retain(|task| !task.is_finished());
+            if tasks.len() > 2 * MAX_IN_FLIGHT {
+                tasks.retain(|task| !task.is_finished());
             }
         }
-        for task in out {
+        for task in tasks {
             let _ = task.await;
         }
     }
 
-    fn count(&self, answer: &Answer, took: Duration) {
-        let mut now = self.now.borrow_mut();
+    fn count(&self, answer: &Answer, latency: Duration) {
+        let mut current_second = self.current_second.borrow_mut();
         match answer {
             Answer::Served(_) => {
-                now.served += 1;
-                now.latencies_us.saturating_record(took.as_micros() as u64);
+                current_second.served += 1;
+                current_second.latencies_us.saturating_record(latency.as_micros() as u64);
             }
-            Answer::Refused => now.refused += 1,
-            Answer::Failed | Answer::Broken(_) => now.failed += 1,
+            Answer::Refused => current_second.refused += 1,
+            Answer::Failed | Answer::Broken(_) => current_second.failed += 1,
         }
     }
 }
@@ -143,17 +144,17 @@
     }
 
     /// Sends it; gives its answer, and how long after it was due that came.
-    pub(crate) async fn ask(
+    pub(crate) async fn send(
         self,
         client: &awc::Client,
         at: SocketAddr,
-        by: &str,
+        instance: &str,
         history: &RefCell<Vec<Event>>,
     ) -> (Answer, Duration) {
-        let saw = |what: EventKind| history.borrow_mut().push(Event::now(what));
+        let record = |what: EventKind| history.borrow_mut().push(Event::now(what));
         let PlannedRequest { id, class, client_timeout, due } = self;
         // Six of ten are safe to repeat, two keyed, two unsafe.
-        let (path, once) = match class {
+        let (path, at_most_once) = match class {
             0..6 => ("read", false),
             6..8 => ("pay", false),
             _ => ("book", true),
@@ -170,11 +171,11 @@
                 _ => request.send_body("{}"),
             }
         };
-        let by = by.to_owned();
-        saw(EventKind::RequestSent {
-            by,
+        let instance = instance.to_owned();
+        record(EventKind::RequestSent {
+            instance,
             id: id.clone(),
-            at_most_once: once,
+            at_most_once,
             client_timeout: client_timeout.as_micros() as u64,
         });
         let mut sent = send().await;
@@ -192,8 +193,8 @@
             },
             Err(error) => Answer::Broken(error.to_string()),
         };
-        let took = due.elapsed();
-        saw(EventKind::Answered { id, answer: answer.clone() });
-        (answer, took)
+        let latency = due.elapsed();
+        record(EventKind::Answered { id, answer: answer.clone() });
+        (answer, latency)
     }
 }
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -20,20 +20,26 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// Connections of a relay at a time.
-const CONNECTIONS: usize = 512;
+const MAX_CONNECTIONS: usize = 512;
 /// Pieces of a connection that are on their way.
-const PIECES: usize = 64;
+const QUEUED_CHUNKS: usize = 64;
 /// How much later a datagram from before comes once more.
-const LATE: Duration = Duration::from_secs(3);
+const LATE_DUPLICATE_DELAY: Duration = Duration::from_secs(3);
+/// How much later a reordered datagram is sent.
+const REORDER_DELAY: Duration = Duration::from_millis(40);
+/// How much later the duplicate of a datagram is sent.
+const DUPLICATE_DELAY: Duration = Duration::from_millis(1);
+/// How long connecting to the target may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Lives of one end that a relay of datagrams tells apart.
-const LIVES: usize = 64;
+const MAX_SOURCES: usize = 64;
 
 /// One direction between two processes.
 #[derive(Clone)]
 pub struct Link(Rc<watch::Sender<Impairment>>);
 
 impl Link {
-    fn well() -> Link {
+    fn healthy() -> Link {
         Link(Rc::new(watch::channel(Impairment::default()).0))
     }
 
@@ -42,11 +48,11 @@
         self.0.send_replace(impairment);
     }
 
-    fn now(&self) -> Impairment {
+    fn impairment(&self) -> Impairment {
         *self.0.borrow()
     }
 
-    async fn open(&self) {
+    async fn wait_until_open(&self) {
         let _ = self.0.subscribe().wait_for(|impairment| !impairment.cut).await;
     }
 }
@@ -57,7 +63,7 @@
 /// All directions, by the names of both ends.
 #[derive(Clone, Default)]
 pub struct Links {
-    ways: Rc<RefCell<BTreeMap<(String, String), Link>>>,
+    links: Rc<RefCell<BTreeMap<(String, String), Link>>>,
     resets: Rc<RefCell<Resets>>,
     rng: Rc<RefCell<Option<SmallRng>>>,
 }
@@ -76,13 +82,13 @@
     /// One direction.
     #[must_use]
     pub fn link(&self, from: &str, to: &str) -> Link {
-        let mut ways = self.ways.borrow_mut();
-        ways.entry((from.to_owned(), to.to_owned())).or_insert_with(Link::well).clone()
+        let mut links = self.links.borrow_mut();
+        links.entry((from.to_owned(), to.to_owned())).or_insert_with(Link::healthy).clone()
     }
 
     /// All are well.
     pub fn repair_all(&self) {
-        self.ways.borrow().values().for_each(|way| way.set(Impairment::default()));
+        self.links.borrow().values().for_each(|link| link.set(Impairment::default()));
     }
 
     /// Connections between two are reset.
@@ -107,7 +113,7 @@
     pub async fn tcp(&self, from: &str, to: &str, target: Target) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let at = listener.local_addr()?;
-        let (there, back) = (self.link(from, to), self.link(to, from));
+        let (forward, backward) = (self.link(from, to), self.link(to, from));
         let key = (from.to_owned(), to.to_owned());
         let reset = self.resets.borrow_mut().entry(key).or_insert_with(|| watch::channel(0).0).subscribe();
         let open = Rc::new(Cell::new(0));
@@ -117,17 +123,17 @@
                     sleep(Duration::from_millis(20)).await;
                     continue;
                 };
-                if open.get() >= CONNECTIONS {
+                if open.get() >= MAX_CONNECTIONS {
                     continue;
                 }
                 open.set(open.get() + 1);
-                let (there, back, target) = (there.clone(), back.clone(), target.clone());
+                let (forward, backward, target) = (forward.clone(), backward.clone(), target.clone());
                 let (mut reset, open) = (reset.clone(), open.clone());
                 reset.mark_unchanged();
                 actix_rt::spawn(async move {
-                    let carried = carry(stream, there, back, target, reset).await;
+                    let result = relay_connection(stream, forward, backward, target, reset).await;
                     open.set(open.get() - 1);
-                    drop(carried);
+                    drop(result);
                 });
             }
         });
@@ -142,37 +148,36 @@
     pub async fn udp(&self, from: &str, to: &str, target: Target) -> io::Result<SocketAddr> {
         let socket = Rc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
         let at = socket.local_addr()?;
-        let (there, back, ways) = (self.link(from, to), self.link(to, from), self.clone());
+        let (forward, backward, links) = (self.link(from, to), self.link(to, from), self.clone());
         actix_rt::spawn(async move {
-            let mut lives: VecDeque<(SocketAddr, Rc<UdpSocket>, actix_rt::task::JoinHandle<()>)> =
-                VecDeque::new();
+            let mut sources: VecDeque<Source> = VecDeque::new();
             let mut bytes = vec![0; 65_536];
             loop {
                 // An answer to a process that is gone comes back as a fault of the socket.
                 let Ok((len, source)) = socket.recv_from(&mut bytes).await else { continue };
-                let Some(goal) = target.get() else { continue };
-                if !lives.iter().any(|(at, ..)| *at == source) {
-                    let Ok(out) = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await else { continue };
-                    let out = Rc::new(out);
-                    let (answers, front, back, ways) =
-                        (out.clone(), socket.clone(), back.clone(), ways.clone());
+                let Some(destination) = target.get() else { continue };
+                if !sources.iter().any(|known| known.address == source) {
+                    let Ok(upstream) = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await else { continue };
+                    let upstream = Rc::new(upstream);
+                    let (replies, downstream, backward, links) =
+                        (upstream.clone(), socket.clone(), backward.clone(), links.clone());
                     let task = actix_rt::spawn(async move {
                         let mut bytes = vec![0; 65_536];
                         loop {
-                            if let Ok((len, _)) = answers.recv_from(&mut bytes).await {
-                                ways.datagram(&back, &front, source, &bytes[..len]);
+                            if let Ok((len, _)) = replies.recv_from(&mut bytes).await {
+                                links.send_datagram(&backward, &downstream, source, &bytes[..len]);
                             }
                         }
                     });
-                    lives.push_back((source, out, task));
-                    if lives.len() > LIVES
-                        && let Some((.., task)) = lives.pop_front()
+                    sources.push_back(Source { address: source, upstream, reply_task: task });
+                    if sources.len() > MAX_SOURCES
+                        && let Some(oldest) = sources.pop_front()
                     {
-                        task.abort();
+                        oldest.reply_task.abort();
                     }
                 }
-                if let Some((_, out, _)) = lives.iter().find(|(at, ..)| *at == source) {
-                    ways.datagram(&there, out, goal, &bytes[..len]);
+                if let Some(known) = sources.iter().find(|known| known.address == source) {
+                    links.send_datagram(&forward, &known.upstream, destination, &bytes[..len]);
                 }
             }
         });
@@ -180,30 +185,30 @@
     }
 
     /// Sends a datagram as the way has it.
-    fn datagram(&self, way: &Link, from: &Rc<UdpSocket>, to: SocketAddr, bytes: &[u8]) {
-        let impairment = way.now();
+    fn send_datagram(&self, link: &Link, from: &Rc<UdpSocket>, to: SocketAddr, bytes: &[u8]) {
+        let impairment = link.impairment();
         if impairment.cut || self.chance(impairment.loss_percent) {
             return;
         }
         let mut delay = Duration::from_millis(impairment.delay_ms);
         if self.chance(impairment.reorder_percent) {
-            delay += Duration::from_millis(40);
+            delay += REORDER_DELAY;
         }
-        let mut after = vec![delay];
+        let mut delays = vec![delay];
         if self.chance(impairment.duplicate_percent) {
-            after.push(delay + Duration::from_millis(1));
+            delays.push(delay + DUPLICATE_DELAY);
         }
         if self.chance(impairment.late_duplicate_percent) {
-            after.push(delay + LATE);
+            delays.push(delay + LATE_DUPLICATE_DELAY);
         }
-        for after in after {
-            let (way, from, bytes) = (way.clone(), from.clone(), bytes.to_vec());
+        for delay in delays {
+            let (link, from, bytes) = (link.clone(), from.clone(), bytes.to_vec());
             actix_rt::spawn(async move {
-                if !after.is_zero() {
-                    sleep(after).await;
+                if !delay.is_zero() {
+                    sleep(delay).await;
                 }
                 // Tried at once, a socket that the runtime has not met yet would say that it is full.
-                if !way.now().cut {
+                if !link.impairment().cut {
                     let _ = from.send_to(&bytes, to).await;
                 }
             });
@@ -212,23 +217,23 @@
 }
 
 /// Carries one connection to its end.
-async fn carry(
+async fn relay_connection(
     client: TcpStream,
-    there: Link,
-    back: Link,
+    forward: Link,
+    backward: Link,
     target: Target,
     mut reset: watch::Receiver<u64>,
 ) -> io::Result<()> {
-    let whole = async {
-        there.open().await;
-        let goal = target.get().ok_or(io::ErrorKind::ConnectionRefused)?;
-        let server = timeout(Duration::from_secs(5), TcpStream::connect(goal)).await??;
+    let connect = async {
+        forward.wait_until_open().await;
+        let destination = target.get().ok_or(io::ErrorKind::ConnectionRefused)?;
+        let server = timeout(CONNECT_TIMEOUT, TcpStream::connect(destination)).await??;
         client.set_nodelay(true)?;
         server.set_nodelay(true)?;
         io::Result::Ok(server)
     };
     let server = tokio::select! {
-        server = whole => server,
+        server = connect => server,
         _ = reset.changed() => Err(io::ErrorKind::ConnectionReset.into()),
     };
     let server = match server {
@@ -238,56 +243,63 @@
             return Err(error);
         }
     };
-    let (client_in, client_out) = client.into_split();
-    let (server_in, server_out) = server.into_split();
-    let (client_socket, server_socket) = (client_out, server_out);
-    let forth = pump(client_in, server_socket, there);
-    let back = pump(server_in, client_socket, back);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let forward_pump = pump(client_read, server_write, forward);
+    let backward_pump = pump(server_read, client_write, backward);
     tokio::select! {
-        _ = async { tokio::join!(forth, back) } => {}
+        _ = async { tokio::join!(forward_pump, backward_pump) } => {}
         // Both ends are dropped with what they hold.
         _ = reset.changed() => {}
     }
     Ok(())
 }
 
+/// A sender of datagrams, and the socket that its datagrams are sent on from.
+struct Source {
+    address: SocketAddr,
+    upstream: Rc<UdpSocket>,
+    /// Sends replies back.
+    reply_task: actix_rt::task::JoinHandle<()>,
+}
+
 /// What goes one way: a piece of it, or why it ended.
-enum Piece {
+enum Chunk {
     Bytes(Vec<u8>),
     End,
     Reset,
 }
 
 /// Passes on what goes one way, as the way has it.
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, way: Link) {
-    let (pieces, mut coming) = mpsc::channel::<(Instant, Piece)>(PIECES);
-    let impairment = way.clone();
+async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, link: Link) {
+    let (chunks, mut received) = mpsc::channel::<(Instant, Chunk)>(QUEUED_CHUNKS);
+    let read_link = link.clone();
     let reads = async move {
         loop {
             let mut bytes = vec![0; 16 * 1024];
-            let piece = match from.read(&mut bytes).await {
-                Ok(0) => Piece::End,
+            let chunk = match from.read(&mut bytes).await {
+                Ok(0) => Chunk::End,
                 Ok(len) => {
                     bytes.truncate(len);
-                    Piece::Bytes(bytes)
+                    Chunk::Bytes(bytes)
                 }
-                Err(_) => Piece::Reset,
+                Err(_) => Chunk::Reset,
             };
-            let over = !matches!(piece, Piece::Bytes(_));
-            let due = Instant::now() + Duration::from_millis(impairment.now().delay_ms);
-            if pieces.send((due, piece)).await.is_err() || over {
+            let finished = !matches!(chunk, Chunk::Bytes(_));
+            let due = Instant::now() + Duration::from_millis(read_link.impairment().delay_ms);
+            if chunks.send((due, chunk)).await.is_err() || finished {
                 // The socket is kept until the other half has passed on all.
                 return Some(from);
             }
         }
     };
     let writes = async move {
-        while let Some((due, piece)) = coming.recv().await {
+        while let Some((due, chunk)) = received.recv().await {
             sleep_until(due).await;
-            way.open().await;
-            match piece {
-                Piece::Bytes(bytes) => {
-                    let rate = way.now().bytes_per_s;
+            link.wait_until_open().await;
+            match chunk {
+                Chunk::Bytes(bytes) => {
+                    let rate = link.impairment().bytes_per_s;
                     if rate > 0 {
                         sleep(Duration::from_secs_f64(bytes.len() as f64 / rate as f64)).await;
                     }
@@ -295,10 +307,10 @@
                         return;
                     }
                 }
-                Piece::End => {
+                Chunk::End => {
                     let _ = to.shutdown().await;
                 }
-                Piece::Reset => {
+                Chunk::Reset => {
                     let _ = SockRef::from(to.as_ref()).set_linger(Some(Duration::ZERO));
                     to.forget();
                     return;
--- a/crates/trial/src/relay/tests.rs
+++ b/crates/trial/src/relay/tests.rs
@@ -23,44 +23,44 @@
 /// A cut that still lets bytes through, or loses them for good, would test another network than the one meant.
 #[actix_rt::test]
 async fn a_cut_way_holds_what_is_sent_and_a_reset_ends_both_sides() {
-    let ways = Links::new(1);
+    let links = Links::new(1);
     let target = Rc::new(Cell::new(Some(echo().await)));
-    let at = ways.tcp("a", "b", target).await.unwrap();
+    let at = links.tcp("a", "b", target).await.unwrap();
     let mut stream = TcpStream::connect(at).await.unwrap();
     let mut bytes = [0; 3];
-    for back in [false, true] {
+    for reverse in [false, true] {
         stream.write_all(b"one").await.unwrap();
         stream.read_exact(&mut bytes).await.unwrap();
-        let (from, to) = if back { ("b", "a") } else { ("a", "b") };
-        ways.link(from, to).set(Impairment { cut: true, ..Impairment::default() });
+        let (from, to) = if reverse { ("b", "a") } else { ("a", "b") };
+        links.link(from, to).set(Impairment { cut: true, ..Impairment::default() });
         stream.write_all(b"two").await.unwrap();
         assert!(timeout(Duration::from_millis(80), stream.read_exact(&mut bytes)).await.is_err());
-        ways.repair_all();
+        links.repair_all();
         stream.read_exact(&mut bytes).await.unwrap();
         assert_eq!(&bytes, b"two");
     }
-    ways.reset("b", "a");
+    links.reset("b", "a");
     assert!(!matches!(stream.read(&mut bytes).await, Ok(n) if n > 0));
 }
 
 #[actix_rt::test]
 async fn datagrams_are_lost_doubled_and_answered_through_the_same_relay() {
-    let ways = Links::new(1);
+    let links = Links::new(1);
     let server = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let target = Rc::new(Cell::new(Some(server.local_addr().unwrap())));
-    let at = ways.udp("a", "b", target).await.unwrap();
+    let at = links.udp("a", "b", target).await.unwrap();
     let client = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let mut bytes = [0; 64];
     client.send_to(b"hello", at).await.unwrap();
     let (_, source) = server.recv_from(&mut bytes).await.unwrap();
     server.send_to(b"you", source).await.unwrap();
     assert_eq!(client.recv_from(&mut bytes).await.unwrap().0, 3);
-    ways.link("a", "b").set(Impairment { duplicate_percent: 100, ..Impairment::default() });
+    links.link("a", "b").set(Impairment { duplicate_percent: 100, ..Impairment::default() });
     client.send_to(b"twin", at).await.unwrap();
     for _ in 0..2 {
         assert_eq!(server.recv_from(&mut bytes).await.unwrap().0, 4);
     }
-    ways.link("a", "b").set(Impairment { cut: true, ..Impairment::default() });
+    links.link("a", "b").set(Impairment { cut: true, ..Impairment::default() });
     client.send_to(b"lost", at).await.unwrap();
     assert!(timeout(Duration::from_millis(80), server.recv_from(&mut bytes)).await.is_err());
 }
--- a/crates/trial/src/rig.rs
+++ b/crates/trial/src/rig.rs
@@ -28,12 +28,14 @@
 /// How long the program may take to begin, and to end.
 pub(crate) const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long the platform goes on sending to a sidecar that it told to end, and when it kills one that has not.
-const SENDS_ON: Duration = Duration::from_millis(300);
-const KILLS_AFTER: Duration = Duration::from_secs(5);
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
+const KILL_DELAY: Duration = Duration::from_secs(5);
 /// How often the rig looks at whether its timers are late.
-const LOOK: Duration = Duration::from_millis(20);
+const TIMER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timers that are less late than this, in microseconds, are not recorded.
+const RECORDED_LATENESS_US: u64 = 10_000;
 /// Lines of a process's log that are kept to tell why it ended.
-const LAST_LINES: usize = 20;
+const KEPT_LOG_LINES: usize = 20;
 
 /// A trial.
 pub struct Trial {
@@ -110,44 +112,44 @@
 /// A stand-in's process.
 pub(crate) struct StubProcess {
     process: Process,
-    orders: ChildStdin,
+    stdin: ChildStdin,
     /// Where it listens.
-    pub(crate) on: Vec<SocketAddr>,
-    reads: actix_rt::task::JoinHandle<()>,
+    pub(crate) addresses: Vec<SocketAddr>,
+    reader: actix_rt::task::JoinHandle<()>,
 }
 
 impl StubProcess {
     pub(crate) async fn start(lab: &Path, arguments: &[&str], history: &History) -> Result<StubProcess> {
-        let whole: Vec<&str> = ["stand"].into_iter().chain(arguments.iter().copied()).collect();
-        let mut process = Process::start(lab, lab, &whole, &[])?;
-        let (orders, out, errors) = process.streams()?;
-        let mut lines = BufReader::new(out).lines();
+        let stub_arguments: Vec<&str> = ["stand"].into_iter().chain(arguments.iter().copied()).collect();
+        let mut process = Process::start(lab, lab, &stub_arguments, &[])?;
+        let (stdin, stdout, stderr) = process.streams()?;
+        let mut lines = BufReader::new(stdout).lines();
         let first =
             timeout(PROCESS_TIMEOUT, lines.next_line()).await.context("a stand-in does not begin")??;
         let first: Option<Event> = first.map(|line| serde_json::from_str(&line)).transpose()?;
-        let Some(Event { what: EventKind::Listening { addresses: on }, .. }) = first else {
+        let Some(Event { what: EventKind::Listening { addresses }, .. }) = first else {
             bail!("the stand-in {} ended at once", arguments.join(" "));
         };
         actix_rt::spawn(async move {
-            let mut errors = BufReader::new(errors).lines();
-            while let Ok(Some(line)) = errors.next_line().await {
+            let mut lines = BufReader::new(stderr).lines();
+            while let Ok(Some(line)) = lines.next_line().await {
                 eprintln!("a stand-in: {line}");
             }
         });
         let history = history.clone();
-        let reads = actix_rt::spawn(async move {
+        let reader = actix_rt::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
                 if let Ok(event) = serde_json::from_str::<Event>(&line) {
                     history.borrow_mut().push(event);
                 }
             }
         });
-        Ok(StubProcess { process, orders, on, reads })
+        Ok(StubProcess { process, stdin, addresses, reader })
     }
 
-    pub(crate) async fn tell(&mut self, order: &ListCommand) -> Result<()> {
-        let line = serde_json::to_string(order)? + "\n";
-        self.orders.write_all(line.as_bytes()).await.context("a stand-in takes no orders")
+    pub(crate) async fn send_command(&mut self, command: &ListCommand) -> Result<()> {
+        let line = serde_json::to_string(command)? + "\n";
+        self.stdin.write_all(line.as_bytes()).await.context("a stand-in takes no orders")
     }
 
     pub(crate) fn signal(&self, signal: Signal) {
@@ -157,8 +159,8 @@
     /// Lets it end, and reads what it saw to the last line.
     pub(crate) async fn end(self) -> Result<()> {
         self.process.signal(Signal::CONT);
-        drop(self.orders);
-        timeout(PROCESS_TIMEOUT, self.reads).await.context("a stand-in does not end")??;
+        drop(self.stdin);
+        timeout(PROCESS_TIMEOUT, self.reader).await.context("a stand-in does not end")??;
         Ok(())
     }
 }
@@ -181,16 +183,16 @@
     pub(crate) at: Rc<Cell<Option<SocketAddr>>>,
     pub(crate) history: History,
     pub(crate) process: Option<Process>,
-    pub(crate) told: bool,
+    pub(crate) exit_expected: bool,
     /// Where it is heard as a member.
-    pub(crate) member: Target,
-    pub(crate) plant: Option<String>,
+    pub(crate) member_address: Target,
+    pub(crate) injected_fault: Option<String>,
 }
 
 /// An instance that serves.
 pub(crate) struct Serving {
     /// Where its orders go.
-    pub(crate) orders: UnboundedSender<InstanceCommand>,
+    pub(crate) commands: UnboundedSender<InstanceCommand>,
     /// Where the platform sends; nowhere from some time after it was told to end.
     pub(crate) at: Rc<Cell<Option<SocketAddr>>>,
     /// Its actor, which ends with its process.
@@ -216,41 +218,42 @@
             at: Rc::default(),
             history: history.clone(),
             process: None,
-            told: false,
-            member: Target::default(),
-            plant: None,
+            exit_expected: false,
+            member_address: Target::default(),
+            injected_fault: None,
         }
     }
 
     /// Starts it, and waits until it serves.
     pub(crate) async fn serve(self) -> Result<Serving> {
         let (name, at) = (self.name.clone(), self.at.clone());
-        let (orders, mail) = unbounded_channel();
-        let (begun, mut begins) = watch::channel(None);
-        let task = actix_rt::spawn(self.run(mail, begun));
-        let begun = begins.wait_for(Option::is_some).await.map_err(|_| anyhow!("{name} was not started"))?;
-        if let Some(Err(error)) = &*begun {
+        let (commands, received_commands) = unbounded_channel();
+        let (started, mut start_result) = watch::channel(None);
+        let task = actix_rt::spawn(self.run(received_commands, started));
+        let result =
+            start_result.wait_for(Option::is_some).await.map_err(|_| anyhow!("{name} was not started"))?;
+        if let Some(Err(error)) = &*result {
             bail!("{name}: {error}");
         }
-        Ok(Serving { orders, at, task })
+        Ok(Serving { commands, at, task })
     }
 
     pub(crate) async fn run(
         mut self,
-        mut orders: UnboundedReceiver<InstanceCommand>,
-        begun: watch::Sender<Option<Result<(), String>>>,
+        mut commands: UnboundedReceiver<InstanceCommand>,
+        started: watch::Sender<Option<Result<(), String>>>,
     ) {
-        let begins = self.start(Disk::Kept).await.map_err(|error| format!("{error:#}"));
-        let over = begins.is_err();
-        begun.send_replace(Some(begins));
-        if over {
+        let result = self.start(Disk::Kept).await.map_err(|error| format!("{error:#}"));
+        let failed = result.is_err();
+        started.send_replace(Some(result));
+        if failed {
             return;
         }
         loop {
             tokio::select! {
                 biased;
-                order = orders.recv() => match order {
-                    Some(InstanceCommand::Fault(fault)) => self.follow(fault).await,
+                command = commands.recv() => match command {
+                    Some(InstanceCommand::Fault(fault)) => self.inject(fault).await,
                     Some(InstanceCommand::End) | None => {
                         if let Some(process) = &self.process {
                             process.signal(Signal::CONT);
@@ -259,40 +262,40 @@
                         return;
                     }
                 },
-                ended = exited(&mut self.process) => self.down(ended),
+                exit = exited(&mut self.process) => self.record_exit(exit),
             }
         }
     }
 
-    fn did(&self, fault: Fault) {
+    fn record_fault(&self, fault: Fault) {
         record(&self.history, EventKind::FaultInjected { fault });
     }
 
-    fn down(&mut self, how: String) {
+    fn record_exit(&mut self, how: String) {
         self.process = None;
         self.at.set(None);
-        let told = std::mem::replace(&mut self.told, false);
-        record(&self.history, EventKind::Down { process: self.name.clone(), how, expected: told });
+        let expected = std::mem::replace(&mut self.exit_expected, false);
+        record(&self.history, EventKind::Down { process: self.name.clone(), how, expected });
     }
 
-    async fn follow(&mut self, fault: Fault) {
+    async fn inject(&mut self, fault: Fault) {
         match &fault {
             Fault::Start { disk, .. } => {
                 if self.process.is_some() {
                     self.end(true).await;
                 }
-                self.did(fault.clone());
+                self.record_fault(fault.clone());
                 if let Err(error) = self.start(*disk).await {
-                    self.down(format!("does not start: {error:#}"));
+                    self.record_exit(format!("does not start: {error:#}"));
                 }
             }
-            Fault::Term { .. } => self.tell_to_end(fault, Signal::TERM),
-            Fault::Interrupt { .. } => self.tell_to_end(fault, Signal::INT),
+            Fault::Term { .. } => self.request_termination(fault, Signal::TERM),
+            Fault::Interrupt { .. } => self.request_termination(fault, Signal::INT),
             Fault::Reload { .. } => {
                 if let Some(process) = &self.process {
                     process.signal(Signal::HUP);
                 }
-                self.did(fault);
+                self.record_fault(fault);
             }
             Fault::Kill { .. } | Fault::Stop { .. } | Fault::Continue { .. } => {
                 let signal = match &fault {
@@ -302,18 +305,18 @@
                 };
                 // What it does until the signal comes is before the fault; what it does after going on is after it.
                 if signal == Signal::CONT {
-                    self.did(fault.clone());
+                    self.record_fault(fault.clone());
                 }
                 if let Some(process) = &self.process {
                     process.signal(signal);
                 }
                 if signal != Signal::CONT {
-                    self.did(fault);
+                    self.record_fault(fault);
                 }
                 if signal == Signal::KILL {
-                    self.told = true;
-                    let ended = exited(&mut self.process).await;
-                    self.down(ended);
+                    self.exit_expected = true;
+                    let exit = exited(&mut self.process).await;
+                    self.record_exit(exit);
                 }
             }
             Fault::Link { .. } | Fault::Reset { .. } | Fault::Drain { .. } | Fault::Remove { .. } => {}
@@ -321,15 +324,15 @@
     }
 
     /// Told to end; its application goes on for a while.
-    fn tell_to_end(&mut self, fault: Fault, signal: Signal) {
-        self.did(fault);
-        self.told = true;
+    fn request_termination(&mut self, fault: Fault, signal: Signal) {
+        self.record_fault(fault);
+        self.exit_expected = true;
         if let Some(process) = &self.process {
             process.signal(signal);
         }
         let (at, was) = (self.at.clone(), self.at.get());
         actix_rt::spawn(async move {
-            sleep(SENDS_ON).await;
+            sleep(DEREGISTRATION_DELAY).await;
             if at.get() == was {
                 at.set(None);
             }
@@ -337,15 +340,15 @@
     }
 
     /// Waits for its end, as the platform does; told to end before that where it was not yet.
-    async fn end(&mut self, told: bool) {
+    async fn end(&mut self, already_signalled: bool) {
         if self.process.is_none() {
             return;
         }
-        if !told {
-            self.tell_to_end(Fault::Term { process: self.name.clone() }, Signal::TERM);
+        if !already_signalled {
+            self.request_termination(Fault::Term { process: self.name.clone() }, Signal::TERM);
         }
-        let ended = match timeout(KILLS_AFTER, exited(&mut self.process)).await {
-            Ok(ended) => ended,
+        let exit = match timeout(KILL_DELAY, exited(&mut self.process)).await {
+            Ok(exit) => exit,
             Err(_) => {
                 if let Some(process) = &self.process {
                     process.signal(Signal::KILL);
@@ -353,7 +356,7 @@
                 format!("{}, as it did not end when told", exited(&mut self.process).await)
             }
         };
-        self.down(ended);
+        self.record_exit(exit);
     }
 
     async fn start(&mut self, disk: Disk) -> Result<()> {
@@ -364,33 +367,34 @@
         std::fs::create_dir_all(&state)?;
         let arguments: Vec<&str> = self.arguments.iter().map(String::as_str).collect();
         let config = self.folder.join("config.json");
-        let plant = self.plant.as_deref().map(Path::new);
+        let injected_fault = self.injected_fault.as_deref().map(Path::new);
         let environment: Vec<(&str, &Path)> = [("EDGE_CONFIG", config.as_path())]
             .into_iter()
-            .chain(plant.map(|plant| ("EDGE_PLANT", plant)))
+            .chain(injected_fault.map(|fault| ("EDGE_PLANT", fault)))
             .collect();
         let mut process = Process::start(&self.lab, &self.program, &arguments, &environment)?;
-        let (stdin, out, errors) = process.streams()?;
-        drop((stdin, out));
+        let (stdin, stdout, stderr) = process.streams()?;
+        drop((stdin, stdout));
         let id = process.id();
-        let mut lines = BufReader::new(errors).lines();
+        let mut lines = BufReader::new(stderr).lines();
         let mut log = match &self.log {
             None => None,
             Some(path) => Some(std::fs::OpenOptions::new().create(true).append(true).open(path)?),
         };
-        let (found, mut serves) = watch::channel(None::<SocketAddr>);
-        let last = Rc::new(RefCell::new(Vec::new()));
-        let kept = last.clone();
-        let (member, name, history) = (self.member.clone(), self.name.clone(), self.history.clone());
+        let (address_found, mut address) = watch::channel(None::<SocketAddr>);
+        let last_lines = Rc::new(RefCell::new(Vec::new()));
+        let kept_lines = last_lines.clone();
+        let (member_address, name, history) =
+            (self.member_address.clone(), self.name.clone(), self.history.clone());
         actix_rt::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
                 if let Some((_, at)) = line.split_once("listening on ") {
-                    found.send_replace(at.trim().parse().ok());
+                    address_found.send_replace(at.trim().parse().ok());
                 }
                 if let Some((_, at)) = line.split_once(" heard at ") {
-                    member.set(at.split(',').next().and_then(|at| at.parse().ok()));
+                    member_address.set(at.split(',').next().and_then(|at| at.parse().ok()));
                 }
-                if let Some(what) = duty_of(&name, &line) {
+                if let Some(what) = parse_duty_event(&name, &line) {
                     record(&history, what);
                 }
                 if let Some(log) = &mut log {
@@ -399,18 +403,19 @@
                         format!("{} {line}\n", crate::clock::now()).as_bytes(),
                     );
                 }
-                let mut kept = kept.borrow_mut();
-                if kept.len() == LAST_LINES {
-                    kept.remove(0);
+                let mut kept_lines = kept_lines.borrow_mut();
+                if kept_lines.len() == KEPT_LOG_LINES {
+                    kept_lines.remove(0);
                 }
-                kept.push(line);
+                kept_lines.push(line);
             }
         });
         self.process = Some(process);
         let found =
-            timeout(PROCESS_TIMEOUT, serves.wait_for(Option::is_some)).await.context("it does not serve")?;
-        let at =
-            found.map(|at| *at).map_err(|_| anyhow!("it ended at once: {}", last.borrow().join("; ")))?;
+            timeout(PROCESS_TIMEOUT, address.wait_for(Option::is_some)).await.context("it does not serve")?;
+        let at = found
+            .map(|at| *at)
+            .map_err(|_| anyhow!("it ended at once: {}", last_lines.borrow().join("; ")))?;
         record(&self.history, EventKind::Up { process: self.name.clone(), pid: id });
         self.at.set(at);
         Ok(())
@@ -418,19 +423,19 @@
 }
 
 /// What a line of a sidecar's log says of a duty.
-fn duty_of(process: &str, line: &str) -> Option<EventKind> {
-    let (duty, said) = line.split_once("duty ")?.1.split_once(": ")?;
+fn parse_duty_event(process: &str, line: &str) -> Option<EventKind> {
+    let (duty, message) = line.split_once("duty ")?.1.split_once(": ")?;
     let (process, duty) = (process.to_owned(), duty.to_owned());
-    if let Some(rest) = said.strip_prefix("held here, fence ") {
+    if let Some(rest) = message.strip_prefix("held here, fence ") {
         let fence = rest.split(',').next()?.parse().ok()?;
         return Some(EventKind::DutyAcquired { process, duty, fence });
     }
-    said.starts_with("let go").then_some(EventKind::DutyReleased { process, duty })
+    message.starts_with("let go").then_some(EventKind::DutyReleased { process, duty })
 }
 
 impl FleetConfig {
     /// The operator's file of an instance that reaches the voters here.
-    fn file(&self, voters: &[(String, SocketAddr)]) -> String {
+    fn operator_settings(&self, voters: &[(String, SocketAddr)]) -> String {
         let FleetConfig { lease_ms, period_ms, .. } = self;
         let voter = |(name, at): &(String, SocketAddr)| {
             format!("[[fleet.voter]]\nname = \"{name}\"\nat = \"{at}\"\n")
@@ -461,10 +466,10 @@
 /// # Errors
 ///
 /// A process can't be started, or what it is told can't be written.
-pub async fn run_trial(trial: &Trial, mut look: impl FnMut(&Progress<'_>)) -> Result<Outcome> {
+pub async fn run_trial(trial: &Trial, mut report_progress: impl FnMut(&Progress<'_>)) -> Result<Outcome> {
     let history: History = Rc::default();
     let mut rng = SmallRng::seed_from_u64(trial.seed);
-    let ways = Links::new(rng.random());
+    let links = Links::new(rng.random());
     let mut servers = BTreeMap::new();
     for name in &trial.servers {
         let seed = rng.random::<u64>().to_string();
@@ -481,28 +486,28 @@
     // A relay from each instance to each server and to the list.
     let fixed = |at: SocketAddr| -> Target { Rc::new(Cell::new(Some(at))) };
     let folder = tempfile::tempdir()?;
-    let mut hold = BTreeMap::new();
-    let members: BTreeMap<String, Target> =
+    let mut lists = BTreeMap::new();
+    let member_addresses: BTreeMap<String, Target> =
         trial.instances.iter().map(|name| (name.clone(), Target::default())).collect();
     let mut instances = BTreeMap::new();
     let mut tasks = Vec::new();
-    let mut waits = Vec::new();
+    let mut pending = Vec::new();
     for (n, name) in trial.instances.iter().enumerate() {
         let mut reached = Vec::new();
-        for (server, stand) in &servers {
+        for (server, stub) in &servers {
             // The first is the one that keeps what duties do.
             let model = if server == "s0" { "ledger" } else { "" }.to_owned();
-            let at = ways.tcp(name, server, fixed(stand.on[0])).await?;
+            let at = links.tcp(name, server, fixed(stub.addresses[0])).await?;
             reached.push(ListedServer { uid: server.clone(), address: at, model });
         }
-        let discovery = ways.tcp(name, "list", fixed(list.on[n])).await?;
+        let discovery = links.tcp(name, "list", fixed(list.addresses[n])).await?;
         let folder = folder.path().join(name);
         std::fs::create_dir_all(&folder)?;
         let known = list_body(reached.iter().map(|listed| (listed, "up")), true, 1);
         let times = ClassTimes {
             aim: trial.aim,
             client_timeout: trial.load.client_timeout,
-            grace: trial.bounds.drain_grace,
+            drain_grace: trial.bounds.drain_grace,
         };
         let mut config = sidecar_config(times, name, discovery, &known, rng.random());
         if let Some(fleet) = &trial.fleet {
@@ -511,61 +516,66 @@
                 let at = if voter == name {
                     SocketAddr::from(([127, 0, 0, 1], 9))
                 } else {
-                    ways.udp(name, voter, members[voter].clone()).await?
+                    links.udp(name, voter, member_addresses[voter].clone()).await?
                 };
                 voters.push((voter.clone(), at));
             }
             let path = folder.join("operator.toml");
-            std::fs::write(&path, fleet.file(&voters))?;
+            std::fs::write(&path, fleet.operator_settings(&voters))?;
             config["limits_file"] = json!(path);
         }
         std::fs::write(folder.join("config.json"), config.to_string())?;
-        hold.insert(name.clone(), reached);
+        lists.insert(name.clone(), reached);
         let instance = Instance {
             arguments: trial.arguments.clone(),
             log: trial.log_dir.as_ref().map(|out| out.join(format!("{name}.log"))),
-            member: members[name].clone(),
-            plant: trial.injected_fault.clone(),
+            member_address: member_addresses[name].clone(),
+            injected_fault: trial.injected_fault.clone(),
             ..Instance::new(&trial.lab, &trial.program, name, folder, &history)
         };
         let at = instance.at.clone();
-        let (orders, mail) = unbounded_channel();
-        let (begun, begins) = watch::channel(None);
-        waits.push((instance, mail, begun, begins));
-        instances.insert(name.clone(), (orders, at));
+        let (commands, received_commands) = unbounded_channel();
+        let (started, start_result) = watch::channel(None);
+        pending.push(PendingInstance { instance, commands: received_commands, started, start_result });
+        instances.insert(name.clone(), InstanceHandle { commands, address: at });
     }
-    list.tell(&ListCommand::ReplaceLists(hold)).await?;
-    let mut begins = Vec::new();
-    for (instance, mail, begun, begin) in waits {
-        begins.push((instance.name.clone(), begin));
-        tasks.push(actix_rt::spawn(instance.run(mail, begun)));
+    list.send_command(&ListCommand::ReplaceLists(lists)).await?;
+    let mut start_results = Vec::new();
+    for PendingInstance { instance, commands, started, start_result } in pending {
+        start_results.push((instance.name.clone(), start_result));
+        tasks.push(actix_rt::spawn(instance.run(commands, started)));
     }
-    for (name, mut begin) in begins {
-        let begun = begin.wait_for(Option::is_some).await.map_err(|_| anyhow!("{name} was not started"))?;
-        if let Some(Err(error)) = &*begun {
+    for (name, mut start_result) in start_results {
+        let result =
+            start_result.wait_for(Option::is_some).await.map_err(|_| anyhow!("{name} was not started"))?;
+        if let Some(Err(error)) = &*result {
             bail!("{name}: {error}");
         }
     }
 
     let start = crate::clock::now();
-    let now = Rc::new(RefCell::new(SecondStats::new()?));
-    let mut asking = Vec::new();
-    for (name, (_, at)) in &instances {
-        let (name, at, history, now) = (name.clone(), at.clone(), history.clone(), now.clone());
-        let application = Application { name, at, history, now };
-        asking.push(actix_rt::spawn(application.ask(trial.load, SmallRng::from_rng(&mut rng))));
+    let current_second = Rc::new(RefCell::new(SecondStats::new()?));
+    let mut applications = Vec::new();
+    for (name, handle) in &instances {
+        let application = Application {
+            name: name.clone(),
+            at: handle.address.clone(),
+            history: history.clone(),
+            current_second: current_second.clone(),
+        };
+        applications.push(actix_rt::spawn(application.run(trial.load, SmallRng::from_rng(&mut rng))));
     }
-    let watches = watch_timers(history.clone());
-    let rig = Rig { ways: ways.clone(), instances, servers, history: history.clone() };
-    rig.through(trial, &mut list, asking, &now, &mut look).await?;
-    ways.repair_all();
-    rig.instances.values().for_each(|(orders, _)| drop(orders.send(InstanceCommand::End)));
+    let timer_watch = watch_timers(history.clone());
+    let rig = Rig { links: links.clone(), instances, servers, history: history.clone() };
+    rig.play_schedule(trial, &mut list, applications, &current_second, &mut report_progress).await?;
+    links.repair_all();
+    rig.instances.values().for_each(|handle| drop(handle.commands.send(InstanceCommand::End)));
     for task in tasks {
         timeout(PROCESS_TIMEOUT, task).await.context("an instance does not end")??;
     }
-    watches.abort();
-    for stand in rig.servers.into_values() {
-        stand.end().await?;
+    timer_watch.abort();
+    for stub in rig.servers.into_values() {
+        stub.end().await?;
     }
     list.end().await?;
     let mut history = history.take();
@@ -578,10 +588,10 @@
 pub(crate) fn watch_timers(history: History) -> actix_rt::task::JoinHandle<()> {
     actix_rt::spawn(async move {
         loop {
-            let due = Instant::now() + LOOK;
+            let due = Instant::now() + TIMER_CHECK_INTERVAL;
             sleep_until(due).await;
             let by = due.elapsed().as_micros() as u64;
-            if by > 10_000 {
+            if by > RECORDED_LATENESS_US {
                 record(&history, EventKind::TimerLate { by });
             }
         }
@@ -589,66 +599,78 @@
 }
 
 /// An instance's orders, and where it serves.
-type Handle = (UnboundedSender<InstanceCommand>, Rc<Cell<Option<SocketAddr>>>);
+struct InstanceHandle {
+    commands: UnboundedSender<InstanceCommand>,
+    address: Rc<Cell<Option<SocketAddr>>>,
+}
+
+/// An instance that is ready to be started.
+struct PendingInstance {
+    instance: Instance,
+    commands: UnboundedReceiver<InstanceCommand>,
+    started: watch::Sender<Option<Result<(), String>>>,
+    start_result: watch::Receiver<Option<Result<(), String>>>,
+}
 
 /// What the schedule reaches.
 struct Rig {
-    ways: Links,
-    instances: BTreeMap<String, Handle>,
+    links: Links,
+    instances: BTreeMap<String, InstanceHandle>,
     servers: BTreeMap<String, StubProcess>,
     history: History,
 }
 
 impl Rig {
     /// Plays the schedule until every application has its last answer.
-    async fn through(
+    async fn play_schedule(
         &self,
         trial: &Trial,
         list: &mut StubProcess,
-        asking: Vec<actix_rt::task::JoinHandle<()>>,
-        now: &RefCell<SecondStats>,
-        look: &mut impl FnMut(&Progress<'_>),
+        applications: Vec<actix_rt::task::JoinHandle<()>>,
+        current_second: &RefCell<SecondStats>,
+        report_progress: &mut impl FnMut(&Progress<'_>),
     ) -> Result<()> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut steps = trial.schedule.steps.iter().peekable();
         let mut ticks = interval(Duration::from_secs(1));
         ticks.tick().await;
-        let (mut did, mut seen) = (Vec::new(), self.history.borrow().len());
-        let mut over = std::pin::pin!(async {
-            for task in asking {
+        let mut faults = Vec::new();
+        let mut events_seen = self.history.borrow().len();
+        let mut all_answered = std::pin::pin!(async {
+            for task in applications {
                 let _ = task.await;
             }
         });
         loop {
-            let next = steps.peek().map(|step| begun + Duration::from_millis(step.at_ms));
+            let next = steps.peek().map(|step| started_at + Duration::from_millis(step.at_ms));
             tokio::select! {
                 biased;
                 () = async { match next { Some(next) => sleep_until(next).await, None => std::future::pending().await } } => {
                     if let Some(step) = steps.next() {
-                        did.push(step.fault.clone());
-                        self.inflict(&step.fault, list).await?;
+                        faults.push(step.fault.clone());
+                        self.inject_fault(&step.fault, list).await?;
                     }
                 }
                 _ = ticks.tick() => {
-                    let done = std::mem::replace(&mut *now.borrow_mut(), SecondStats::new()?);
-                    let mut came: Vec<(String, u64)> = trial.servers.iter().map(|name| (name.clone(), 0)).collect();
-                    for event in &self.history.borrow()[seen..] {
+                    let done = std::mem::replace(&mut *current_second.borrow_mut(), SecondStats::new()?);
+                    let mut starts_per_server: Vec<(String, u64)> = trial.servers.iter().map(|name| (name.clone(), 0)).collect();
+                    for event in &self.history.borrow()[events_seen..] {
                         if let EventKind::RequestStarted { server, .. } = &event.what
-                            && let Some((_, n)) = came.iter_mut().find(|(name, _)| name == server)
+                            && let Some((_, n)) = starts_per_server.iter_mut().find(|(name, _)| name == server)
                         {
                             *n += 1;
                         }
                     }
-                    seen = self.history.borrow().len();
-                    look(&Progress { second: begun.elapsed().as_secs(), requests: &done, starts_per_server: &came, faults: &did });
-                    did.clear();
+                    events_seen = self.history.borrow().len();
+                    report_progress(&Progress { second: started_at.elapsed().as_secs(), requests: &done, starts_per_server: &starts_per_server, faults: &faults });
+                    faults.clear();
                 }
-                () = &mut over => return Ok(()),
+                () = &mut all_answered => return Ok(()),
             }
         }
     }
 
-    async fn inflict(&self, fault: &Fault, list: &mut StubProcess) -> Result<()> {
+    async fn inject_fault(&self, fault: &Fault, list: &mut StubProcess) -> Result<()> {
         match fault {
             Fault::Kill { process }
             | Fault::Term { process }
@@ -657,22 +679,23 @@
             | Fault::Start { process, .. }
             | Fault::Stop { process }
             | Fault::Continue { process } => {
-                if let Some((orders, _)) = self.instances.get(process) {
-                    let _ = orders.send(InstanceCommand::Fault(fault.clone()));
+                if let Some(handle) = self.instances.get(process) {
+                    let _ = handle.commands.send(InstanceCommand::Fault(fault.clone()));
                     return Ok(());
                 }
-                let stand = self.servers.get(process).map_or(&*list, |stand| stand);
+                let stub = self.servers.get(process).map_or(&*list, |stub| stub);
                 match fault {
-                    Fault::Stop { .. } => stand.process.signal(Signal::STOP),
-                    Fault::Continue { .. } => stand.process.signal(Signal::CONT),
+                    Fault::Stop { .. } => stub.process.signal(Signal::STOP),
+                    Fault::Continue { .. } => stub.process.signal(Signal::CONT),
                     _ => bail!("'{fault}': only instances are ended and started"),
                 }
             }
-            Fault::Link { from, to, impairment } => self.ways.link(from, to).set(*impairment),
-            Fault::Reset { from, to } => self.ways.reset(from, to),
+            Fault::Link { from, to, impairment } => self.links.link(from, to).set(*impairment),
+            Fault::Reset { from, to } => self.links.reset(from, to),
             Fault::Drain { server } | Fault::Remove { server } => {
                 let state = if matches!(fault, Fault::Drain { .. }) { "draining" } else { "removed" };
-                list.tell(&ListCommand::SetState { server: server.clone(), state: state.to_owned() }).await?;
+                list.send_command(&ListCommand::SetState { server: server.clone(), state: state.to_owned() })
+                    .await?;
             }
         }
         record(&self.history, EventKind::FaultInjected { fault: fault.clone() });
@@ -688,7 +711,7 @@
     /// How long a request waits.
     pub(crate) client_timeout: Duration,
     /// How long a drained server may still be sent to, in microseconds.
-    pub(crate) grace: u64,
+    pub(crate) drain_grace: u64,
 }
 
 /// What an instance is told at its start.
@@ -710,7 +733,7 @@
             "zones": ["here"], "stats": {"fields": ["inflight", "queue", "util"], "how": "inline"},
             "limits": {"try_limit": 4, "probes": true, "cancel": true, "connect_timeout": 200_000},
             "deductions": {"probe": 0.02},
-            "safety": {"drain_grace": times.grace},
+            "safety": {"drain_grace": times.drain_grace},
             "classes": [class("read", "retryable"), class("pay", "dedup"), class("book", "fragile")],
         },
     })
--- a/crates/trial/src/schedule.rs
+++ b/crates/trial/src/schedule.rs
@@ -173,19 +173,19 @@
                     reorder_percent,
                     late_duplicate_percent,
                 } = *impairment;
-                for (what, n) in [("ms later", delay_ms), ("bytes a second", bytes_per_s)] {
+                for (effect, n) in [("ms later", delay_ms), ("bytes a second", bytes_per_s)] {
                     if n > 0 {
-                        write!(f, " {n} {what}")?;
+                        write!(f, " {n} {effect}")?;
                     }
                 }
-                for (what, n) in [
+                for (effect, n) in [
                     ("lost", loss_percent),
                     ("twice", duplicate_percent),
                     ("reordered", reorder_percent),
                     ("3 s late", late_duplicate_percent),
                 ] {
                     if n > 0 {
-                        write!(f, " {n}% {what}")?;
+                        write!(f, " {n}% {effect}")?;
                     }
                 }
                 Ok(())
@@ -231,7 +231,7 @@
 }
 
 impl Participants {
-    fn knows(&self, name: &str) -> bool {
+    fn contains(&self, name: &str) -> bool {
         name == "list" || self.instances.iter().chain(&self.servers).any(|n| n == name)
     }
 }
@@ -242,12 +242,12 @@
     /// # Errors
     ///
     /// The file can't be read, has a key that is not known, or names nobody of the cast.
-    pub fn read(path: &Path, cast: &Participants) -> Result<Schedule> {
+    pub fn read(path: &Path, participants: &Participants) -> Result<Schedule> {
         let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
         let mut schedule: Schedule = toml::from_str(&text).with_context(|| path.display().to_string())?;
         for (n, step) in schedule.steps.iter().enumerate() {
-            if let Some(name) = step.fault.names().into_iter().find(|name| !cast.knows(name)) {
-                let (all, servers) = (cast.instances.join(", "), cast.servers.join(", "));
+            if let Some(name) = step.fault.names().into_iter().find(|name| !participants.contains(name)) {
+                let (all, servers) = (participants.instances.join(", "), participants.servers.join(", "));
                 bail!(
                     "{}: step[{n}]: nobody is called '{name}'; right would be one of {all}, {servers}, list",
                     path.display()
@@ -261,109 +261,111 @@
     /// Draws one: faults of processes and ways that overlap, all mended a quarter before the end, so that what comes back is
     /// seen to.
     #[must_use]
-    pub fn draw(seed: u64, cast: &Participants, lasts_ms: u64) -> Schedule {
+    pub fn draw(seed: u64, participants: &Participants, duration_ms: u64) -> Schedule {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut drawn = Drawn { steps: Vec::new(), busy: BTreeMap::new(), end: lasts_ms * 3 / 4 };
+        let mut generator =
+            Generator { steps: Vec::new(), busy_until: BTreeMap::new(), end: duration_ms * 3 / 4 };
         let mut at = 500;
-        while at < drawn.end {
+        while at < generator.end {
             at += rng.random_range(100..900);
-            drawn.one(at, cast, &mut rng);
+            generator.add_random_fault(at, participants, &mut rng);
         }
-        let mut steps = drawn.steps;
+        let mut steps = generator.steps;
         steps.sort_by_key(|step| step.at_ms);
         Schedule { steps }
     }
 }
 
-struct Drawn {
+struct Generator {
     steps: Vec<Step>,
     /// Until when nothing further happens to a process or way.
-    busy: BTreeMap<String, u64>,
+    busy_until: BTreeMap<String, u64>,
     end: u64,
 }
 
-impl Drawn {
-    fn free(&mut self, what: &str, from: u64, until: u64) -> bool {
-        if self.busy.get(what).is_some_and(|busy| *busy >= from) || until > self.end {
+impl Generator {
+    fn reserve(&mut self, what: &str, from: u64, until: u64) -> bool {
+        if self.busy_until.get(what).is_some_and(|busy_until| *busy_until >= from) || until > self.end {
             return false;
         }
-        self.busy.insert(what.to_owned(), until);
+        self.busy_until.insert(what.to_owned(), until);
         true
     }
 
-    fn step(&mut self, at_ms: u64, fault: Fault) {
+    fn push(&mut self, at_ms: u64, fault: Fault) {
         self.steps.push(Step { at_ms, fault });
     }
 
-    fn one(&mut self, at: u64, cast: &Participants, rng: &mut SmallRng) {
-        let Some(process) = cast.instances.choose(rng).cloned() else { return };
+    fn add_random_fault(&mut self, at: u64, participants: &Participants, rng: &mut SmallRng) {
+        let Some(process) = participants.instances.choose(rng).cloned() else { return };
         match rng.random_range(0..10) {
             0..3 => {
-                let until = at + rng.random_range(50..2 * cast.lease_ms + 500);
+                let until = at + rng.random_range(50..2 * participants.lease_ms + 500);
                 let (term, disk) =
                     (rng.random_bool(0.3), if rng.random_bool(0.3) { Disk::Lost } else { Disk::Kept });
-                if self.free(&process, at, until + 800) {
+                if self.reserve(&process, at, until + 800) {
                     let end = if term {
                         Fault::Term { process: process.clone() }
                     } else {
                         Fault::Kill { process: process.clone() }
                     };
-                    self.step(at, end);
-                    self.step(until, Fault::Start { process, disk });
+                    self.push(at, end);
+                    self.push(until, Fault::Start { process, disk });
                 }
             }
             3..6 => {
                 // Shorter than a lease, around it, far over it.
-                let lasts = match rng.random_range(0..3) {
-                    0 => rng.random_range(20..cast.lease_ms / 2),
-                    1 => rng.random_range(cast.lease_ms * 8 / 10..cast.lease_ms * 13 / 10),
-                    _ => rng.random_range(2 * cast.lease_ms..4 * cast.lease_ms),
+                let duration = match rng.random_range(0..3) {
+                    0 => rng.random_range(20..participants.lease_ms / 2),
+                    1 => rng.random_range(participants.lease_ms * 8 / 10..participants.lease_ms * 13 / 10),
+                    _ => rng.random_range(2 * participants.lease_ms..4 * participants.lease_ms),
                 };
-                let server = cast.servers.choose(rng).filter(|_| rng.random_bool(0.25)).cloned();
+                let server = participants.servers.choose(rng).filter(|_| rng.random_bool(0.25)).cloned();
                 let process = server.unwrap_or(process);
-                if self.free(&process, at, at + lasts) {
-                    self.step(at, Fault::Stop { process: process.clone() });
-                    self.step(at + lasts, Fault::Continue { process });
+                if self.reserve(&process, at, at + duration) {
+                    self.push(at, Fault::Stop { process: process.clone() });
+                    self.push(at + duration, Fault::Continue { process });
                 }
             }
             n => {
-                let others: Vec<String> = if cast.peers && n < 9 {
-                    cast.instances.iter().filter(|other| **other != process).cloned().collect()
+                let peers: Vec<String> = if participants.peers && n < 9 {
+                    participants.instances.iter().filter(|peer| **peer != process).cloned().collect()
                 } else {
-                    cast.servers.iter().cloned().chain(["list".to_owned()]).collect()
+                    participants.servers.iter().cloned().chain(["list".to_owned()]).collect()
                 };
-                let Some(other) = others.choose(rng).cloned() else { return };
-                let lasts = rng.random_range(100..3 * cast.lease_ms);
+                let Some(peer) = peers.choose(rng).cloned() else { return };
+                let duration = rng.random_range(100..3 * participants.lease_ms);
                 let impairment = if rng.random_bool(0.6) {
                     Impairment { cut: true, ..Impairment::default() }
                 } else {
-                    let late = rng.random_range(5..60);
-                    let mut part = || if rng.random_bool(0.5) { rng.random_range(5..60) } else { 0 };
+                    let delay_ms = rng.random_range(5..60);
+                    let mut percent = || if rng.random_bool(0.5) { rng.random_range(5..60) } else { 0 };
                     Impairment {
-                        loss_percent: part(),
-                        duplicate_percent: part(),
-                        reorder_percent: part(),
-                        late_duplicate_percent: part(),
-                        delay_ms: late,
+                        loss_percent: percent(),
+                        duplicate_percent: percent(),
+                        reorder_percent: percent(),
+                        late_duplicate_percent: percent(),
+                        delay_ms,
                         ..Impairment::default()
                     }
                 };
                 // To all others where it is cut off, else to one; one way or both.
-                let all = impairment.cut && cast.peers && rng.random_bool(0.4);
-                let (there, back) = [(true, true), (true, false), (false, true)][rng.random_range(0..3)];
-                let others = if all { others } else { vec![other] };
-                for other in others {
-                    let had = self.steps.len();
-                    for (from, to) in [(&process, &other), (&other, &process)]
+                let isolate = impairment.cut && participants.peers && rng.random_bool(0.4);
+                let (forward, backward) =
+                    [(true, true), (true, false), (false, true)][rng.random_range(0..3)];
+                let peers = if isolate { peers } else { vec![peer] };
+                for peer in peers {
+                    let steps_before = self.steps.len();
+                    for (from, to) in [(&process, &peer), (&peer, &process)]
                         .into_iter()
-                        .zip([there, back])
+                        .zip([forward, backward])
                         .filter(|w| w.1)
                         .map(|w| w.0)
                     {
-                        if self.free(&format!("{from}>{to}"), at, at + lasts) {
-                            self.step(at, Fault::Link { from: from.clone(), to: to.clone(), impairment });
-                            self.step(
-                                at + lasts,
+                        if self.reserve(&format!("{from}>{to}"), at, at + duration) {
+                            self.push(at, Fault::Link { from: from.clone(), to: to.clone(), impairment });
+                            self.push(
+                                at + duration,
                                 Fault::Link {
                                     from: from.clone(),
                                     to: to.clone(),
@@ -372,8 +374,8 @@
                             );
                         }
                     }
-                    if self.steps.len() > had && rng.random_bool(0.1) {
-                        self.step(at + lasts, Fault::Reset { from: process.clone(), to: other });
+                    if self.steps.len() > steps_before && rng.random_bool(0.1) {
+                        self.push(at + duration, Fault::Reset { from: process.clone(), to: peer });
                     }
                 }
             }
--- a/crates/trial/src/soak/audit.rs
+++ b/crates/trial/src/soak/audit.rs
@@ -1,14 +1,14 @@
 //! What a soak is judged by: the protocol page's terms, from what clients and servers saw. Pure.
 
-use crate::audit::{Answers, Bounds, Property, Verdict, Violation};
+use crate::audit::{Answers, Bounds, Property, TimedAnswer, Verdict, Violation};
 use crate::history::{Answer, Event, EventKind};
 use crate::schedule::Fault;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long after its client has left an attempt of a request may still be seen to begin, in microseconds.
-const LEFT_GRACE: u64 = 100_000;
+const CANCEL_GRACE_US: u64 = 100_000;
 /// How a process ends that was told to end and did so in order.
-const IN_ORDER: &str = "ended with exit status: 0";
+const ORDERLY_EXIT: &str = "ended with exit status: 0";
 
 /// What became of the requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,65 +27,73 @@
     pub left: u64,
 }
 
+/// The start of a request at a server.
+struct Start<'a> {
+    at: u64,
+    body: &'a str,
+}
+
 #[derive(Default)]
 struct Request<'a> {
-    once: bool,
-    asked: u64,
+    at_most_once: bool,
+    sent_at: u64,
     client_timeout: u64,
-    answers: Vec<(u64, &'a Answer)>,
+    answers: Vec<TimedAnswer<'a>>,
     crossed: bool,
-    left: Option<u64>,
-    began: Vec<(u64, &'a str)>,
+    left_at: Option<u64>,
+    starts: Vec<Start<'a>>,
     /// When it first began at a server that does not stand still.
-    began_in_sight: Option<u64>,
+    first_observed_start: Option<u64>,
 }
 
 /// Judges a history, in the order of its times.
 #[must_use]
 pub fn judge(history: &[Event], bounds: Bounds) -> (Verdict, Counts) {
     let mut requests: BTreeMap<&str, Request<'_>> = BTreeMap::new();
-    let mut still: BTreeSet<&str> = BTreeSet::new();
-    let (mut broken, mut late, mut ended) = (Vec::new(), 0, false);
-    let mut add = |property, at, what| broken.push(Violation { property, at, what });
+    let mut stopped: BTreeSet<&str> = BTreeSet::new();
+    let mut violations = Vec::new();
+    let mut max_timer_lateness = 0;
+    let mut terminated = false;
+    let mut add = |property, at, what| violations.push(Violation { property, at, what });
     for Event { at, what } in history {
         match what {
-            EventKind::RequestSent { id, at_most_once: once, client_timeout, .. } => {
+            EventKind::RequestSent { id, at_most_once, client_timeout, .. } => {
                 let new = Request {
-                    once: *once,
-                    asked: *at,
+                    at_most_once: *at_most_once,
+                    sent_at: *at,
                     client_timeout: *client_timeout,
                     ..Request::default()
                 };
                 requests.insert(id, new);
             }
             EventKind::Answered { id, answer } => {
-                requests.entry(id).or_default().answers.push((*at, answer));
+                requests.entry(id).or_default().answers.push(TimedAnswer { at: *at, answer });
             }
             EventKind::CrossedClose { id } => requests.entry(id).or_default().crossed = true,
-            EventKind::ClientLeft { id } => requests.entry(id).or_default().left = Some(*at),
-            EventKind::FaultInjected { fault: Fault::Stop { process } } => drop(still.insert(process)),
+            EventKind::ClientLeft { id } => requests.entry(id).or_default().left_at = Some(*at),
+            EventKind::FaultInjected { fault: Fault::Stop { process } } => drop(stopped.insert(process)),
             EventKind::RequestStarted { server, id, body } => {
                 let request = requests.entry(id).or_default();
-                request.began.push((*at, body));
+                request.starts.push(Start { at: *at, body });
                 // One that stands still reads what came long before only once it goes on, at the end.
-                if !still.contains(server.as_str()) {
-                    request.began_in_sight.get_or_insert(*at);
+                if !stopped.contains(server.as_str()) {
+                    request.first_observed_start.get_or_insert(*at);
                 }
             }
-            EventKind::TimerLate { by } => late = late.max(*by),
+            EventKind::TimerLate { by } => max_timer_lateness = max_timer_lateness.max(*by),
             EventKind::Overdue { process } => {
                 add(Property::TerminatesInTime, *at, format!("{process} runs on at the earliest kill"));
             }
             EventKind::Down { process, how, .. } => {
-                ended = true;
-                if how != IN_ORDER {
+                terminated = true;
+                if how != ORDERLY_EXIT {
                     add(Property::NoCrash, *at, format!("{process} {how}"));
                 }
             }
             _ => {}
         }
     }
-    if !ended {
+    if !terminated {
         add(Property::TerminatesInTime, 0, "the process was not seen to end".to_owned());
     }
     let mut counts = Counts::default();
@@ -93,11 +101,11 @@
         counts.add(request);
         request.judge(id, bounds, &mut add);
     }
-    broken.sort_by_key(|b| b.at);
-    let verdict = match broken.is_empty() {
-        _ if late > bounds.timer_lateness => Verdict::Void(late),
+    violations.sort_by_key(|violation| violation.at);
+    let verdict = match violations.is_empty() {
+        _ if max_timer_lateness > bounds.timer_lateness => Verdict::Void(max_timer_lateness),
         true => Verdict::Kept,
-        false => Verdict::Broken(broken),
+        false => Verdict::Broken(violations),
     };
     (verdict, counts)
 }
@@ -106,44 +114,56 @@
     fn add(&mut self, request: &Request<'_>) {
         self.asked += 1;
         self.crossed += u64::from(request.crossed);
-        self.left += u64::from(request.left.is_some());
-        match request.answers.first() {
-            Some((_, Answer::Served(_))) => self.served += 1,
-            Some((_, Answer::Refused)) => self.refused += 1,
-            Some((_, Answer::Failed)) => self.failed += 1,
-            Some((_, Answer::Broken(_))) | None => {}
+        self.left += u64::from(request.left_at.is_some());
+        match request.answers.first().map(|timed| timed.answer) {
+            Some(Answer::Served(_)) => self.served += 1,
+            Some(Answer::Refused) => self.refused += 1,
+            Some(Answer::Failed) => self.failed += 1,
+            Some(Answer::Broken(_)) | None => {}
         }
     }
 }
 
 impl Request<'_> {
     fn judge(&self, id: &str, bounds: Bounds, add: &mut impl FnMut(Property, u64, String)) {
-        let limit = self.asked + self.client_timeout + bounds.slack;
-        if self.once && self.began.len() > 1 {
-            add(Property::AtMostOnce, self.began[1].0, format!("{id} ran {} times", self.began.len()));
+        let deadline = self.sent_at + self.client_timeout + bounds.slack;
+        if self.at_most_once && self.starts.len() > 1 {
+            add(Property::AtMostOnce, self.starts[1].at, format!("{id} ran {} times", self.starts.len()));
         }
-        if let (Some(left), Some(began)) = (self.left, self.began_in_sight)
-            && began > left + LEFT_GRACE
+        if let (Some(left), Some(started)) = (self.left_at, self.first_observed_start)
+            && started > left + CANCEL_GRACE_US
         {
-            let after = (began - left) / 1000;
+            let after = (started - left) / 1000;
             add(
                 Property::NoStartAfterClientLeft,
-                began,
+                started,
                 format!("{id} began {after} ms after its client left"),
             );
         }
         match self.answers.as_slice() {
-            [] if self.left.is_some() => {}
+            [] if self.left_at.is_some() => {}
             // It was never read, so nothing of it can have begun.
             [] if self.crossed => {
-                if let Some((at, _)) = self.began.first() {
-                    add(Property::OneAnswer, *at, format!("{id} crossed a close and began all the same"));
+                if let Some(start) = self.starts.first() {
+                    add(
+                        Property::OneAnswer,
+                        start.at,
+                        format!("{id} crossed a close and began all the same"),
+                    );
                 }
             }
-            [] => add(Property::OneAnswer, limit, format!("{id} got none")),
+            [] => add(Property::OneAnswer, deadline, format!("{id} got none")),
             answers => {
-                let bodies = self.began.iter().map(|(_, body)| *body).collect();
-                Answers { of: id, answers, bodies, once: self.once, limit, excused: false }.judge(add);
+                let bodies = self.starts.iter().map(|start| start.body).collect();
+                Answers {
+                    label: id,
+                    answers,
+                    bodies,
+                    at_most_once: self.at_most_once,
+                    deadline,
+                    excused: false,
+                }
+                .judge(add);
             }
         }
     }
--- a/crates/trial/src/soak/client.rs
+++ b/crates/trial/src/soak/client.rs
@@ -1,7 +1,7 @@
 //! Clients of the soak: each sends one request at a time on a connection, keeps it for as long as it stays open, and opens
 //! another while the platform still sends to the process.
 
-use super::plan::NAME;
+use super::plan::INSTANCE;
 use crate::history::{Answer, EventKind};
 use crate::rig::{History, record};
 use rand::Rng;
@@ -17,22 +17,22 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// How long a connection may take to come up.
-const CONNECTS: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a client reads on after its time, to see whether an answer comes late.
-const READS_ON: Duration = Duration::from_secs(1);
+const LATE_ANSWER_WAIT: Duration = Duration::from_secs(1);
 /// How long a reset may come after the end of a connection.
-const RESETS_WITHIN: Duration = Duration::from_secs(1);
+const RESET_WAIT: Duration = Duration::from_secs(1);
 /// Of a hundred requests so many are left by their client while they are in hand.
-const LEFT_PERCENT: u32 = 3;
+const ABANDON_PERCENT: u32 = 3;
 /// How often one more client of a crowd comes.
-const CROWD_GAP: Duration = Duration::from_millis(20);
+const CROWD_CONNECT_INTERVAL: Duration = Duration::from_millis(20);
 /// The largest head of an answer.
-const HEAD: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// How an exchange ended.
-enum End {
+enum ExchangeResult {
     /// With an answer, after which the connection stays or ends.
-    Answered { answer: Answer, stays: bool },
+    Answered { answer: Answer, reusable: bool },
     /// Nothing came, and the connection ended after the process had read the request.
     Dropped,
     /// Nothing came, and the connection was reset: the process had closed it, or left the request unread.
@@ -50,12 +50,12 @@
     /// The longest deadline.
     client_timeout: Duration,
     /// When it stops.
-    over: Instant,
-    asked: u64,
+    end: Instant,
+    requests_sent: u64,
 }
 
 /// A connection, and whether it has carried an answer.
-struct Open {
+struct Connection {
     stream: TcpStream,
     used: bool,
 }
@@ -67,24 +67,25 @@
         at: Rc<Cell<Option<SocketAddr>>>,
         history: History,
         client_timeout: Duration,
-        over: Instant,
+        end: Instant,
     ) -> Client {
-        Client { name: format!("c{n}"), at, history, client_timeout, over, asked: 0 }
+        Client { name: format!("c{n}"), at, history, client_timeout, end, requests_sent: 0 }
     }
 
     /// Asks until the time is over, or no connection is left and none can be opened.
     pub async fn run(mut self, mut rng: SmallRng) {
-        let mut kept: Option<Open> = None;
-        while Instant::now() < self.over {
-            let Some(open) = kept.take().filter(|open| is_open(&open.stream)) else {
+        let mut kept_connection: Option<Connection> = None;
+        while Instant::now() < self.end {
+            let Some(connection) = kept_connection.take().filter(|connection| is_open(&connection.stream))
+            else {
                 let Some(at) = self.at.get() else { return };
-                match timeout(CONNECTS, TcpStream::connect(at)).await {
-                    Ok(Ok(stream)) => kept = Some(Open { stream, used: false }),
+                match timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await {
+                    Ok(Ok(stream)) => kept_connection = Some(Connection { stream, used: false }),
                     Ok(Err(_)) | Err(_) => sleep(Duration::from_millis(5)).await,
                 }
                 continue;
             };
-            kept = self.ask(open, &mut rng).await;
+            kept_connection = self.send_request(connection, &mut rng).await;
             // Most ask again at once; some keep their connection idle for a while.
             let idle = if rng.random_bool(0.1) { 700 } else { 30 };
             sleep(Duration::from_millis(rng.random_range(0..idle))).await;
@@ -92,44 +93,47 @@
     }
 
     /// One request; gives the connection back where it stays.
-    async fn ask(&mut self, mut open: Open, rng: &mut SmallRng) -> Option<Open> {
-        let id = format!("{}-{}", self.name, self.asked);
-        self.asked += 1;
+    async fn send_request(&mut self, mut connection: Connection, rng: &mut SmallRng) -> Option<Connection> {
+        let id = format!("{}-{}", self.name, self.requests_sent);
+        self.requests_sent += 1;
         let client_timeout = self.client_timeout.mul_f64(rng.random_range(0.5..=1.0));
-        let kind = [Kind::Read, Kind::Pay, Kind::Book][rng.random_range(0..3)];
-        let asked = EventKind::RequestSent {
-            by: NAME.to_owned(),
+        let kind = [RequestKind::Read, RequestKind::Pay, RequestKind::Book][rng.random_range(0..3)];
+        let request_sent = EventKind::RequestSent {
+            instance: INSTANCE.to_owned(),
             id: id.clone(),
-            at_most_once: kind == Kind::Book,
+            at_most_once: kind == RequestKind::Book,
             client_timeout: client_timeout.as_micros() as u64,
         };
-        record(&self.history, asked);
-        let leaves = rng.random_ratio(LEFT_PERCENT, 100);
-        let patience =
-            if leaves { Duration::from_millis(rng.random_range(0..50)) } else { client_timeout + READS_ON };
-        match exchange(&mut open.stream, &kind.request(&id, client_timeout), patience).await {
-            End::Answered { answer, stays } => {
+        record(&self.history, request_sent);
+        let abandons = rng.random_ratio(ABANDON_PERCENT, 100);
+        let limit = if abandons {
+            Duration::from_millis(rng.random_range(0..50))
+        } else {
+            client_timeout + LATE_ANSWER_WAIT
+        };
+        match exchange(&mut connection.stream, &kind.request(&id, client_timeout), limit).await {
+            ExchangeResult::Answered { answer, reusable } => {
                 record(&self.history, EventKind::Answered { id, answer });
-                open.used = true;
-                stays.then_some(open)
+                connection.used = true;
+                reusable.then_some(connection)
             }
-            End::Silent if leaves => {
-                drop(open);
+            ExchangeResult::Silent if abandons => {
+                drop(connection);
                 record(&self.history, EventKind::ClientLeft { id });
                 None
             }
             // A request crosses the close of a connection between two requests, and of no other.
-            End::Unread if open.used => {
+            ExchangeResult::Unread if connection.used => {
                 record(&self.history, EventKind::CrossedClose { id });
                 None
             }
-            End::Unread => self.broken(id, "its first request was never read"),
-            End::Dropped => self.broken(id, "it ended after the request was read"),
-            End::Silent => self.broken(id, "nothing came"),
+            ExchangeResult::Unread => self.record_broken(id, "its first request was never read"),
+            ExchangeResult::Dropped => self.record_broken(id, "it ended after the request was read"),
+            ExchangeResult::Silent => self.record_broken(id, "nothing came"),
         }
     }
 
-    fn broken(&self, id: String, why: &str) -> Option<Open> {
+    fn record_broken(&self, id: String, why: &str) -> Option<Connection> {
         record(&self.history, EventKind::Answered { id, answer: Answer::Broken(why.to_owned()) });
         None
     }
@@ -137,18 +141,20 @@
 
 /// The kinds of requests, one for each kind of semantics.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum RequestKind {
     Read,
     Pay,
     Book,
 }
 
-impl Kind {
+impl RequestKind {
     fn request(self, id: &str, client_timeout: Duration) -> String {
         let (line, rest) = match self {
-            Kind::Read => ("GET /read", "\r\n".to_owned()),
-            Kind::Pay => ("POST /pay", format!("Idempotency-Key: {id}\r\nContent-Length: 2\r\n\r\n{{}}")),
-            Kind::Book => ("POST /book", "Content-Length: 2\r\n\r\n{}".to_owned()),
+            RequestKind::Read => ("GET /read", "\r\n".to_owned()),
+            RequestKind::Pay => {
+                ("POST /pay", format!("Idempotency-Key: {id}\r\nContent-Length: 2\r\n\r\n{{}}"))
+            }
+            RequestKind::Book => ("POST /book", "Content-Length: 2\r\n\r\n{}".to_owned()),
         };
         let client_timeout = client_timeout.as_secs_f64();
         format!(
@@ -162,36 +168,42 @@
     stream.try_read(&mut [0]).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-async fn exchange(stream: &mut TcpStream, request: &str, patience: Duration) -> End {
-    let until = Instant::now() + patience;
+async fn exchange(stream: &mut TcpStream, request: &str, limit: Duration) -> ExchangeResult {
+    let until = Instant::now() + limit;
     if stream.write_all(request.as_bytes()).await.is_err() {
-        return End::Unread;
+        return ExchangeResult::Unread;
     }
     let mut read = Vec::new();
     loop {
-        match answer(&read) {
-            Ok(Some((answer, stays))) => return End::Answered { answer, stays },
-            Ok(None) if read.len() <= HEAD => {}
-            Ok(None) | Err(_) => return broken("an answer that can't be read"),
+        match parse_answer(&read) {
+            Ok(Some((answer, reusable))) => return ExchangeResult::Answered { answer, reusable },
+            Ok(None) if read.len() <= MAX_HEAD_BYTES => {}
+            Ok(None) | Err(_) => return broken_answer("an answer that can't be read"),
         }
         match timeout_at(until, stream.read_buf(&mut read)).await {
-            Err(_) => return End::Silent,
+            Err(_) => return ExchangeResult::Silent,
             Ok(Ok(1..)) => {}
-            Ok(Ok(0) | Err(_)) if !read.is_empty() => return broken("half an answer"),
-            Ok(Ok(0)) => return if reset(stream).await { End::Unread } else { End::Dropped },
-            Ok(Err(_)) => return End::Unread,
+            Ok(Ok(0) | Err(_)) if !read.is_empty() => return broken_answer("half an answer"),
+            Ok(Ok(0)) => {
+                return if reset_follows(stream).await {
+                    ExchangeResult::Unread
+                } else {
+                    ExchangeResult::Dropped
+                };
+            }
+            Ok(Err(_)) => return ExchangeResult::Unread,
         }
     }
 }
 
-fn broken(why: &str) -> End {
-    End::Answered { answer: Answer::Broken(why.to_owned()), stays: false }
+fn broken_answer(why: &str) -> ExchangeResult {
+    ExchangeResult::Answered { answer: Answer::Broken(why.to_owned()), reusable: false }
 }
 
 /// Whether a reset follows the end of a connection. The machine resets one that is closed with something unread on it, or on
 /// which something comes after it was closed; what was read before ends without.
-async fn reset(stream: &TcpStream) -> bool {
-    let until = Instant::now() + RESETS_WITHIN;
+async fn reset_follows(stream: &TcpStream) -> bool {
+    let until = Instant::now() + RESET_WAIT;
     while Instant::now() < until {
         if stream.take_error().is_ok_and(|error| error.is_some()) {
             return true;
@@ -202,7 +214,7 @@
 }
 
 /// The answer in what was read, where it is whole, and whether the connection stays.
-fn answer(read: &[u8]) -> Result<Option<(Answer, bool)>, httparse::Error> {
+fn parse_answer(read: &[u8]) -> Result<Option<(Answer, bool)>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(head) = response.parse(read)? else { return Ok(None) };
@@ -212,21 +224,21 @@
     };
     let length = value("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
     let Some(body) = read[head..].get(..length) else { return Ok(None) };
-    let stays = !value("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+    let reusable = !value("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
     let answer = match response.code {
         Some(200) => Answer::Served(String::from_utf8_lossy(body).into_owned()),
         Some(429 | 503) => Answer::Refused,
         _ => Answer::Failed,
     };
-    Ok(Some((answer, stays)))
+    Ok(Some((answer, reusable)))
 }
 
 /// Idle clients that hold as many connections as they get: some say nothing, some half of what they have to say.
-pub async fn crowd(at: Rc<Cell<Option<SocketAddr>>>, most: usize, over: Instant) {
-    let mut held = VecDeque::new();
+pub async fn crowd(at: Rc<Cell<Option<SocketAddr>>>, max_connections: usize, end: Instant) {
+    let mut connections = VecDeque::new();
     let mut n = 0_usize;
-    while Instant::now() < over {
-        sleep(CROWD_GAP).await;
+    while Instant::now() < end {
+        sleep(CROWD_CONNECT_INTERVAL).await;
         let Some(at) = at.get() else { return };
         let Ok(Ok(mut stream)) = timeout(Duration::from_millis(100), TcpStream::connect(at)).await else {
             continue;
@@ -235,9 +247,9 @@
         if n.is_multiple_of(2) {
             let _ = stream.write_all(b"GET /read HTTP/1.1\r\nX-Req").await;
         }
-        held.push_back(stream);
-        if held.len() > most {
-            held.pop_front();
+        connections.push_back(stream);
+        if connections.len() > max_connections {
+            connections.pop_front();
         }
     }
 }
--- a/crates/trial/src/soak/mod.rs
+++ b/crates/trial/src/soak/mod.rs
@@ -15,7 +15,7 @@
 use crate::stubs::{ListCommand, ListedServer, list_body};
 use anyhow::{Context, Result};
 use client::{Client, crowd};
-use plan::{NAME, SERVERS, SERVES_MS};
+use plan::{INSTANCE, SERVER_COUNT, SERVING_MS};
 pub use plan::{Plan, SlowServer};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -27,7 +27,7 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 /// Clients of a crowd, all idle.
-const CROWD: usize = 60;
+const IDLE_CLIENTS: usize = 60;
 /// SIGKILL comes no sooner than the longest deadline and this after the signal that ends the process (the protocol page).
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
@@ -69,70 +69,73 @@
         let history = History::default();
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let plan = Plan::draw(&mut rng);
-        let ways = Links::new(rng.random());
+        let links = Links::new(rng.random());
         let mut servers = Vec::new();
-        for n in 0..SERVERS {
+        for n in 0..SERVER_COUNT {
             let (name, seed) = (format!("s{n}"), rng.random::<u64>().to_string());
             servers.push(StubProcess::start(&self.lab, &["server", &name, "--seed", &seed], &history).await?);
         }
-        let mut list = StubProcess::start(&self.lab, &["list", NAME], &history).await?;
+        let mut list = StubProcess::start(&self.lab, &["list", INSTANCE], &history).await?;
         let mut listed = Vec::new();
-        for (n, stand) in servers.iter().enumerate() {
+        for (n, stub) in servers.iter().enumerate() {
             let uid = format!("s{n}");
-            let at = ways.tcp(NAME, &uid, Rc::new(Cell::new(Some(stand.on[0])))).await?;
+            let at = links.tcp(INSTANCE, &uid, Rc::new(Cell::new(Some(stub.addresses[0])))).await?;
             listed.push(ListedServer { uid, address: at, model: String::new() });
         }
-        let discovery = ways.tcp(NAME, "list", Rc::new(Cell::new(Some(list.on[0])))).await?;
+        let discovery = links.tcp(INSTANCE, "list", Rc::new(Cell::new(Some(list.addresses[0])))).await?;
         let known = list_body(listed.iter().map(|listed| (listed, "up")), true, 1);
-        list.tell(&ListCommand::ReplaceLists([(NAME.to_owned(), listed)].into())).await?;
+        list.send_command(&ListCommand::ReplaceLists([(INSTANCE.to_owned(), listed)].into())).await?;
 
         let folder = tempfile::tempdir()?;
-        let file = folder.path().join("config.json");
-        let write = |rng: &mut SmallRng| -> Result<()> {
-            Ok(std::fs::write(&file, plan.sidecar_config(discovery, &known, self.bounds, rng).to_string())?)
+        let config_path = folder.path().join("config.json");
+        let write_config = |rng: &mut SmallRng| -> Result<()> {
+            Ok(std::fs::write(
+                &config_path,
+                plan.sidecar_config(discovery, &known, self.bounds, rng).to_string(),
+            )?)
         };
-        write(&mut rng)?;
+        write_config(&mut rng)?;
         let instance = Instance {
             arguments: vec!["serve".to_owned()],
             log: self.log.clone(),
-            ..Instance::new(&self.lab, &self.program, NAME, folder.path().to_owned(), &history)
+            ..Instance::new(&self.lab, &self.program, INSTANCE, folder.path().to_owned(), &history)
         };
-        let Serving { orders, at, task } = instance.serve().await?;
+        let Serving { commands, at, task } = instance.serve().await?;
 
         let start = crate::clock::now();
-        let begun = Instant::now();
-        self.disturb(&plan, &ways, &servers, &history);
-        let over = begun + Duration::from_millis(SERVES_MS) + plan.max_deadline + KILL_MARGIN;
+        let started_at = Instant::now();
+        self.inject_faults(&plan, &links, &servers, &history);
+        let client_end = started_at + Duration::from_millis(SERVING_MS) + plan.max_deadline + KILL_MARGIN;
         let mut clients = Vec::new();
         for n in 0..plan.clients {
-            let client = Client::new(n, at.clone(), history.clone(), plan.max_deadline, over);
+            let client = Client::new(n, at.clone(), history.clone(), plan.max_deadline, client_end);
             clients.push(actix_rt::spawn(client.run(SmallRng::from_rng(&mut rng))));
         }
         if plan.crowd {
-            clients.push(actix_rt::spawn(crowd(at, CROWD, over)));
+            clients.push(actix_rt::spawn(crowd(at, IDLE_CLIENTS, client_end)));
         }
-        let watches = watch_timers(history.clone());
+        let timer_watch = watch_timers(history.clone());
         for signal in &plan.signals {
-            sleep_until(begun + Duration::from_millis(signal.at_ms)).await;
+            sleep_until(started_at + Duration::from_millis(signal.at_ms)).await;
             if matches!(signal.fault, Fault::Reload { .. }) {
-                write(&mut rng)?;
+                write_config(&mut rng)?;
             }
-            let _ = orders.send(InstanceCommand::Fault(signal.fault.clone()));
+            let _ = commands.send(InstanceCommand::Fault(signal.fault.clone()));
         }
-        sleep_until(over).await;
+        sleep_until(client_end).await;
         // The kill at the page's earliest, of a process that has not ended by then.
         if !history.borrow().iter().any(|event| matches!(event.what, EventKind::Down { .. })) {
-            record(&history, EventKind::Overdue { process: NAME.to_owned() });
-            let _ = orders.send(InstanceCommand::Fault(Fault::Kill { process: NAME.to_owned() }));
+            record(&history, EventKind::Overdue { process: INSTANCE.to_owned() });
+            let _ = commands.send(InstanceCommand::Fault(Fault::Kill { process: INSTANCE.to_owned() }));
         }
-        watches.abort();
+        timer_watch.abort();
         for client in clients {
             timeout(PROCESS_TIMEOUT, client).await.context("a client does not end")??;
         }
-        drop(orders);
+        drop(commands);
         timeout(PROCESS_TIMEOUT, task).await.context("the process does not end")??;
-        for stand in servers {
-            stand.end().await?;
+        for stub in servers {
+            stub.end().await?;
         }
         list.end().await?;
         let mut history = history.take();
@@ -142,7 +145,7 @@
     }
 
     /// What goes wrong with servers and discovery, from the beginning to the end.
-    fn disturb(&self, plan: &Plan, ways: &Links, servers: &[StubProcess], history: &History) {
+    fn inject_faults(&self, plan: &Plan, links: &Links, servers: &[StubProcess], history: &History) {
         for server in &plan.hung {
             servers[*server].signal(Signal::STOP);
             record(
@@ -151,10 +154,10 @@
             );
         }
         for SlowServer { server, delay_ms } in plan.slow.iter().copied() {
-            ways.link(&format!("s{server}"), NAME).set(Impairment { delay_ms, ..Impairment::default() });
+            links.link(&format!("s{server}"), INSTANCE).set(Impairment { delay_ms, ..Impairment::default() });
         }
         if plan.discovery_down {
-            ways.link("list", NAME).set(Impairment { cut: true, ..Impairment::default() });
+            links.link("list", INSTANCE).set(Impairment { cut: true, ..Impairment::default() });
         }
     }
 }
--- a/crates/trial/src/stubs.rs
+++ b/crates/trial/src/stubs.rs
@@ -31,8 +31,8 @@
 /// How often a watch brings a sign of life.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 /// Requests that a server works on at a time, and that may wait.
-const CORES: usize = 2;
-const QUEUE: usize = 16;
+const SERVER_CORES: usize = 2;
+const SERVER_QUEUE: usize = 16;
 
 /// A stand-in as a process of its own.
 #[derive(Clone, Debug, Subcommand)]
@@ -103,7 +103,7 @@
 }
 
 /// Writes what was seen. A rig that does not read it any more has gone, and so does the stand-in.
-fn saw(what: EventKind) {
+fn write_event(what: EventKind) {
     let line = serde_json::to_string(&Event::now(what)).unwrap_or_default();
     if writeln!(std::io::stdout(), "{line}").is_err() {
         std::process::exit(1);
@@ -120,27 +120,28 @@
         let list = match stub {
             Stub::Server { name, seed, any_fence } => {
                 let state = Rc::new(Server::new(name, Some(seed), any_fence));
-                let on =
+                let addresses =
                     vec![listen(Ipv4Addr::LOCALHOST, move |request| serve(state.clone(), request)).await?];
-                saw(EventKind::Listening { addresses: on });
+                write_event(EventKind::Listening { addresses });
                 None
             }
             Stub::Many { servers } => {
-                let mut on = Vec::new();
+                let mut addresses = Vec::new();
                 for n in 0..servers {
                     let state = Rc::new(Server::new(stub_name(n), None, false));
-                    on.push(listen(stub_address(n), move |request| serve(state.clone(), request)).await?);
+                    addresses
+                        .push(listen(stub_address(n), move |request| serve(state.clone(), request)).await?);
                 }
-                saw(EventKind::Listening { addresses: on });
+                write_event(EventKind::Listening { addresses });
                 None
             }
-            Stub::List { instances } => Some(List::start(instances).await?),
+            Stub::List { instances } => Some(ListStub::start(instances).await?),
         };
-        let mut orders = BufReader::new(stdin()).lines();
-        while let Some(line) = orders.next_line().await? {
-            let order: ListCommand = serde_json::from_str(&line).with_context(|| line.clone())?;
+        let mut commands = BufReader::new(stdin()).lines();
+        while let Some(line) = commands.next_line().await? {
+            let command: ListCommand = serde_json::from_str(&line).with_context(|| line.clone())?;
             if let Some(list) = &list {
-                list.follow(order);
+                list.apply(command);
             }
         }
         Ok(())
@@ -176,7 +177,7 @@
     Ok(at)
 }
 
-fn answer_of(
+fn response_of(
     status: StatusCode,
     body: impl Into<String>,
     headers: &[(&'static str, String)],
@@ -190,129 +191,150 @@
     response
 }
 
+/// The highest fence and period under which effects of a duty were carried out.
+#[derive(Default)]
+struct HighestEffect {
+    fence: u64,
+    period: u64,
+}
+
 /// A server.
 struct Server {
     name: String,
     cores: Semaphore,
-    in_hand: Cell<usize>,
+    in_flight: Cell<usize>,
     /// What its times are drawn from; one without answers at once.
     rng: Option<RefCell<SmallRng>>,
     /// The highest fence and period of each duty that it carried out.
-    fences: RefCell<BTreeMap<String, (u64, u64)>>,
+    highest_effects: RefCell<BTreeMap<String, HighestEffect>>,
     any_fence: bool,
 }
 
 impl Server {
     fn new(name: String, seed: Option<u64>, any_fence: bool) -> Server {
-        let (cores, in_hand) = (Semaphore::new(CORES), Cell::new(0));
+        let (cores, in_flight) = (Semaphore::new(SERVER_CORES), Cell::new(0));
         let rng = seed.map(|seed| RefCell::new(SmallRng::seed_from_u64(seed)));
-        Server { name, cores, in_hand, rng, fences: RefCell::default(), any_fence }
+        Server { name, cores, in_flight, rng, highest_effects: RefCell::default(), any_fence }
     }
 
     /// The effect of a duty: noted, or refused for its fence before anything else is done with it.
-    fn effect(&self, request: &Request, id: &str) -> Option<Response<BoxBody>> {
+    fn check_duty_fence(&self, request: &Request, id: &str) -> Option<Response<BoxBody>> {
         let text = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
         let number = |name: &str| text(name).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
         let duty = text("x-duty")?.to_owned();
         let (fence, period) = (number("x-duty-fence"), number("x-duty-period"));
-        let mut fences = self.fences.borrow_mut();
-        let seen = fences.entry(duty.clone()).or_default();
-        let accepted = fence >= seen.0 || self.any_fence;
-        saw(EventKind::DutyEffect { duty, period, fence, id: id.to_owned(), accepted });
+        let mut highest_effects = self.highest_effects.borrow_mut();
+        let highest = highest_effects.entry(duty.clone()).or_default();
+        let accepted = fence >= highest.fence || self.any_fence;
+        write_event(EventKind::DutyEffect { duty, period, fence, id: id.to_owned(), accepted });
         if accepted {
-            *seen = (seen.0.max(fence), seen.1.max(period));
+            highest.fence = highest.fence.max(fence);
+            highest.period = highest.period.max(period);
             return None;
         }
-        let told = [("x-duty-fence", seen.0.to_string()), ("x-duty-period", seen.1.to_string())];
-        Some(answer_of(StatusCode::CONFLICT, "a higher fence was seen", &told))
+        let headers =
+            [("x-duty-fence", highest.fence.to_string()), ("x-duty-period", highest.period.to_string())];
+        Some(response_of(StatusCode::CONFLICT, "a higher fence was seen", &headers))
     }
 
     fn load(&self) -> String {
-        let (in_hand, busy) = (self.in_hand.get(), CORES - self.cores.available_permits());
-        json!({"inflight": in_hand, "queue": in_hand - busy.min(in_hand), "util": busy as f64 / CORES as f64})
+        let (in_flight, busy) = (self.in_flight.get(), SERVER_CORES - self.cores.available_permits());
+        json!({"inflight": in_flight, "queue": in_flight - busy.min(in_flight), "util": busy as f64 / SERVER_CORES as f64})
             .to_string()
     }
 }
 
 /// A request in a server's hands; it is given back also where its connection ends.
-struct InHand(Rc<Server>);
+struct InFlight(Rc<Server>);
 
-impl Drop for InHand {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.in_hand.set(self.0.in_hand.get() - 1);
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
 }
 
 async fn serve(server: Rc<Server>, request: Request) -> Result<Response<BoxBody>, Infallible> {
     match request.path() {
-        "/healthz" => return Ok(answer_of(StatusCode::OK, "ok", &[])),
-        "/load" => return Ok(answer_of(StatusCode::OK, server.load(), &[])),
+        "/healthz" => return Ok(response_of(StatusCode::OK, "ok", &[])),
+        "/load" => return Ok(response_of(StatusCode::OK, server.load(), &[])),
         _ => {}
     }
     let id = request.headers().get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or("").to_owned();
-    if server.in_hand.get() >= CORES + QUEUE {
-        return Ok(answer_of(StatusCode::SERVICE_UNAVAILABLE, "", &[("x-not-processed", "1".to_owned())]));
+    if server.in_flight.get() >= SERVER_CORES + SERVER_QUEUE {
+        return Ok(response_of(StatusCode::SERVICE_UNAVAILABLE, "", &[("x-not-processed", "1".to_owned())]));
     }
-    if let Some(refused) = server.effect(&request, &id) {
+    if let Some(refused) = server.check_duty_fence(&request, &id) {
         return Ok(refused);
     }
     let body = format!("{} {id}", server.name);
     if request.headers().get("x-duty").is_none() {
-        saw(EventKind::RequestStarted { server: server.name.clone(), id, body: body.clone() });
+        write_event(EventKind::RequestStarted { server: server.name.clone(), id, body: body.clone() });
     }
-    server.in_hand.set(server.in_hand.get() + 1);
-    let _in_hand = InHand(server.clone());
+    server.in_flight.set(server.in_flight.get() + 1);
+    let _in_flight = InFlight(server.clone());
     let Ok(_core) = server.cores.acquire().await else { return Ok(Response::new(StatusCode::BAD_GATEWAY)) };
     if let Some(rng) = &server.rng {
-        let takes = LogNormal::new(1.6, 0.5).map_or(5.0, |d| d.sample(&mut *rng.borrow_mut()));
-        sleep(Duration::from_secs_f64(takes / 1e3)).await;
+        let service_time_ms = LogNormal::new(1.6, 0.5).map_or(5.0, |d| d.sample(&mut *rng.borrow_mut()));
+        sleep(Duration::from_secs_f64(service_time_ms / 1e3)).await;
     }
-    Ok(answer_of(StatusCode::OK, body, &[("x-server-load", server.load())]))
+    Ok(response_of(StatusCode::OK, body, &[("x-server-load", server.load())]))
 }
 
 /// What an instance is told of: servers by name, their state and since which revision.
-type Entries = BTreeMap<String, (ListedServer, String, u64)>;
+type Entries = BTreeMap<String, ListEntry>;
+
+/// A server on the list.
+struct ListEntry {
+    server: ListedServer,
+    state: String,
+    /// The revision that last changed it.
+    changed_at: u64,
+}
 
 /// Discovery: a list with changes, told to each instance at an address of its own.
-struct List {
-    held: Rc<RefCell<BTreeMap<String, Entries>>>,
+struct ListStub {
+    lists: Rc<RefCell<BTreeMap<String, Entries>>>,
     rev: watch::Sender<u64>,
 }
 
-impl List {
-    async fn start(instances: Vec<String>) -> Result<List> {
-        let held = Rc::new(RefCell::new(BTreeMap::new()));
-        let (rev, told) = watch::channel(1);
-        let mut on = Vec::new();
+impl ListStub {
+    async fn start(instances: Vec<String>) -> Result<ListStub> {
+        let lists = Rc::new(RefCell::new(BTreeMap::new()));
+        let (rev, revision) = watch::channel(1);
+        let mut addresses = Vec::new();
         for instance in instances {
-            let (held, told) = (held.clone(), told.clone());
+            let (lists, revision) = (lists.clone(), revision.clone());
             let handler = move |request: Request| {
-                let of = Of { held: held.clone(), instance: instance.clone() };
-                let told = told.clone();
-                async move { Ok(of.answer(&request, told)) }
+                let view = ListView { lists: lists.clone(), instance: instance.clone() };
+                let revision = revision.clone();
+                async move { Ok(view.respond(&request, revision)) }
             };
-            on.push(listen(Ipv4Addr::LOCALHOST, handler).await?);
+            addresses.push(listen(Ipv4Addr::LOCALHOST, handler).await?);
         }
-        saw(EventKind::Listening { addresses: on });
-        Ok(List { held, rev })
+        write_event(EventKind::Listening { addresses });
+        Ok(ListStub { lists, rev })
     }
 
-    fn follow(&self, order: ListCommand) {
-        match order {
+    fn apply(&self, command: ListCommand) {
+        match command {
             ListCommand::ReplaceLists(all) => {
                 let entries = |servers: Vec<ListedServer>| {
-                    let entry = |listed: ListedServer| (listed.uid.clone(), (listed, "up".to_owned(), 1));
+                    let entry = |server: ListedServer| {
+                        let uid = server.uid.clone();
+                        (uid, ListEntry { server, state: "up".to_owned(), changed_at: 1 })
+                    };
                     servers.into_iter().map(entry).collect()
                 };
-                *self.held.borrow_mut() =
+                *self.lists.borrow_mut() =
                     all.into_iter().map(|(to, servers)| (to, entries(servers))).collect();
-                saw(EventKind::ListsReplaced);
+                write_event(EventKind::ListsReplaced);
             }
             ListCommand::SetState { server, state } => {
                 let rev = *self.rev.borrow() + 1;
-                for entries in self.held.borrow_mut().values_mut() {
+                for entries in self.lists.borrow_mut().values_mut() {
                     if let Some(entry) = entries.get_mut(&server) {
-                        (entry.1, entry.2) = (state.clone(), rev);
+                        entry.state = state.clone();
+                        entry.changed_at = rev;
                     }
                 }
                 self.rev.send_replace(rev);
@@ -336,47 +358,47 @@
 }
 
 /// The list as one instance is told it.
-struct Of {
-    held: Rc<RefCell<BTreeMap<String, Entries>>>,
+struct ListView {
+    lists: Rc<RefCell<BTreeMap<String, Entries>>>,
     instance: String,
 }
 
-impl Of {
+impl ListView {
     /// What changed after a version, or all that is listed.
-    fn lines(&self, after: Option<u64>, rev: u64) -> Value {
-        let held = self.held.borrow();
-        let entries = held.get(&self.instance).into_iter().flatten();
-        let wanted = entries.filter(|(_, (_, state, since))| match after {
-            Some(after) => *since > after,
-            None => state != "removed",
+    fn body_after(&self, after: Option<u64>, rev: u64) -> Value {
+        let lists = self.lists.borrow();
+        let entries = lists.get(&self.instance).into_iter().flatten();
+        let entries_to_send = entries.filter(|(_, entry)| match after {
+            Some(after) => entry.changed_at > after,
+            None => entry.state != "removed",
         });
-        let wanted: Vec<(&ListedServer, &str)> =
-            wanted.map(|(_, (listed, state, _))| (listed, state.as_str())).collect();
-        for (server, _) in wanted.iter().filter(|(_, state)| *state != "up") {
-            saw(EventKind::DrainAnnounced { to: self.instance.clone(), server: server.uid.clone() });
+        let entries_to_send: Vec<(&ListedServer, &str)> =
+            entries_to_send.map(|(_, entry)| (&entry.server, entry.state.as_str())).collect();
+        for (server, _) in entries_to_send.iter().filter(|(_, state)| *state != "up") {
+            write_event(EventKind::DrainAnnounced { to: self.instance.clone(), server: server.uid.clone() });
         }
-        if !wanted.is_empty() {
-            saw(EventKind::EntriesSent { to: self.instance.clone(), servers: wanted.len() });
+        if !entries_to_send.is_empty() {
+            write_event(EventKind::EntriesSent { to: self.instance.clone(), servers: entries_to_send.len() });
         }
-        list_body(wanted.into_iter(), after.is_none(), rev)
+        list_body(entries_to_send.into_iter(), after.is_none(), rev)
     }
 
-    fn answer(self, request: &Request, told: watch::Receiver<u64>) -> Response<BoxBody> {
+    fn respond(self, request: &Request, revision: watch::Receiver<u64>) -> Response<BoxBody> {
         let query = request.uri().query().unwrap_or("");
         if !query.split('&').any(|part| part == "watch=1") {
-            return answer_of(StatusCode::OK, self.lines(None, *told.borrow()).to_string(), &[]);
+            return response_of(StatusCode::OK, self.body_after(None, *revision.borrow()).to_string(), &[]);
         }
         let after = query.split('&').find_map(|part| part.strip_prefix("after=")?.parse::<u64>().ok());
-        let stream = stream::unfold((Some((after, true)), self), move |(at, of)| {
-            let mut told = told.clone();
+        let stream = stream::unfold((Some((after, true)), self), move |(at, view)| {
+            let mut revision = revision.clone();
             async move {
-                let (after, begins) = at?;
-                if !begins && timeout(HEARTBEAT, told.wait_for(|rev| Some(*rev) > after)).await.is_err() {
-                    return Some((Ok::<_, Infallible>(Bytes::from("\n")), (Some((after, false)), of)));
+                let (after, first) = at?;
+                if !first && timeout(HEARTBEAT, revision.wait_for(|rev| Some(*rev) > after)).await.is_err() {
+                    return Some((Ok::<_, Infallible>(Bytes::from("\n")), (Some((after, false)), view)));
                 }
-                let rev = *told.borrow_and_update();
-                let line = Bytes::from(format!("{}\n", of.lines(after, rev)));
-                Some((Ok(line), (Some((Some(rev), false)), of)))
+                let rev = *revision.borrow_and_update();
+                let line = Bytes::from(format!("{}\n", view.body_after(after, rev)));
+                Some((Ok(line), (Some((Some(rev), false)), view)))
             }
         });
         Response::with_body(StatusCode::OK, BoxBody::new(BodyStream::new(Box::pin(stream))))
