--- a/crates/hollow/src/account.rs
+++ b/crates/hollow/src/account.rs
@@ -1,5 +1,5 @@
-//! What is counted of a hollow sidecar. Owns nothing of it: [`Metered`] stands around all of its tasks, and what is logged
-//! while they are polled is its own.
+//! Resource accounting of a hollow sidecar from outside its code: [`Metered`] wraps all of its tasks, and log events
+//! that occur while they are polled are attributed to it.
 
 use crate::SidecarCounts;
 use dunlincleat_trial::clock::now;
@@ -15,14 +15,14 @@
 use tracing::{Event, Level, Metadata, Subscriber};
 
 thread_local! {
-    /// Whose tasks are polled now.
+    /// The account whose tasks are being polled.
     static CURRENT_ACCOUNT: RefCell<Option<Rc<Account>>> = const { RefCell::new(None) };
 }
 
-/// Where it is noted which version came in force at which sidecar and when.
+/// The sidecar, the revision and the time at which it was applied, for each applied revision.
 pub type AppliedRevisions = Rc<RefCell<Vec<(usize, u64, u64)>>>;
 
-/// What is counted of one sidecar.
+/// The counters of one sidecar.
 pub struct Account {
     /// Its number.
     pub sidecar: usize,
@@ -30,17 +30,17 @@
     applied_revisions: AppliedRevisions,
     cpu_nanos: Cell<u64>,
     memory: Cell<i64>,
-    /// Lists and changes that its engine was told, and the version of the latest.
+    /// Lists and changes that its engine received.
     deliveries: Cell<u64>,
     rev: Cell<Option<u64>>,
-    /// How often a watch began to be followed.
+    /// How often a watch of discovery was opened.
     watches_started: Cell<u64>,
-    /// Probes that its engine asked for.
+    /// Probes that its engine requested.
     pub probes: Cell<u64>,
 }
 
 impl Account {
-    /// An account with nothing on it.
+    /// An account with all counters at zero.
     #[must_use]
     pub fn new(sidecar: usize, allocated: fn() -> usize, applied_revisions: AppliedRevisions) -> Account {
         Account {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// What stands on it.
+    /// The present counters.
     #[must_use]
     pub fn counts(&self) -> SidecarCounts {
         SidecarCounts {
@@ -68,19 +68,19 @@
         }
     }
 
-    /// How often a watch began to be followed.
+    /// How often a watch of discovery was opened.
     #[must_use]
     pub fn watches_started(&self) -> u64 {
         self.watches_started.get()
     }
 
-    /// Lists and changes that its engine was told.
+    /// Lists and changes that its engine received.
     #[must_use]
     pub fn deliveries(&self) -> u64 {
         self.deliveries.get()
     }
 
-    /// A line of its log.
+    /// Evaluates a line of the sidecar's log.
     fn observe_log_line(&self, line: &str) {
         if let Some(rev) = revision_of(line) {
             self.deliveries.set(self.deliveries.get() + 1);
@@ -91,7 +91,7 @@
     }
 }
 
-/// The version that a line of a sidecar's log says its engine took, the one that it started from left out.
+/// The revision that the engine applied according to a line of a sidecar's log; not the one that it started with.
 #[must_use]
 pub fn revision_of(line: &str) -> Option<u64> {
     let markers = ["list changes revision ", "list in whole revision "];
@@ -99,14 +99,14 @@
     rest.split(':').next()?.parse().ok()
 }
 
-/// All tasks of a sidecar as one, whose polls are counted on its account.
+/// All tasks of a sidecar as one future, whose polls are measured.
 pub struct Metered<F> {
     inner: Pin<Box<F>>,
     account: Rc<Account>,
 }
 
 impl<F: Future> Metered<F> {
-    /// A sidecar's tasks under its account.
+    /// Wraps the tasks of a sidecar.
     pub fn new(inner: F, account: Rc<Account>) -> Metered<F> {
         Metered { inner: Box::pin(inner), account }
     }
@@ -135,7 +135,7 @@
     }
 }
 
-/// Hears what the crates log, as the program's logger would, and notes it for whose tasks are polled.
+/// Receives what the crates log, as the program's logger would, for the account whose tasks are being polled.
 pub struct LogSubscriber;
 
 #[derive(Default)]
@@ -144,7 +144,7 @@
 impl Visit for Message {
     fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
         if field.name() == "message" {
-            // Writing into a string can't fail.
+            // Writing to a string does not fail.
             let _ = write!(self.0, "{value:?}");
         }
     }
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -1,13 +1,13 @@
-//! Hollow sidecars: the control path as the program has it - the actor that follows discovery over a socket of its own,
-//! the list, the settings, the engine's actor with its decision module, windows and probes - and no data path: what the
-//! engine sends to a server comes back at once. Hundreds share a process of one thread.
+//! Hollow sidecars: the program's control path (the actor that follows discovery over a socket of its own, the list,
+//! the settings, and the engine's actor with its decision module, windows and probes) without a data path: requests
+//! that the engine sends to a server are answered immediately. Hundreds of them share a process with one thread.
 //!
-//! What is told of each from outside the code that runs it: the processor time and the memory that its tasks take (read
-//! around each poll of all of them), and when a version of the list was in force: at the end of the poll in which the
-//! engine's actor logged that it took it, as it does in the program.
+//! Measured for each sidecar, from outside the code that runs it: the processor time and memory of its tasks (read
+//! around each poll of all of them), and when a revision of the list was applied: at the end of the poll in which the
+//! engine's actor logged it, as in the program.
 //!
-//! [`sidecar`] is one of them, [`account`] what is counted of it; this file is the process: orders in, events out. It ends
-//! when its standard input does.
+//! [`sidecar`] is one hollow sidecar, [`account`] its counters; this file is the process, which reads commands and
+//! writes reports. It exits at the end of standard input.
 
 #![forbid(unsafe_code)]
 
@@ -27,51 +27,51 @@
 use tokio::io::{AsyncBufReadExt, BufReader, stdin};
 use tokio::time::{Instant, interval};
 
-/// How often it is told what came in force.
+/// How often applied revisions are reported.
 const REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// How often it is told what was counted, in flushes.
+/// Every how many reports the counters are reported too.
 const REPORTS_PER_SAMPLE: u32 = 10;
 
-/// What the process is told on its standard input.
+/// A command on standard input.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// What all sidecars share; once, before all else.
+    /// The configuration of all sidecars; sent once, before all other commands.
     #[serde(rename = "told")]
     Configure(SharedConfig),
-    /// Start these. One that runs starts anew.
+    /// Start these sidecars; restart those that run.
     Start(Vec<SidecarSpec>),
-    /// End these at once.
+    /// Stop these sidecars immediately.
     End(Vec<usize>),
 }
 
-/// What the process says on its standard output.
+/// A report on standard output.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Report {
-    /// Sidecar, version and the time at which it was in force there, in microseconds of the machine's clock.
+    /// The sidecar, the revision and the time at which it was applied, in microseconds of the machine's clock.
     #[serde(rename = "in_force")]
     RevisionsApplied(Vec<(usize, u64, u64)>),
-    /// What was counted.
+    /// Counters.
     Sample(Sample),
 }
 
-/// What was counted up to a time.
+/// Counters up to a time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Sample {
-    /// When, by the machine's clock in microseconds.
+    /// The machine's clock, in microseconds.
     pub at: u64,
-    /// By how much the latest timer was late, in microseconds.
+    /// The largest timer delay since the last sample, in microseconds.
     pub late: u64,
     /// The process's processor time, in microseconds.
     pub cpu: u64,
-    /// Its resident memory, in bytes.
+    /// The process's resident memory, in bytes.
     pub memory: u64,
     /// Each sidecar that runs.
     pub sidecars: Vec<SidecarCounts>,
 }
 
-/// What was counted of one sidecar since it started.
+/// Counters of one sidecar since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SidecarCounts {
     /// Its number.
@@ -80,9 +80,9 @@
     pub cpu: u64,
     /// Bytes that it has allocated.
     pub memory: u64,
-    /// Lists and changes that its engine was told.
+    /// Lists and changes that its engine received.
     pub deliveries: u64,
-    /// Probes that its engine asked for.
+    /// Probes that its engine requested.
     pub probes: u64,
 }
 
@@ -98,14 +98,14 @@
     }
 }
 
-/// Runs hollow sidecars until standard input ends. `allocated` tells the bytes that this process has allocated.
+/// Runs hollow sidecars until the end of standard input. `allocated` returns the bytes that this process has allocated.
 ///
 /// # Errors
 ///
-/// An order can't be read.
+/// A command can't be parsed.
 pub fn run(allocated: fn() -> usize) -> Result<()> {
-    // Fails only where one is set already, and then nothing would be heard.
-    tracing::subscriber::set_global_default(LogSubscriber).context("the log")?;
+    // Fails only where a subscriber is set already; no log event would be received then.
+    tracing::subscriber::set_global_default(LogSubscriber).context("can't set the log subscriber")?;
     actix_rt::System::new().block_on(async move {
         let applied_revisions = Rc::new(RefCell::new(Vec::new()));
         let running: Rc<RefCell<BTreeMap<usize, Running>>> = Rc::default();
@@ -113,16 +113,16 @@
         let mut shared_state: Option<Rc<sidecar::SharedState>> = None;
         let mut commands = BufReader::with_capacity(1 << 20, stdin()).lines();
         while let Some(line) = commands.next_line().await? {
-            match serde_json::from_str(&line).context("an order of the rig's")? {
+            match serde_json::from_str(&line).context("invalid command")? {
                 Command::Configure(config) => {
                     shared_state = Some(Rc::new(sidecar::SharedState::new(&config)?))
                 }
                 Command::Start(specs) => {
                     let Some(shared) = &shared_state else {
-                        bail!("a start before all that is shared was told")
+                        bail!("sidecars can't be started before the configuration is sent")
                     };
                     for spec in specs {
-                        // Ended before the new one begins, so that its memory counts as given back.
+                        // Stopped before the new one starts, so that its memory counts as released.
                         running.borrow_mut().remove(&spec.sidecar);
                         let account =
                             Rc::new(Account::new(spec.sidecar, allocated, applied_revisions.clone()));
@@ -140,7 +140,7 @@
     })
 }
 
-/// Tells what came in force and what was counted, and how late its own timer was.
+/// Reports applied revisions, counters and the delay of its own timer.
 async fn report(
     applied_revisions: Rc<RefCell<Vec<(usize, u64, u64)>>>,
     running: Rc<RefCell<BTreeMap<usize, Running>>>,
--- a/crates/hollow/src/sidecar.rs
+++ b/crates/hollow/src/sidecar.rs
@@ -1,5 +1,5 @@
-//! One hollow sidecar: the program's assembly of the control path, with servers that answer at once in place of the
-//! transports. All of its tasks run in a set of its own, dropped with it.
+//! One hollow sidecar: the program's control path, with servers that answer immediately in place of the transports. All
+//! of its tasks run in a set of their own, which is dropped with it.
 
 use crate::account::Account;
 use actix_http::RequestHead;
@@ -30,50 +30,50 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// Requests that a sidecar may hold.
+/// Requests that a sidecar may have in flight.
 const MAX_REQUESTS: u32 = 1000;
-/// What a task holds that is leaked, in bytes.
+/// Memory of a leaked task, in bytes.
 const LEAKED_BYTES: usize = 64 << 10;
 
-/// What all sidecars of a process share.
+/// The configuration that all sidecars of a process share.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SharedConfig {
-    /// The settings object, as a sidecar's configuration has it.
+    /// The settings object, as in a sidecar's configuration.
     pub settings: serde_json::Value,
-    /// Requests a second of each; a request's answer comes at once.
+    /// Requests a second of each sidecar; each is answered immediately.
     pub rate: f64,
 }
 
-/// A sidecar that is to be started.
+/// How to start a sidecar.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SidecarSpec {
     /// Its number.
     pub sidecar: usize,
-    /// Where discovery answers to it.
+    /// Its address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of its draws.
+    /// The seed of its random draws.
     pub seed: u64,
     /// The services whose servers it knows; all servers where none is named.
     pub services: Vec<String>,
-    /// A fault that is planted in it, to see that it is found.
+    /// A fault to inject, to check that it is detected.
     #[serde(rename = "plant")]
     pub fault: Option<InjectedFault>,
 }
 
-/// Faults that can be planted in a hollow sidecar.
+/// Faults that can be injected into a hollow sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedFault {
-    /// It takes the whole list at each change: its discovery moves, to and fro between its address and this one's.
+    /// It receives the whole list at each change: the address of discovery alternates between its own and this one.
     WholeList(SocketAddr),
-    /// It hears changes and never takes them up: its engine stands still once it has a list.
+    /// It receives changes and never applies them: its engine stops once it has a list.
     #[serde(rename = "deaf")]
     Unresponsive,
     /// It leaks a task at each reconnect.
     Leak,
 }
 
-/// What all sidecars of a process share, as the crates take it.
+/// The configuration that all sidecars of a process share, parsed.
 pub struct SharedState {
     settings: Arc<InstanceSettings>,
     own: Rc<Own>,
@@ -81,13 +81,14 @@
 }
 
 impl SharedState {
-    /// Reads the settings by the code that the program reads them by.
+    /// Parses the settings with the program's own code.
     ///
     /// # Errors
     ///
-    /// They are at fault.
+    /// The settings are invalid.
     pub fn new(config: &SharedConfig) -> Result<SharedState> {
-        let settings = dunlincleat_settings::read_value(config.settings.clone()).context("settings")?;
+        let settings =
+            dunlincleat_settings::read_value(config.settings.clone()).context("invalid settings")?;
         // The program's defaults.
         let ms = Duration::from_millis;
         let watch =
@@ -112,7 +113,7 @@
     }
 }
 
-/// Servers that answer at once.
+/// Servers that answer immediately.
 struct InstantServers {
     engine: Handle,
     account: Rc<Account>,
@@ -144,7 +145,7 @@
         self.engine.attempt_ended(id, attempt, server, completion);
     }
 
-    // What was asked has ended already.
+    // The attempt has been answered already.
     fn cancel(&mut self, _: RequestId, _: Attempt, _: ServerId) {}
 
     fn withdraw(&mut self, _: RequestId, _: Attempt, _: ServerId) {}
@@ -161,7 +162,7 @@
     }
 }
 
-/// Lives until it is dropped.
+/// Runs a sidecar until it is dropped.
 pub async fn run(shared: Rc<SharedState>, spec: SidecarSpec, account: Rc<Account>) {
     let tasks = LocalSet::new();
     tasks.run_until(control_path(shared, spec, account)).await;
@@ -200,12 +201,12 @@
     actor.run(mail, known).await;
 }
 
-/// Asks for something now and then.
+/// Sends a request from time to time.
 async fn send_requests(engine: Handle, settings: Arc<InstanceSettings>, seed: u64, rate: f64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut head = RequestHead::default();
     let name = settings.classes.first().cloned().unwrap_or_default();
-    // A class's name that is no path is asked for by nobody.
+    // Without a class name that is a valid path no requests are sent.
     let Ok(uri) = format!("/{name}").parse() else { return };
     head.uri = uri;
     for number in 0_u64.. {
@@ -215,18 +216,18 @@
         let Ok(request) = Request::decode(&head, &settings, None) else { return };
         let (slot, answer) = oneshot::channel();
         engine.request(RequestId(number), request.ask.clone(), Rc::new(request), Instant::now(), slot);
-        // Whatever the answer is, the next is asked for later.
+        // The answer does not matter; it only delays the next request.
         let _ = answer.await;
     }
 }
 
-/// How often a planted fault looks whether its time has come.
+/// How often an injected fault checks whether to act.
 const FAULT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 async fn alternate_discovery(account: Rc<Account>, caller: list::Caller, addresses: [SocketAddr; 2]) {
     let mut seen = 0;
     for at in addresses.iter().cycle() {
-        // Of each two the one is the whole list that the other brought.
+        // Of two deliveries, one is the whole list that the previous move caused.
         while account.deliveries() <= seen {
             sleep(FAULT_POLL_INTERVAL).await;
         }
@@ -254,7 +255,7 @@
     }
 }
 
-/// An engine that stands still once it was told a list.
+/// An engine that is never polled again once it has received a list.
 struct Unresponsive<F> {
     actor: Pin<Box<F>>,
     account: Rc<Account>,
--- a/crates/trial/src/audit.rs
+++ b/crates/trial/src/audit.rs
@@ -1,32 +1,34 @@
-//! The auditor: properties of a history, each stated once, judged from what clients, stand-ins and the rig saw. Pure; it
-//! knows nothing of the program. Times are microseconds of the trial's clock.
+//! The auditor: judges the properties of a history from what clients, stubs and the rig observed. Pure; it has no
+//! knowledge of the program. Times are microseconds of the trial's clock.
 
 use crate::history::{Answer, Event, EventKind};
 use crate::schedule::{Fault, Impairment};
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
-/// What must hold.
+/// A property that must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Property {
-    /// Each request that a sidecar took, and could answer, got one final answer, whole, in time, made by a server that
-    /// began it where it is a 200; none got two.
+    /// Each request that a sidecar accepted and could answer received exactly one final answer, complete and in time; a
+    /// 200 was made by a server that started the request.
     OneAnswer,
-    /// A request that must not run twice began once at the most, and was not refused after it began.
+    /// A request that must not be executed twice started at most once, and was not refused after it started.
     AtMostOnce,
-    /// Nothing began at a server more than the grace after its sidecar was told that it leaves.
+    /// No request started at a server later than the drain grace after the sidecar was notified that the server is
+    /// draining.
     DrainRespected,
-    /// The effect of one period of a duty was carried out once at the most.
+    /// The effect of one period of a duty was carried out at most once.
     OncePerPeriod,
-    /// Of two effects that a receiver carried out the later has no lower fence, and no two lives of sidecars share one.
+    /// Of two effects that a receiver carried out, the later has no lower fence, and no two incarnations of sidecars
+    /// share a fence.
     FencesMonotonic,
-    /// Once nothing is wrong any more, a duty's effect is carried out again within the bound.
+    /// After the last fault, a duty's effect is carried out again within the bound.
     DutyResumes,
-    /// No process of the program ended but by the rig's will, or otherwise than in order where it was told to end.
+    /// No process of the program terminated unless the rig requested it, or other than in order where it did.
     NoCrash,
-    /// A process that was told to end did so before the page's earliest kill.
+    /// A process that was requested to terminate did so before the platform may kill it at the earliest.
     TerminatesInTime,
-    /// Nothing of a request began once its client had left.
+    /// No attempt of a request started after its client had left.
     NoStartAfterClientLeft,
 }
 
@@ -46,38 +48,38 @@
     }
 }
 
-/// A property that was broken.
+/// A violation of a property.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The property.
     pub property: Property,
-    /// When.
+    /// When it was violated.
     pub at: u64,
-    /// How.
+    /// How it was violated.
     pub what: String,
 }
 
 /// The bounds of a trial, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// How long a drained server may still be sent to.
+    /// How long requests may still be sent to a draining server.
     pub drain_grace: u64,
-    /// What each time limit may be over.
+    /// Tolerance added to each time limit.
     pub slack: u64,
-    /// How long after the last fault a duty's effect may fail to come; 0 where there are no duties.
+    /// How long after the last fault a duty's effect may be missing; 0 where there are no duties.
     pub duty_recovery: u64,
-    /// How late the rig's own timers may run for its verdict to count.
+    /// How late the rig's own timers may run for the verdict to count.
     pub timer_lateness: u64,
 }
 
-/// What can be said of a history.
+/// The verdict on a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// All held.
+    /// All properties held.
     Kept,
-    /// These did not, by time.
+    /// Violations, by time.
     Broken(Vec<Violation>),
-    /// The rig itself ran late by so much: nothing can be said.
+    /// The rig's own timers ran late by this many microseconds: no verdict is possible.
     Void(u64),
 }
 
@@ -115,16 +117,16 @@
     starts: Vec<Start<'a>>,
 }
 
-/// What the history says of processes and ways.
+/// Availability of processes and links according to the history.
 #[derive(Default)]
 struct Observations<'a> {
-    /// When an instance served and stood still or ended.
+    /// When each instance started to serve.
     starts: BTreeMap<&'a str, Vec<u64>>,
-    /// Not there, or standing still: what is asked of it then can't be answered in time.
+    /// When an instance was down or stopped: requests sent then can't be answered in time.
     unavailable: BTreeMap<&'a str, Windows>,
-    /// The list can't reach the instance.
+    /// When the list could not reach the instance.
     unreachable: BTreeMap<&'a str, Windows>,
-    /// When an instance was told that a server leaves.
+    /// When an instance was notified that a server is draining or removed.
     drains_announced: BTreeMap<(&'a str, &'a str), Vec<u64>>,
 }
 
@@ -132,7 +134,8 @@
     fn read(history: &'a [Event]) -> Observations<'a> {
         let mut observations = Observations::default();
         fn close<'a>(windows: &mut BTreeMap<&'a str, Windows>, process: &'a str, at: u64) {
-            // A kill and the end that follows it open one each: one left open would excuse the instance for good.
+            // A kill and the exit that follows open a window each. One left open would excuse the instance until the
+            // end.
             windows
                 .entry(process)
                 .or_default()
@@ -172,7 +175,7 @@
         observations
     }
 
-    /// When an instance knew for sure, in the life that it leads at a time, that a server leaves.
+    /// When the incarnation of an instance that runs at a time certainly knew that a server is draining.
     fn drain_known_at(&self, instance: &str, server: &str, at: u64) -> Option<u64> {
         let started = self.starts.get(instance)?.iter().rev().find(|start| **start <= at)?;
         let announced =
@@ -180,7 +183,7 @@
         let unreachable = self.unreachable.get(instance);
         let unavailable = self.unavailable.get(instance);
         let mut known_at = *announced;
-        // Told while the way was cut or it stood still: it can know once both are over.
+        // A notification during a cut or a stop takes effect once both are over.
         for window in unreachable.into_iter().chain(unavailable).flatten().filter(|window| window.from <= at)
         {
             if window.from <= known_at && known_at < window.until {
@@ -191,7 +194,7 @@
     }
 }
 
-/// Judges a history, in the order of its times.
+/// Judges a history, which is sorted by time.
 #[must_use]
 pub fn judge(history: &[Event], bounds: Bounds) -> Verdict {
     let late = history
@@ -259,7 +262,7 @@
     if violations.is_empty() { Verdict::Kept } else { Verdict::Broken(violations) }
 }
 
-/// What was done of the duties.
+/// Judges the effects of duties.
 fn judge_duties(history: &[Event], bounds: Bounds, add: &mut impl FnMut(Property, u64, String)) {
     let mut periods: BTreeMap<(&str, u64), u64> = BTreeMap::new();
     let mut incarnations: BTreeMap<(&str, u64), &str> = BTreeMap::new();
@@ -267,7 +270,7 @@
     let mut last_effect = 0;
     for Event { at, what } in history {
         let EventKind::DutyEffect { duty, period, fence, id, accepted } = what else { continue };
-        // A request of a duty is named duty-LIFE-FENCE-PERIOD.
+        // The id of a duty's request is duty-INCARNATION-FENCE-PERIOD.
         let incarnation = id.split('-').nth(1).unwrap_or(id);
         let user = *incarnations.entry((duty, *fence)).or_insert(incarnation);
         if user != incarnation {
@@ -308,7 +311,7 @@
     let faults = history
         .iter()
         .filter(|event| matches!(event.what, EventKind::FaultInjected { .. } | EventKind::Up { .. }));
-    // What the rig does to end the trial itself comes after the last answer.
+    // The rig's own shutdown follows the last answer and does not count as a fault.
     let last_answer = history
         .iter()
         .rev()
@@ -333,7 +336,7 @@
         add: &mut impl FnMut(Property, u64, String),
     ) {
         let deadline = self.sent_at + self.client_timeout + bounds.slack;
-        // Its own sidecar was killed or stood still meanwhile: nobody else can answer for it.
+        // Its own sidecar was down or stopped meanwhile: nobody else can answer for it.
         let excused = overlaps(observations.unavailable.get(self.instance), self.sent_at, deadline);
         let label = format!("request {id} of {}", self.instance);
         if self.at_most_once && self.starts.len() > 1 {
@@ -364,19 +367,19 @@
     }
 }
 
-/// What a request was answered, one time or more, as every trial judges it.
+/// The answers to a request, judged in the same way by every kind of trial.
 pub(crate) struct Answers<'a> {
-    /// The request, as it is told.
+    /// How messages name the request.
     pub(crate) label: &'a str,
-    /// When it was answered, and how.
+    /// The answers by time.
     pub(crate) answers: &'a [TimedAnswer<'a>],
-    /// What servers that began it answer with.
+    /// The bodies of the servers that started it.
     pub(crate) bodies: Vec<&'a str>,
-    /// It must not run twice.
+    /// The request must not be executed twice.
     pub(crate) at_most_once: bool,
-    /// Until when the answer is due.
+    /// When the answer is due.
     pub(crate) deadline: u64,
-    /// Nobody could answer for it in time.
+    /// Nobody could answer in time.
     pub(crate) excused: bool,
 }
 
--- a/crates/trial/src/audit/tests.rs
+++ b/crates/trial/src/audit/tests.rs
@@ -47,7 +47,8 @@
     Event { at, what: EventKind::DrainAnnounced { to: "n0".into(), server: "b".into() } }
 }
 
-/// An instance that was once killed was excused for the rest of the play: its kill's own window was never closed.
+/// Regression: an instance that was killed once was excused until the end, since the window that its kill opened was
+/// never closed.
 #[test]
 fn an_instance_that_serves_again_is_judged_again() {
     let down = EventKind::Down { process: "n0".into(), how: "ended".into(), expected: true };
@@ -62,7 +63,7 @@
     assert!(matches!(judge(&history, BOUNDS), Verdict::Broken(found) if found.len() == 1));
 }
 
-/// An auditor that lets a fault pass proves nothing: each is planted once, and a day without one is clean.
+/// Each kind of violation is found once, and nothing is found in a run without violations.
 #[test]
 fn each_planted_fault_is_found_and_nothing_else() {
     let served = |id: &str, by: &str| Answer::Served(format!("{by} {id}"));
@@ -137,7 +138,7 @@
             started(301, "a", "2"),
             started(302, "c", "2"),
             answered(450, "2", Answer::Refused),
-            // Killed with a request in hand, and one that it did not live to see.
+            // Killed with a request in flight, and one that was sent while it was down.
             sent(600, "3", false),
             injected(610, Fault::Kill { process: "n0".into() }),
             answered(611, "3", Answer::Broken("reset".into())),
@@ -145,7 +146,7 @@
             up(700),
         ];
         history.extend(events);
-        // Of this life it was told while the way was cut, and knows since that is mended.
+        // This incarnation was notified while the link was cut, and knows since the link was repaired.
         if expected.contains("came to b") {
             history.insert(15, drain_announced(701));
             assert_ne!(judge(&history, BOUNDS), Verdict::Kept);
@@ -165,10 +166,6 @@
             Verdict::Void(_) => panic!("void"),
         }
         history.push(Event { at: 2000, what: EventKind::TimerLate { by: 1001 } });
-        assert_eq!(
-            judge(&history, BOUNDS),
-            Verdict::Void(1001),
-            "a machine too slow to judge on is no verdict"
-        );
+        assert_eq!(judge(&history, BOUNDS), Verdict::Void(1001), "a rig that ran late gives no verdict");
     }
 }
--- a/crates/trial/src/callers.rs
+++ b/crates/trial/src/callers.rs
@@ -1,10 +1,12 @@
-//! Callers beside real sidecars that know many servers: each call goes out twice, once the direct way to the stand-in servers
-//! and once through the sidecar, within half a gap of each other and in an order that is drawn, so that both meet the same
-//! machine. Times are from when a call was due (coordinated omission).
+//! Measures what a sidecar adds to a call: callers run beside real sidecars that know many servers. Each call is sent
+//! twice, once directly to the stub servers and once through the sidecar, within half a mean gap of each other and in
+//! random order, so that both meet the same machine conditions. Latencies are measured from when a call was due
+//! (coordinated omission).
 //!
-//! The servers are one process with an address of its own for each, as of two servers at one address a sidecar takes one
-//! for gone. They answer at once: what is looked for is what the way adds. A few of them are the service that is called;
-//! the direct way leads to these, through kept connections. A sidecar that knows no services may call any.
+//! The servers share one process and have an address each, since a sidecar that sees two servers at one address takes
+//! one of them as removed. They answer immediately: what is measured is what the path adds. A few of them form the
+//! called service; direct calls go to these over kept-alive connections. A sidecar without configured services may call
+//! any.
 
 use crate::audit::{Bounds, Verdict, judge};
 use crate::history::{Answer, EventKind};
@@ -31,69 +33,71 @@
 
 /// The service that is called.
 pub const CALLED: &str = "called";
-/// Its servers among all that are known.
+/// Servers of the called service among all known ones.
 pub const CALLED_SERVERS: usize = 6;
-/// Services that the rest of 3,100 belong to, as the plan has it; fewer where fewer are known.
+/// Other services among which the remaining servers are spread in a fleet of 3,100 servers, as in the capacity plan;
+/// proportionally fewer in smaller fleets.
 const SERVICES_AT_FULL_SIZE: usize = 489;
-/// Descriptors of a stand-in beside its listeners and connections.
+/// File descriptors that a stub needs beside its listeners and connections.
 const SPARE_DESCRIPTORS: u64 = 64;
 
-/// Callers, their sidecars and what these know.
+/// A measurement: callers, their sidecars and what these know.
 pub struct Callers {
-    /// The program that holds the stand-ins and the tie.
+    /// The lab program, which contains the stubs and the `tether` command.
     pub lab: PathBuf,
     /// The sidecar's program.
     pub program: PathBuf,
-    /// Servers that each sidecar is told of.
+    /// Servers that each sidecar receives from discovery.
     pub known_servers: usize,
-    /// Sidecars, each with a caller; with none only the direct way is played, by one caller.
+    /// Number of sidecars, each with a caller; with 0, one caller makes direct calls only.
     pub sidecars: usize,
-    /// Calls a second of each caller, each way.
+    /// Calls a second of each caller on each path.
     pub calls_per_s: f64,
-    /// For how long calls go out before any counts.
+    /// How long calls are sent before measuring.
     pub warm_up: Duration,
-    /// For how long calls count.
+    /// How long calls are measured.
     pub duration: Duration,
-    /// How long a call waits.
+    /// How long a client waits for the answer of a call.
     pub client_timeout: Duration,
-    /// Sidecars are told that they call one service.
+    /// Whether the sidecars' configuration names the one service that they call.
     pub declare_interest: bool,
-    /// The seed of all that is drawn.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// What is judged by.
+    /// The auditor's bounds.
     pub bounds: Bounds,
 }
 
-/// How a call went out.
+/// The path of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallPath {
-    /// To a server.
+    /// Directly to a server.
     Direct,
-    /// To the caller's sidecar.
+    /// Through the caller's sidecar.
     Sidecar,
 }
 
-/// What became of the calls of one way that were due in one second.
+/// Results of the calls of one path that were due in one second.
 #[derive(Clone, Debug, Default)]
 pub struct PathStats {
-    /// Due.
+    /// Calls that were due.
     pub due: u64,
-    /// Answered 429 or 503.
+    /// Answered with 429 or 503.
     pub refused: u64,
-    /// Any other answer but 200, none that is whole, or not sent as too many were out.
+    /// Answered with another status than 200, answered incompletely or not at all, or not sent since too many were in
+    /// flight.
     pub lost: u64,
-    /// Microseconds until each that was served had its answer, from when it was due.
+    /// Latency of each call that was served, in microseconds from when it was due.
     pub latencies_us: Vec<u64>,
 }
 
-/// A second in which calls count.
+/// A second of the measurement.
 #[derive(Clone, Debug, Default)]
 pub struct SecondSample {
-    /// How late the latest of its calls went out, in microseconds.
+    /// Largest delay between when a call was due and when it was sent, in microseconds.
     pub max_send_delay_us: u64,
-    /// The direct way.
+    /// Direct calls.
     pub direct: PathStats,
-    /// Through the sidecars.
+    /// Calls through the sidecars.
     pub via_sidecar: PathStats,
 }
 
@@ -106,36 +110,36 @@
     }
 }
 
-/// What was seen of one play.
+/// What was measured in one run.
 pub struct Measurements {
-    /// The seconds in which calls count.
+    /// The measured seconds.
     pub seconds: Vec<SecondSample>,
-    /// Processor time of all sidecars in these.
+    /// Processor time of all sidecars in these seconds.
     pub cpu_time: Duration,
-    /// The most memory that one of them had resident when the last call had gone out, in bytes.
+    /// The largest resident memory of a sidecar after the last call was sent, in bytes.
     pub max_resident_bytes: u64,
-    /// What the auditor says of all that was seen.
+    /// The auditor's verdict on the whole history.
     pub verdict: Verdict,
 }
 
-/// Whether this many descriptors are allowed to the stand-in that needs most.
+/// Checks that the limit of file descriptors is high enough for the stub that needs most.
 ///
 /// # Errors
 ///
-/// They are not: names the need, the limit and what would be right.
+/// The limit is too low; the message names the need, the limit and what to change.
 pub fn descriptors(known_servers: usize, sidecars: usize) -> Result<()> {
-    // A connection of each call that may be out, of each caller, both ways; an idle one for each is kept.
+    // A connection for each call that may be in flight, for each caller on both paths. An idle one is kept for each.
     let needed = known_servers as u64 + (sidecars.max(1) * 2 * MAX_IN_FLIGHT) as u64 + SPARE_DESCRIPTORS;
     match getrlimit(Resource::Nofile).current {
         Some(allowed) if allowed < needed => bail!(
-            "--known {known_servers} with --real {sidecars}: the stand-in servers need {needed} descriptors, `ulimit -n` allows \
+            "--known {known_servers} with --real {sidecars}: the stub servers need {needed} file descriptors, `ulimit -n` allows \
              {allowed}; right would be a limit of {needed} or fewer servers"
         ),
         _ => Ok(()),
     }
 }
 
-/// The servers that a sidecar is told of: those of the called service spread evenly among those of others.
+/// The servers that a sidecar receives: those of the called service are spread evenly among the others.
 fn server_entries(addresses: &[SocketAddr]) -> Vec<ListedServer> {
     let known_servers = addresses.len();
     let called: Vec<usize> = (0..CALLED_SERVERS).map(|n| n * known_servers / CALLED_SERVERS).collect();
@@ -147,7 +151,7 @@
     addresses.iter().enumerate().map(entry).collect()
 }
 
-/// A call that is due.
+/// A call and when it is due.
 struct Due {
     offset: Duration,
     caller: usize,
@@ -156,9 +160,10 @@
 }
 
 impl Callers {
-    /// All calls, drawn beforehand. A pair is due at times of a Poisson process; one of the two comes half a mean gap later.
+    /// Draws all calls in advance. Pairs are due at times of a Poisson process; the second call of a pair is due half a
+    /// mean gap after the first.
     fn draw(&self, start: Instant, rng: &mut SmallRng) -> Result<Vec<Due>> {
-        let gaps = Exp::new(self.calls_per_s).context("calls a second")?;
+        let gaps = Exp::new(self.calls_per_s).context("invalid number of calls a second")?;
         let pair_gap = Duration::from_secs_f64(0.5 / self.calls_per_s);
         let mut all = Vec::new();
         for caller in 0..self.sidecars.max(1) {
@@ -184,14 +189,14 @@
         Ok(all)
     }
 
-    /// Plays to the last answer. All that was started has ended when this returns, or is dropped.
+    /// Runs until the last answer. All processes that were started have terminated when this returns or is dropped.
     ///
     /// # Errors
     ///
-    /// A process can't be started, or a sidecar is not told of all servers in time.
+    /// A process can't be started, or a sidecar does not receive all servers in time.
     pub async fn run(&self) -> Result<Measurements> {
         if self.known_servers < CALLED_SERVERS {
-            bail!("{} servers known; right would be {CALLED_SERVERS} or more", self.known_servers);
+            bail!("{} known servers are too few; expected {CALLED_SERVERS} or more", self.known_servers);
         }
         descriptors(self.known_servers, self.sidecars)?;
         let history: History = Rc::default();
@@ -209,20 +214,22 @@
         let mut list = StubProcess::start(&self.lab, &arguments, &history).await?;
         let lists = names.iter().map(|name| (name.clone(), server_entries.clone())).collect();
         list.send_command(&ListCommand::ReplaceLists(lists)).await?;
-        wait_for_event(&history, "the list holds nothing", |what| matches!(what, EventKind::ListsReplaced))
-            .await?;
+        wait_for_event(&history, "the stub of the list did not apply its lists in time", |what| {
+            matches!(what, EventKind::ListsReplaced)
+        })
+        .await?;
 
         let mut sidecars = Vec::new();
         for (n, name) in names.iter().enumerate() {
             sidecars.push(self.sidecar(name, list.addresses[n], rng.random(), &history).await?);
         }
         for name in &names {
-            // Discovery may leave out what a sidecar has said that it does not call.
+            // Discovery may leave out services that the sidecar has declared not to call.
             let enough = |servers| {
                 servers == self.known_servers || (self.declare_interest && servers == CALLED_SERVERS)
             };
             let all = |what: &EventKind| matches!(what, EventKind::EntriesSent { to, servers } if to == name && enough(*servers));
-            wait_for_event(&history, &format!("{name} is not told of all servers"), all).await?;
+            wait_for_event(&history, &format!("{name} did not receive all servers in time"), all).await?;
         }
         let processes: Vec<u32> = history.borrow().iter().filter_map(|event| pid_of(&event.what)).collect();
 
@@ -234,7 +241,7 @@
         timer_watch.abort();
         for sidecar in sidecars {
             let _ = sidecar.commands.send(InstanceCommand::End);
-            timeout(PROCESS_TIMEOUT, sidecar.task).await.context("a sidecar does not end")??;
+            timeout(PROCESS_TIMEOUT, sidecar.task).await.context("a sidecar did not exit in time")??;
         }
         servers.end().await?;
         list.end().await?;
@@ -245,7 +252,7 @@
         Ok(Measurements { seconds, cpu_time, max_resident_bytes, verdict })
     }
 
-    /// Starts a sidecar that knows no server but by the list, and waits until it serves.
+    /// Starts a sidecar that learns of servers from the list alone, and waits until it serves.
     async fn sidecar(&self, name: &str, list: SocketAddr, seed: u64, history: &History) -> Result<Serving> {
         let folder = tempfile::tempdir()?;
         let times = ClassTimes {
@@ -260,7 +267,8 @@
         std::fs::write(folder.path().join("config.json"), config.to_string())?;
         let folder_path = folder.path().to_owned();
         let sidecar = Instance::new(&self.lab, &self.program, name, folder_path, history).serve().await?;
-        // It has read what it was told, and a rig that is killed leaves no folder behind.
+        // The sidecar has read its configuration. Removing the folder now leaves nothing behind where the rig is
+        // killed.
         drop(folder);
         Ok(sidecar)
     }
@@ -270,7 +278,7 @@
     if let EventKind::Up { pid, .. } = what { Some(*pid) } else { None }
 }
 
-/// Waits until something was seen.
+/// Waits until the history has a matching event.
 async fn wait_for_event(
     history: &History,
     timeout_message: &str,
@@ -291,7 +299,7 @@
     max_resident_bytes: u64,
 }
 
-/// The callers at work.
+/// The running callers.
 struct Calls {
     names: Vec<String>,
     at: Vec<Rc<Cell<Option<SocketAddr>>>>,
@@ -303,10 +311,10 @@
 }
 
 impl Calls {
-    /// Sends all that is due, whether or not earlier ones are answered, and waits for the last answer. Gives the seconds
-    /// that count, the sidecars' processor time in them, and the most memory that one has resident.
+    /// Sends each call when it is due, whether or not earlier ones are answered, and waits for the last answer.
     async fn run(mut self, callers: &Callers, processes: &[u32]) -> Result<CallResults> {
-        // The clock of a runtime counts whole milliseconds; a thread's sleep is late by less than a tenth of one.
+        // The runtime's timers have a resolution of whole milliseconds; a thread's sleep is late by less than a tenth
+        // of one.
         let start = Instant::now() + Duration::from_millis(50);
         let mut due = schedule_calls(start, callers.draw(start, &mut self.rng)?);
         let count = usize::try_from(callers.duration.as_secs()).unwrap_or(0).max(1);
@@ -359,7 +367,7 @@
                 tasks.retain(|task| !task.is_finished());
             }
         }
-        let cpu_at_start = cpu_at_start.context("no call was due")?;
+        let cpu_at_start = cpu_at_start.context("no call was due in the measured time")?;
         let cpu_time = cpu_time_of(processes).unwrap_or(cpu_at_start).saturating_sub(cpu_at_start);
         let max_resident_bytes =
             processes.iter().filter_map(|process| resident_bytes(*process)).max().unwrap_or(0);
@@ -370,7 +378,7 @@
     }
 }
 
-/// Gives each call when it is due; ends where nobody listens any more.
+/// Yields each call when it is due; stops when the receiver is dropped.
 fn schedule_calls(start: Instant, all: Vec<Due>) -> UnboundedReceiver<Due> {
     let (sender, due) = unbounded_channel();
     std::thread::spawn(move || {
@@ -384,22 +392,22 @@
     due
 }
 
-/// Processor time of processes until now, of all their threads.
+/// Processor time used so far by all threads of the processes.
 fn cpu_time_of(processes: &[u32]) -> Result<Duration> {
     let mut sum = 0;
     for process in processes {
         let threads = std::fs::read_dir(format!("/proc/{process}/task"));
-        for thread in threads.with_context(|| format!("process {process}: its threads"))? {
+        for thread in threads.with_context(|| format!("process {process}: can't read its threads"))? {
             let path = thread?.path().join("schedstat");
             let text = std::fs::read_to_string(&path).with_context(|| path.display().to_string())?;
             let first = text.split_whitespace().next().and_then(|n| n.parse::<u64>().ok());
-            sum += first.with_context(|| format!("{}: '{text}' has no time", path.display()))?;
+            sum += first.with_context(|| format!("{}: no processor time in '{text}'", path.display()))?;
         }
     }
     Ok(Duration::from_nanos(sum))
 }
 
-/// Memory that a process has resident, in bytes.
+/// Resident memory of a process, in bytes.
 fn resident_bytes(process: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
--- a/crates/trial/src/child.rs
+++ b/crates/trial/src/child.rs
@@ -1,5 +1,5 @@
-//! The processes that a trial starts. Each is tied to the rig before it becomes the program that it is for: the machine
-//! ends it when the rig has gone, whatever ended that. Only these are ever signalled, by their ids.
+//! The processes that a trial starts. Each sets a parent-death signal before it executes its program, so that the
+//! kernel kills it when the rig terminates for any reason. Only these processes are ever signalled, by their ids.
 
 use anyhow::{Context, Result, bail};
 use rustix::process::{Pid, Signal, getppid, kill_process, set_parent_process_death_signal};
@@ -10,34 +10,34 @@
 use std::process::{ExitStatus, Stdio};
 use tokio::process::{Child, ChildStderr, ChildStdin, ChildStdout, Command};
 
-/// Becomes another program that ends with the process that started this one. Done by the child itself, as the standard
-/// library lets a parent do it only in unsafe code.
+/// Replaces this process by another program that is killed when the parent terminates. The child does this itself,
+/// since the standard library lets a parent do it only in unsafe code.
 ///
 /// # Errors
 ///
-/// The parent has gone already, or there is no such program.
+/// The parent has terminated already, or the program can't be executed.
 pub fn tether(parent: u32, program: &[OsString]) -> Result<Infallible> {
-    set_parent_process_death_signal(Some(Signal::KILL)).context("a tie to the rig")?;
+    set_parent_process_death_signal(Some(Signal::KILL)).context("can't set the parent-death signal")?;
     if getppid().is_none_or(|id| id.as_raw_nonzero().get() as u32 != parent) {
-        bail!("the rig has gone");
+        bail!("the parent has terminated");
     }
-    let [program, arguments @ ..] = program else { bail!("no program to become") };
+    let [program, arguments @ ..] = program else { bail!("no program to execute") };
     let error = std::process::Command::new(program).args(arguments).exec();
     Err(error).with_context(|| program.to_string_lossy().into_owned())
 }
 
-/// A process of the rig, killed when this is dropped.
+/// A child process, killed when this is dropped.
 pub struct Process {
     child: Child,
     id: Pid,
 }
 
 impl Process {
-    /// Starts a program of `lab`'s folder or elsewhere, with what `EDGE_…` says in the rig's own environment taken out.
+    /// Starts a program. Variables `EDGE_…` of the rig's own environment are removed.
     ///
     /// # Errors
     ///
-    /// It can't be started.
+    /// The process can't be started.
     pub fn start(
         lab: &Path,
         program: &Path,
@@ -58,13 +58,13 @@
         Ok(Process { child, id })
     }
 
-    /// Its id.
+    /// The process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.id.as_raw_nonzero().get() as u32
     }
 
-    /// Its standard streams, once.
+    /// The standard streams; they can be taken once.
     ///
     /// # Errors
     ///
@@ -77,19 +77,19 @@
         }
     }
 
-    /// Signals it; one that has ended is left alone.
+    /// Sends a signal; does nothing where the process has terminated.
     pub fn signal(&self, signal: Signal) {
-        // Its id is kept from others until it is waited for, which `child` alone does.
+        // The id is not reused until the process is waited for, which only `child` does.
         if self.child.id().is_some() {
             let _ = kill_process(self.id, signal);
         }
     }
 
-    /// Waits for its end.
+    /// Waits until the process terminates.
     ///
     /// # Errors
     ///
-    /// The machine does not tell.
+    /// Waiting for the process failed.
     pub async fn wait(&mut self) -> std::io::Result<ExitStatus> {
         self.child.wait().await
     }
--- a/crates/trial/src/clock.rs
+++ b/crates/trial/src/clock.rs
@@ -1,8 +1,8 @@
-//! The one clock of a trial: the machine's monotonic one that runs through suspension, the same in all its processes.
+//! The clock of a trial: the machine's monotonic clock that includes suspension, the same in all processes.
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Microseconds since the machine started.
+/// Microseconds since boot.
 #[must_use]
 pub fn now() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
--- a/crates/trial/src/control.rs
+++ b/crates/trial/src/control.rs
@@ -1,12 +1,13 @@
-//! Control at the size of a fleet: discovery's stand-in as a process of its own that holds the whole list as versioned
-//! state and tells it to thousands of watches. Each change is encoded once and its bytes are shared by all that are told
-//! of it. It counts what it sends to each sidecar, its own processor time and its memory.
+//! A stub of control for runs of fleet size: discovery as a process of its own that keeps the whole list as versioned
+//! state and serves it to thousands of watches. Each change is encoded once and its bytes are shared by all watches
+//! that receive it. It counts what it sends to each sidecar, its processor time and its memory.
 //!
-//! Every sidecar has an address of its own, on which it is known: nothing in what it asks names it. Control machines take
-//! up the addresses that they are told to serve, as a service's address moves to another machine when one dies.
+//! Every sidecar has an address of its own, by which it is identified: nothing in its requests names it. A control
+//! machine takes over the addresses that it is commanded to serve, as a service address moves to another machine when
+//! one dies.
 //!
-//! Beyond the published page it reads `models=a,b` on both calls: only entries of these models are told then, and a
-//! change that concerns none of them is not told.
+//! Beyond the published protocol it reads `models=a,b` on both calls: only entries of these models are sent then, and
+//! changes that concern none of them are not sent.
 
 use crate::clock::now;
 use anyhow::{Context, Result, bail};
@@ -24,16 +25,16 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, interval, sleep, timeout};
 
-/// How often a watch brings a sign of life.
+/// How often an idle watch sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// How often what was counted is told.
+/// How often counters are reported.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
-/// Changes that are kept as they were encoded; a watch further behind is told from the entries.
+/// Changes that are kept encoded; a watch that is further behind is served from the entries.
 const MAX_RECENT_CHANGES: usize = 1024;
 /// The longest head of a request that is read.
 const MAX_HEAD_BYTES: usize = 8 << 10;
 
-/// An entry of the list, in discovery's words.
+/// An entry of the list, with the field names of discovery's protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// Its name.
@@ -48,61 +49,61 @@
     pub pod_group: u32,
     /// `up`, `draining` or `removed`.
     pub state: String,
-    /// Its size against others.
+    /// Its capacity relative to others.
     pub capacity_hint: f64,
     /// When it last started, in milliseconds of Unix time.
     pub boot_ms: u64,
 }
 
-/// What control is told on its standard input.
+/// A command on standard input.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
     /// Serve these sidecars at these addresses.
     Serve(Vec<(usize, SocketAddr)>),
-    /// The whole list of a version.
+    /// Replace the whole list.
     List {
-        /// The version.
+        /// Its revision.
         rev: u64,
         /// All entries.
         entries: Vec<Entry>,
     },
-    /// A version's changes.
+    /// Apply a change to the list.
     Change {
-        /// The version.
+        /// Its revision.
         rev: u64,
         /// The entries that changed.
         entries: Vec<Entry>,
     },
-    /// Break all connections.
+    /// Close all connections.
     #[serde(rename = "break")]
     CloseConnections,
 }
 
-/// What control says on its standard output.
+/// A report on standard output.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Report {
-    /// It serves so many sidecars now.
+    /// The number of sidecars served now.
     Serves(usize),
-    /// An address could not be had.
+    /// An address can't be listened on.
     Fault(String),
-    /// What was counted.
+    /// Counters.
     Sample(Sample),
 }
 
-/// What was counted up to a time.
+/// Counters up to a time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Sample {
-    /// When, by the machine's clock in microseconds.
+    /// The machine's clock, in microseconds.
     pub at: u64,
-    /// By how much the latest timer was late, in microseconds.
+    /// The largest timer delay since the last sample, in microseconds.
     pub late: u64,
-    /// Its processor time since its start, in microseconds.
+    /// Processor time since the start of the process, in microseconds.
     pub cpu: u64,
-    /// Its resident memory in bytes.
+    /// Resident memory in bytes.
     pub memory: u64,
-    /// The sidecars of which something changed.
+    /// The sidecars whose counters changed since the last sample.
     pub sidecars: Vec<SentCounts>,
 }
 
@@ -111,13 +112,13 @@
 pub struct SentCounts {
     /// Its number.
     pub sidecar: usize,
-    /// Bytes written to its connections, heads and framing with them.
+    /// Bytes written to its connections, including heads and framing.
     pub bytes: u64,
     /// Lists and changes.
     pub messages: u64,
-    /// Of these, whole lists that were asked for by a call of their own.
+    /// Whole lists among these that were requested by a call of their own.
     pub whole: u64,
-    /// Signs of life.
+    /// Heartbeats.
     pub heartbeats: u64,
     /// Watches that it opened.
     pub watches: u64,
@@ -130,7 +131,7 @@
     u64::try_from(time.tv_sec).unwrap_or(0) * 1_000_000 + u64::try_from(time.tv_nsec).unwrap_or(0) / 1000
 }
 
-/// The resident memory of a process in bytes; nothing where it has gone.
+/// The resident memory of a process in bytes; 0 where it has terminated.
 #[must_use]
 pub fn resident_memory(process: &str) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/statm")).unwrap_or_default();
@@ -138,7 +139,8 @@
     pages * rustix::param::page_size() as u64
 }
 
-/// Says something to the rig. Where nobody reads it any more the rig has gone, and so does this process.
+/// Writes a report to standard output. Where the rig no longer reads it, the rig has terminated, and this process exits
+/// too.
 pub fn write_report<T: Serialize>(said: &T) {
     let mut line = serde_json::to_string(said).unwrap_or_default();
     line.push('\n');
@@ -148,10 +150,10 @@
     }
 }
 
-/// An entry as it is held.
+/// An entry with its encoding.
 struct StoredEntry {
     entry: Entry,
-    /// The version that last changed it.
+    /// The revision that last changed it.
     changed_at: u64,
     encoded: String,
 }
@@ -171,17 +173,17 @@
     chunk: Bytes,
 }
 
-/// A change as it was encoded.
+/// An encoded change.
 struct Change {
     rev: u64,
-    /// The service of each entry, and the entry as it is written.
+    /// Its entries, for watches that want only some of them.
     entries: Vec<EncodedEntry>,
-    /// The line of all in its chunk.
+    /// The chunk with all entries.
     chunk: Bytes,
 }
 
 impl Change {
-    /// What of it is told to who wants this: nothing where none of its entries is wanted.
+    /// The chunk with the entries that a watch wants; none where it wants none of them.
     fn message_for(&self, interest: &Interest) -> Option<Bytes> {
         let wanted = || self.entries.iter().filter(|entry| interest.wants(&entry.model));
         match wanted().count() {
@@ -198,13 +200,13 @@
     rev: u64,
     entries: BTreeMap<String, StoredEntry>,
     recent: VecDeque<Change>,
-    /// The versions of `recent` begin after this one.
+    /// The revision before the first one in `recent`.
     recent_after: u64,
-    /// The whole list of the present version, encoded: as a body, and as a watch's first line.
+    /// The whole list at the present revision.
     whole: Option<WholeList>,
 }
 
-/// The services of which a sidecar wants to be told; all where none is named.
+/// The services that a sidecar wants entries of; all where none is named.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Interest(Option<BTreeSet<String>>);
 
@@ -258,7 +260,7 @@
         line(self.rev, after.is_none(), wanted.map(|stored| stored.encoded.as_str()))
     }
 
-    /// The whole list, as the body of an answer and as a watch's first line.
+    /// The whole list for a response or a watch.
     fn whole(&mut self, interest: &Interest) -> WholeList {
         let encoded = |list: &List| {
             let line = list.encode(interest, None);
@@ -275,7 +277,8 @@
         whole
     }
 
-    /// A watch's first line: what changed after a version, or the whole list to one that has none, or one of another count.
+    /// The first chunk of a watch: the changes after a revision, or the whole list where the watch has no revision or
+    /// one that is higher than the present one.
     fn first_message(&mut self, interest: &Interest, after: u64) -> Bytes {
         if after == 0 || after > self.rev {
             return self.whole(interest).chunk;
@@ -283,7 +286,7 @@
         chunk(&self.encode(interest, Some(after)))
     }
 
-    /// The lines after a version, of what is wanted.
+    /// Appends the chunks after a revision that a watch wants.
     fn messages_after(&self, interest: &Interest, after: u64, lines: &mut Vec<Bytes>) {
         if after >= self.rev {
             return;
@@ -296,7 +299,7 @@
     }
 }
 
-/// What a process of control holds.
+/// The state of the process.
 struct Control {
     list: RefCell<List>,
     rev: watch::Sender<u64>,
@@ -306,11 +309,11 @@
     late: Cell<u64>,
 }
 
-/// Stands in for control until standard input ends.
+/// Runs control until the end of standard input.
 ///
 /// # Errors
 ///
-/// An order can't be read.
+/// A command can't be parsed.
 pub fn run() -> Result<()> {
     actix_rt::System::new().block_on(async {
         let control = Rc::new(Control {
@@ -324,7 +327,7 @@
         actix_rt::spawn(report_samples(control.clone()));
         let mut commands = BufReader::with_capacity(1 << 20, stdin()).lines();
         while let Some(line) = commands.next_line().await? {
-            let command = serde_json::from_str(&line).context("an order of the rig's")?;
+            let command = serde_json::from_str(&line).context("invalid command")?;
             match command {
                 Command::Serve(sidecars) => {
                     for (sidecar, at) in sidecars {
@@ -348,7 +351,7 @@
                 Command::CloseConnections => control.connection_resets.send_modify(|n| *n += 1),
             }
         }
-        // What was counted last.
+        // The last counters.
         write_report(&Report::Sample(control.sample()));
         Ok(())
     })
@@ -390,7 +393,7 @@
             let mut connection_resets = self.connection_resets.subscribe();
             actix_rt::spawn(async move {
                 tokio::select! {
-                    // A connection that breaks is the other side's to mend.
+                    // The client handles broken connections.
                     _ = control.serve(sidecar, stream) => {}
                     _ = connection_resets.changed() => {}
                 }
@@ -403,7 +406,7 @@
         while !left.is_empty() {
             let written = stream.write(left).await?;
             if written == 0 {
-                bail!("closed");
+                bail!("connection closed");
             }
             self.count(sidecar, |sent| sent.bytes += written as u64);
             left = &left[written..];
@@ -411,7 +414,7 @@
         Ok(())
     }
 
-    /// Answers the calls of a connection until it ends.
+    /// Serves the requests of a connection until it ends.
     async fn serve(&self, sidecar: usize, mut stream: TcpStream) -> Result<()> {
         let mut read = Vec::new();
         loop {
@@ -421,7 +424,7 @@
                     break target;
                 }
                 if read.len() > MAX_HEAD_BYTES || stream.read_buf(&mut read).await? == 0 {
-                    bail!("no call");
+                    bail!("no complete request head");
                 }
             };
             let (path, query) = target.split_once('?').unwrap_or((&target, ""));
@@ -482,7 +485,7 @@
                         continue;
                     }
                 }
-                // Nothing comes on a watch: what can be read is its end.
+                // A client sends nothing on a watch: anything that can be read is its end.
                 read = stream.read(&mut discard) => match read {
                     Ok(0) | Err(_) => return Ok(()),
                     Ok(_) => continue,
@@ -500,11 +503,11 @@
     }
 }
 
-/// The target of a call whose head has come whole, and the head's length.
+/// The target and the length of a request head, once the head is complete.
 fn parse_head(read: &[u8]) -> Result<Option<(String, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
-    match request.parse(read).context("no HTTP")? {
+    match request.parse(read).context("invalid HTTP request")? {
         httparse::Status::Complete(length) => Ok(Some((request.path.unwrap_or_default().to_owned(), length))),
         httparse::Status::Partial => Ok(None),
     }
--- a/crates/trial/src/duty_stats.rs
+++ b/crates/trial/src/duty_stats.rs
@@ -1,47 +1,49 @@
-//! Figures of a history with duties: what was carried out, and how long a duty was nobody's after each kind of loss. Who held it
-//! is taken from the sidecars' logs, as nobody outside can see it; no verdict stands on them. Pure.
+//! Statistics of a history with duties: effects carried out, and how long a duty had no holder after each kind of loss.
+//! The holder is taken from the sidecars' logs, since it is not visible from outside; no verdict depends on these
+//! figures. Pure.
 
 use crate::history::{Event, EventKind};
 use crate::schedule::Fault;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How the holder was lost.
+/// How a holder was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LossKind {
-    /// Killed.
+    /// It was killed.
     Kill,
-    /// It stood still for longer than it held.
+    /// It was stopped for longer than its lease.
     Stall,
-    /// Told to end: a planned handover.
+    /// It was requested to terminate: a planned handover.
     Term,
-    /// Anything else: cut off, out-voted, late itself.
+    /// Any other reason: cut off, superseded by the voters, late itself.
     Other,
 }
 
-/// The figures of one trial.
+/// The statistics of one trial.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DutyStats {
     /// Effects that were carried out.
     pub effects: u64,
     /// Effects that a receiver refused for their fence.
     pub fenced: u64,
-    /// Grants.
+    /// Number of times the duty was acquired.
     pub grants: u64,
-    /// From the loss of a holder to the next grant, in milliseconds, by kind.
+    /// Milliseconds from the loss of a holder to the next grant, by kind of loss.
     pub takeovers_ms: BTreeMap<LossKind, Vec<f64>>,
-    /// The part of the time from the first grant to the last event in which the logs name a holder that lives.
+    /// The fraction of the time between the first grant and the last event in which a live instance held the duty
+    /// according to the logs.
     #[serde(rename = "held")]
     pub held_fraction: f64,
 }
 
-/// Who holds it, and since when it is nobody's.
+/// The holder of the duty, and its last loss.
 #[derive(Default)]
 struct HolderTracker<'a> {
     holder: Option<&'a str>,
     since: u64,
-    /// When it was lost, and how.
+    /// When and how the last holder was lost.
     lost: Option<(u64, LossKind)>,
     held_total: u64,
 }
@@ -59,10 +61,10 @@
     }
 }
 
-/// How long after it was told to end a holder's letting go counts as handing on, in microseconds.
+/// A release within this time after the request to terminate counts as a handover, in microseconds.
 const HANDOVER_US: u64 = 2_000_000;
 
-/// Counts a history.
+/// Computes the statistics of a history.
 #[must_use]
 pub fn duty_stats(history: &[Event]) -> DutyStats {
     let mut stats = DutyStats::default();
@@ -97,7 +99,7 @@
             }
             EventKind::DutyAcquired { process, .. } => {
                 stats.grants += 1;
-                // One that stands still says nothing of its loss: it began when it stood still.
+                // A stopped holder does not log its loss; the loss dates from when it was stopped.
                 if let Some(stopped) = tracker.holder.and_then(|before| stopped_since.get(before)) {
                     tracker.lose(*stopped, LossKind::Stall);
                 }
--- a/crates/trial/src/history.rs
+++ b/crates/trial/src/history.rs
@@ -1,5 +1,5 @@
-//! What was seen, by whom, when: the only thing that the auditor is given. Stand-ins write it as JSON lines, so that it
-//! outlives them.
+//! What was observed, by whom and when: the auditor's only input. Stubs write events as JSON lines, so that the events
+//! outlive the stubs.
 
 use crate::schedule::Fault;
 use serde::{Deserialize, Serialize};
@@ -8,24 +8,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// With this body.
+    /// Status 200 with this body.
     Served(String),
-    /// 429 or 503.
+    /// Status 429 or 503.
     Refused,
     /// Any other status.
     Failed,
-    /// The connection ended with no whole answer.
+    /// The connection ended without a complete answer, for this reason.
     Broken(String),
 }
 
-/// One thing seen. Instances are named `n0`, `n1` and so on.
+/// An observation. Instances are named `n0`, `n1` and so on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EventKind {
-    /// A stand-in listens, one address for each instance where it tells them apart.
+    /// A stub listens; the stub of the list has an address for each instance.
     #[serde(rename = "listens")]
     Listening {
-        /// Where.
+        /// Its addresses.
         #[serde(rename = "on")]
         addresses: Vec<std::net::SocketAddr>,
     },
@@ -37,21 +37,21 @@
         instance: String,
         /// The request.
         id: String,
-        /// It must not run twice.
+        /// The request must not be executed twice.
         #[serde(rename = "once")]
         at_most_once: bool,
-        /// How long its client waits, in microseconds.
+        /// How long the client waits, in microseconds.
         #[serde(rename = "wait")]
         client_timeout: u64,
     },
-    /// It got an answer.
+    /// A client received an answer.
     Answered {
         /// The request.
         id: String,
         /// The answer.
         answer: Answer,
     },
-    /// A server began a request, and answers it with this body where it answers.
+    /// A server started to execute a request, and answers it with this body if it answers.
     #[serde(rename = "began")]
     RequestStarted {
         /// The server.
@@ -61,7 +61,7 @@
         /// The body.
         body: String,
     },
-    /// The list wrote to an instance that a server leaves.
+    /// The list sent an instance a change by which a server is draining or removed.
     #[serde(rename = "told")]
     DrainAnnounced {
         /// The instance.
@@ -69,21 +69,21 @@
         /// The server.
         server: String,
     },
-    /// The list holds what it was told to hold.
+    /// The stub of the list replaced its lists as commanded.
     #[serde(rename = "held")]
     ListsReplaced,
-    /// The list wrote entries to an instance.
+    /// The list sent entries to an instance.
     #[serde(rename = "listed")]
     EntriesSent {
         /// The instance.
         to: String,
-        /// How many.
+        /// Number of entries.
         servers: usize,
     },
-    /// The rig did something to a process or a way.
+    /// The rig injected a fault.
     #[serde(rename = "did")]
     FaultInjected {
-        /// What.
+        /// The fault.
         fault: Fault,
     },
     /// A process of the program serves.
@@ -91,36 +91,36 @@
         /// The instance.
         #[serde(rename = "who")]
         process: String,
-        /// Its process.
+        /// The process id.
         #[serde(rename = "process")]
         pid: u32,
     },
-    /// A process of the program ended, by itself where the rig did not tell it to.
+    /// A process of the program terminated.
     Down {
         /// The instance.
         #[serde(rename = "who")]
         process: String,
-        /// How, and by whose will.
+        /// Its exit status, and whether the rig had to kill it.
         how: String,
-        /// The rig ended it, or told it to end.
+        /// The rig killed it or requested its termination before.
         #[serde(rename = "told")]
         expected: bool,
     },
-    /// A server was sent the effect of a duty.
+    /// A server received the effect of a duty.
     #[serde(rename = "effect")]
     DutyEffect {
         /// The duty.
         duty: String,
-        /// The period's number.
+        /// The number of the period.
         period: u64,
         /// The fence.
         fence: u64,
-        /// The request, which names the sidecar's life.
+        /// The request; its name contains the incarnation of the sidecar.
         id: String,
-        /// It was carried out; else it was refused for its fence.
+        /// Whether the effect was carried out; otherwise it was refused for its fence.
         accepted: bool,
     },
-    /// A sidecar's log says that it holds a duty.
+    /// A sidecar logged that it holds a duty.
     #[serde(rename = "holds")]
     DutyAcquired {
         /// The instance.
@@ -131,7 +131,7 @@
         /// The fence.
         fence: u64,
     },
-    /// A sidecar's log says that it let one go.
+    /// A sidecar logged that it released a duty.
     #[serde(rename = "let_go")]
     DutyReleased {
         /// The instance.
@@ -140,19 +140,19 @@
         /// The duty.
         duty: String,
     },
-    /// A request crossed the close of its connection between two requests, and was never read.
+    /// A request was sent while the process closed the idle connection, and was never read.
     #[serde(rename = "crossed")]
     CrossedClose {
         /// The request.
         id: String,
     },
-    /// A client left with its request in hand.
+    /// A client closed its connection while its request was in flight.
     #[serde(rename = "left")]
     ClientLeft {
         /// The request.
         id: String,
     },
-    /// A process that was told to end still ran at the page's earliest kill.
+    /// A process that was requested to terminate still ran when the platform may kill it at the earliest.
     Overdue {
         /// The instance.
         #[serde(rename = "who")]
@@ -161,23 +161,23 @@
     /// A timer of the rig ran late.
     #[serde(rename = "late")]
     TimerLate {
-        /// By so many microseconds.
+        /// By how many microseconds.
         by: u64,
     },
 }
 
-/// Something seen, and when.
+/// An observation and its time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// Microseconds of the trial's clock.
     pub at: u64,
-    /// What.
+    /// What was observed.
     #[serde(flatten)]
     pub what: EventKind,
 }
 
 impl Event {
-    /// Seen now.
+    /// An event that is observed now.
     #[must_use]
     pub fn now(what: EventKind) -> Event {
         Event { at: crate::clock::now(), what }
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,13 +1,13 @@
-//! Many processes of the program under faults. It starts the program itself beside stand-in servers and a stand-in list,
-//! each a process of its own, puts a relay between every two that talk, plays a schedule of faults drawn from a seed, and
-//! judges from outside alone: nothing of the code under test is linked here, only what stands on its sockets and in its
-//! operator's file.
+//! Runs many processes of the program under injected faults. The rig starts the program beside stub servers and a stub
+//! of discovery, each a process of its own, puts a relay between every two processes that communicate, injects the
+//! faults of a schedule drawn from a seed, and judges the program from outside alone: no code under test is linked
+//! here, only its public interfaces are used: its sockets and the operator's settings file.
 //!
-//! Design. One rig process has the one clock (the machine's monotonic one, which all its processes read), the relays, the
-//! clients and the schedule; all that is seen goes into one history, and the auditor is a pure function over it. Ways not
-//! taken: network namespaces or packet filters (rights that a test does not have, and faults that no log shows in order),
-//! a library loaded into the program (it would be judged from inside), and a rig that counts while it runs (a verdict that
-//! can't be had again from what was kept).
+//! Design: one rig process has the clock (the machine's monotonic clock, which all processes read), the relays, the
+//! clients and the schedule. All observations go into one history, and the auditor is a pure function of it. Rejected
+//! alternatives: network namespaces or packet filters, which need privileges that a test does not have and inject
+//! faults that no log shows in order; a library loaded into the program, which would judge it from inside; and a rig
+//! that counts while it runs, whose verdict could not be computed again from what was recorded.
 
 #![forbid(unsafe_code)]
 
--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -1,5 +1,5 @@
-//! The applications: requests at times drawn beforehand, whether or not earlier ones are answered. Each is timed from when
-//! it was due, so that a sidecar that stands still is seen to (coordinated omission).
+//! Applications that send requests at times drawn in advance, whether or not earlier ones are answered. Latencies are
+//! measured from when a request was due, so that a sidecar that is stopped shows in them (coordinated omission).
 
 use crate::history::{Answer, Event, EventKind};
 use awc::error::{ConnectError, SendRequestError};
@@ -14,45 +14,45 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, sleep_until};
 
-/// Requests out at a time at the most; one beyond is not sent, and counted.
+/// Requests in flight at a time; further ones are not sent, but counted.
 pub(crate) const MAX_IN_FLIGHT: usize = 512;
 
-/// What became of a second's requests.
+/// Results of the requests of one second.
 pub struct SecondStats {
-    /// Sent.
+    /// Requests that were sent.
     pub sent: u64,
     /// Answered with 200.
     pub served: u64,
-    /// 429 or 503.
+    /// Answered with 429 or 503.
     pub refused: u64,
-    /// Anything else.
+    /// Any other result.
     pub failed: u64,
-    /// Not sent: too many were out.
+    /// Not sent, since too many were in flight.
     pub unsent: u64,
-    /// Microseconds until served, from when they were due.
+    /// Latencies of served requests, in microseconds from when they were due.
     pub latencies_us: Histogram<u64>,
 }
 
 impl SecondStats {
-    /// None yet.
+    /// An empty second.
     ///
     /// # Errors
     ///
-    /// Its bounds are wrong, which they are not.
+    /// The histogram's bounds are invalid, which does not happen: they are constant.
     pub fn new() -> anyhow::Result<SecondStats> {
         let latencies_us = Histogram::new_with_bounds(1, 60_000_000, 3)?;
         Ok(SecondStats { sent: 0, served: 0, refused: 0, failed: 0, unsent: 0, latencies_us })
     }
 }
 
-/// How much is asked.
+/// The load of one application.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSpec {
     /// Requests a second.
     pub requests_per_s: f64,
-    /// For how long.
+    /// For how long requests are sent.
     pub duration: Duration,
-    /// How long each waits.
+    /// How long a client waits for each answer.
     pub client_timeout: Duration,
 }
 
@@ -61,16 +61,16 @@
 pub struct Application {
     /// The instance.
     pub name: String,
-    /// Where its sidecar serves; nowhere while it is down: the two stop and start together.
+    /// Where its sidecar serves; none while it is down: both stop and start together.
     pub at: Rc<Cell<Option<SocketAddr>>>,
-    /// What was seen.
+    /// The trial's events.
     pub history: Rc<RefCell<Vec<Event>>>,
-    /// What became of this second's requests.
+    /// Results of the present second.
     pub current_second: Rc<RefCell<SecondStats>>,
 }
 
 impl Application {
-    /// Asks until the time is over and all is answered.
+    /// Sends requests for the given duration, and waits until all are answered.
     pub async fn run(self, load: LoadSpec, mut rng: SmallRng) {
         let client = http_client(load.client_timeout);
         let permits = std::sync::Arc::new(Semaphore::new(MAX_IN_FLIGHT));
@@ -120,14 +120,15 @@
     }
 }
 
-/// A client whose requests are out for no more than a wait and five seconds, `MAX_IN_FLIGHT` of them at a time.
+/// An HTTP client that gives up on a request five seconds after the client's timeout, with at most `MAX_IN_FLIGHT`
+/// connections.
 pub(crate) fn http_client(client_timeout: Duration) -> awc::Client {
     let connector = awc::Connector::new().limit(MAX_IN_FLIGHT);
     let timeout = client_timeout + Duration::from_secs(5);
     awc::Client::builder().connector(connector).timeout(timeout).no_default_headers().finish()
 }
 
-/// A request that is due.
+/// A request and when it is due.
 #[derive(Clone)]
 pub(crate) struct PlannedRequest {
     id: String,
@@ -137,13 +138,13 @@
 }
 
 impl PlannedRequest {
-    /// One of any class.
+    /// Draws a request of a random class.
     pub(crate) fn draw(rng: &mut SmallRng, client_timeout: Duration, due: Instant) -> PlannedRequest {
         let (class, number) = (rng.random_range(0..10), rng.random::<u64>());
         PlannedRequest { id: format!("{number:016x}"), class, client_timeout, due }
     }
 
-    /// Sends it; gives its answer, and how long after it was due that came.
+    /// Sends the request; returns its answer and its latency from when it was due.
     pub(crate) async fn send(
         self,
         client: &awc::Client,
@@ -153,7 +154,7 @@
     ) -> (Answer, Duration) {
         let record = |what: EventKind| history.borrow_mut().push(Event::now(what));
         let PlannedRequest { id, class, client_timeout, due } = self;
-        // Six of ten are safe to repeat, two keyed, two unsafe.
+        // Six of ten requests are safe to repeat, two have an idempotency key and two are unsafe.
         let (path, at_most_once) = match class {
             0..6 => ("read", false),
             6..8 => ("pay", false),
@@ -179,8 +180,8 @@
             client_timeout: client_timeout.as_micros() as u64,
         });
         let mut sent = send().await;
-        // The sidecar may close a connection between requests. One that crosses that, of which nothing was sent, is sent once more
-        // on a new connection, as the protocol has it.
+        // The sidecar may close an idle connection. A request that was sent at that moment, and of which nothing was
+        // delivered, is sent once more on a new connection, as the protocol demands.
         if matches!(sent, Err(SendRequestError::Connect(ConnectError::Disconnected))) {
             sent = send().await;
         }
--- a/crates/trial/src/page.rs
+++ b/crates/trial/src/page.rs
@@ -1,5 +1,5 @@
-//! A trial as a page: who held the duty when, by the sidecars' own logs, with what was done to whom and what the receiver
-//! carried out. Pure: the page follows from the history alone.
+//! A trial as an HTML page: who held the duty when according to the sidecars' logs, the injected faults, and the
+//! effects that the receiver carried out. Pure: the page depends on the history alone.
 
 use crate::history::{Event, EventKind};
 use crate::schedule::{Fault, Impairment};
@@ -10,7 +10,7 @@
 const LABEL_WIDTH: f64 = 70.0;
 const ROW_HEIGHT: f64 = 34.0;
 
-/// Stretches of an instance's row, by kind.
+/// Stretches of time in an instance's row, by kind.
 #[derive(Default)]
 struct Row {
     up: Vec<(u64, u64)>,
@@ -71,7 +71,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// The page of a history that began at `start`.
+/// The page of a history that started at `start`.
 #[must_use]
 pub fn page(title: &str, verdict: &str, history: &[Event], start: u64) -> String {
     let end = history.last().map_or(start + 1, |event| event.at.max(start + 1));
@@ -89,7 +89,7 @@
                colour: &str,
                title_text: &str| {
         let (left, right) = (x(from), x(until.min(end)));
-        // A write to a string does not fail.
+        // Writing to a string does not fail.
         let _ = write!(
             svg,
             "<rect x=\"{left:.1}\" y=\"{y:.1}\" width=\"{:.1}\" height=\"{bar_height}\" fill=\"{colour}\"><title>{}</title></rect>",
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -1,7 +1,7 @@
-//! Every two processes talk through a relay of the rig, and each direction can fall ill by itself. A relay knows nothing of
-//! what it carries. What is held while a way is cut comes through when it is mended, as after a partition; datagrams are
-//! lost. A connection is taken at once and goes on to its target when the way there is whole: to the one who calls it
-//! looks like a peer that says nothing.
+//! All communication between two processes passes through a relay of the rig, and each direction can be impaired on its
+//! own. A relay does not interpret what it carries. What is sent over a connection while its link is cut is delivered
+//! when the link is repaired, as after a network partition; datagrams are lost. A connection is accepted at once and
+//! connected to its target once the link there is open: to the client, a cut looks like a peer that does not answer.
 
 use crate::schedule::Impairment;
 use rand::rngs::SmallRng;
@@ -21,9 +21,9 @@
 
 /// Connections of a relay at a time.
 const MAX_CONNECTIONS: usize = 512;
-/// Pieces of a connection that are on their way.
+/// Chunks of a connection in transit.
 const QUEUED_CHUNKS: usize = 64;
-/// How much later a datagram from before comes once more.
+/// How much later a late duplicate of a datagram is sent.
 const LATE_DUPLICATE_DELAY: Duration = Duration::from_secs(3);
 /// How much later a reordered datagram is sent.
 const REORDER_DELAY: Duration = Duration::from_millis(40);
@@ -31,7 +31,7 @@
 const DUPLICATE_DELAY: Duration = Duration::from_millis(1);
 /// How long connecting to the target may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Lives of one end that a relay of datagrams tells apart.
+/// Source addresses that a datagram relay keeps apart: a process has another one after each restart.
 const MAX_SOURCES: usize = 64;
 
 /// One direction between two processes.
@@ -43,7 +43,7 @@
         Link(Rc::new(watch::channel(Impairment::default()).0))
     }
 
-    /// It is like this from now on.
+    /// Sets the impairment from now on.
     pub fn set(&self, impairment: Impairment) {
         self.0.send_replace(impairment);
     }
@@ -57,10 +57,10 @@
     }
 }
 
-/// How often the connections between two were reset.
+/// Number of resets of the connections between two processes.
 type Resets = BTreeMap<(String, String), watch::Sender<u64>>;
 
-/// All directions, by the names of both ends.
+/// All links, by the names of both ends.
 #[derive(Clone, Default)]
 pub struct Links {
     links: Rc<RefCell<BTreeMap<(String, String), Link>>>,
@@ -68,30 +68,30 @@
     rng: Rc<RefCell<Option<SmallRng>>>,
 }
 
-/// Where a relay leads: it may not be known yet, and change with a new start.
+/// The address that a relay forwards to. It may be unknown at first, and changes with a restart.
 pub type Target = Rc<Cell<Option<SocketAddr>>>;
 
 impl Links {
-    /// All well; which datagrams are lost is drawn by this seed.
+    /// All links are unimpaired; the seed determines which datagrams are lost.
     #[must_use]
     pub fn new(seed: u64) -> Links {
         let rng = Rc::new(RefCell::new(Some(SmallRng::seed_from_u64(seed))));
         Links { rng, ..Links::default() }
     }
 
-    /// One direction.
+    /// The link in one direction.
     #[must_use]
     pub fn link(&self, from: &str, to: &str) -> Link {
         let mut links = self.links.borrow_mut();
         links.entry((from.to_owned(), to.to_owned())).or_insert_with(Link::healthy).clone()
     }
 
-    /// All are well.
+    /// Removes the impairments of all links.
     pub fn repair_all(&self) {
         self.links.borrow().values().for_each(|link| link.set(Impairment::default()));
     }
 
-    /// Connections between two are reset.
+    /// Resets the connections between two processes.
     pub fn reset(&self, a: &str, b: &str) {
         let resets = self.resets.borrow();
         for key in [(a.to_owned(), b.to_owned()), (b.to_owned(), a.to_owned())] {
@@ -105,11 +105,11 @@
         percent > 0 && self.rng.borrow_mut().as_mut().is_some_and(|rng| rng.random_range(0..100) < percent)
     }
 
-    /// A relay for the connections that one opens to another; gives the address to call.
+    /// Starts a relay for the connections that one process opens to another; returns the relay's address.
     ///
     /// # Errors
     ///
-    /// No port can be had.
+    /// No port is available.
     pub async fn tcp(&self, from: &str, to: &str, target: Target) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let at = listener.local_addr()?;
@@ -140,11 +140,12 @@
         Ok(at)
     }
 
-    /// A relay for the datagrams that one sends to another, and what comes back to it.
+    /// Starts a relay for the datagrams that one process sends to another and for the replies; returns the relay's
+    /// address.
     ///
     /// # Errors
     ///
-    /// No port can be had.
+    /// No port is available.
     pub async fn udp(&self, from: &str, to: &str, target: Target) -> io::Result<SocketAddr> {
         let socket = Rc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
         let at = socket.local_addr()?;
@@ -153,7 +154,7 @@
             let mut sources: VecDeque<Source> = VecDeque::new();
             let mut bytes = vec![0; 65_536];
             loop {
-                // An answer to a process that is gone comes back as a fault of the socket.
+                // Where the target process is gone, a datagram sent there causes an error on the socket.
                 let Ok((len, source)) = socket.recv_from(&mut bytes).await else { continue };
                 let Some(destination) = target.get() else { continue };
                 if !sources.iter().any(|known| known.address == source) {
@@ -184,7 +185,7 @@
         Ok(at)
     }
 
-    /// Sends a datagram as the way has it.
+    /// Sends a datagram with the link's impairment.
     fn send_datagram(&self, link: &Link, from: &Rc<UdpSocket>, to: SocketAddr, bytes: &[u8]) {
         let impairment = link.impairment();
         if impairment.cut || self.chance(impairment.loss_percent) {
@@ -207,7 +208,7 @@
                 if !delay.is_zero() {
                     sleep(delay).await;
                 }
-                // Tried at once, a socket that the runtime has not met yet would say that it is full.
+                // Awaited, since `try_send_to` reports a socket as full that the runtime has not polled before.
                 if !link.impairment().cut {
                     let _ = from.send_to(&bytes, to).await;
                 }
@@ -216,7 +217,7 @@
     }
 }
 
-/// Carries one connection to its end.
+/// Relays one connection to its end.
 async fn relay_connection(
     client: TcpStream,
     forward: Link,
@@ -249,7 +250,7 @@
     let backward_pump = pump(server_read, client_write, backward);
     tokio::select! {
         _ = async { tokio::join!(forward_pump, backward_pump) } => {}
-        // Both ends are dropped with what they hold.
+        // Dropping both ends resets them with what is still queued.
         _ = reset.changed() => {}
     }
     Ok(())
@@ -263,14 +264,14 @@
     reply_task: actix_rt::task::JoinHandle<()>,
 }
 
-/// What goes one way: a piece of it, or why it ended.
+/// Data of one direction, or how it ended.
 enum Chunk {
     Bytes(Vec<u8>),
     End,
     Reset,
 }
 
-/// Passes on what goes one way, as the way has it.
+/// Forwards the data of one direction with the link's impairment.
 async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, link: Link) {
     let (chunks, mut received) = mpsc::channel::<(Instant, Chunk)>(QUEUED_CHUNKS);
     let read_link = link.clone();
@@ -288,7 +289,7 @@
             let finished = !matches!(chunk, Chunk::Bytes(_));
             let due = Instant::now() + Duration::from_millis(read_link.impairment().delay_ms);
             if chunks.send((due, chunk)).await.is_err() || finished {
-                // The socket is kept until the other half has passed on all.
+                // The socket stays open until the other half has forwarded everything.
                 return Some(from);
             }
         }
@@ -318,7 +319,7 @@
             }
         }
     };
-    // A side that takes nothing any more ends what comes from the other, as a reset would.
+    // A peer that no longer reads ends the other direction too, as a reset would.
     let mut reads = std::pin::pin!(reads);
     let mut writes = std::pin::pin!(writes);
     let from = tokio::select! {
--- a/crates/trial/src/relay/tests.rs
+++ b/crates/trial/src/relay/tests.rs
@@ -20,7 +20,7 @@
     at
 }
 
-/// A cut that still lets bytes through, or loses them for good, would test another network than the one meant.
+/// A cut link must neither let bytes through nor lose them: trials would test another network than the one intended.
 #[actix_rt::test]
 async fn a_cut_way_holds_what_is_sent_and_a_reset_ends_both_sides() {
     let links = Links::new(1);
--- a/crates/trial/src/rig.rs
+++ b/crates/trial/src/rig.rs
@@ -1,5 +1,5 @@
-//! The rig: starts the cast, puts relays between them, lets applications ask, plays the schedule, and keeps what was seen.
-//! Each instance is an actor that owns its process; the schedule only sends it orders.
+//! The rig: starts all processes and the relays between them, runs the applications and the schedule, and records all
+//! events. Each instance is an actor that owns its process; the schedule only sends it commands.
 
 use crate::audit::{Bounds, Verdict, judge};
 use crate::child::Process;
@@ -25,91 +25,92 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
 
-/// How long the program may take to begin, and to end.
+/// How long a process may take to start, and to exit.
 pub(crate) const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long the platform goes on sending to a sidecar that it told to end, and when it kills one that has not.
+/// How long the platform still sends requests to a sidecar that it requested to terminate.
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
+/// When the platform kills a sidecar that it requested to terminate.
 const KILL_DELAY: Duration = Duration::from_secs(5);
-/// How often the rig looks at whether its timers are late.
+/// How often the rig checks whether its timers are late.
 const TIMER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Timers that are less late than this, in microseconds, are not recorded.
+/// Timers that are no later than this, in microseconds, are not recorded.
 const RECORDED_LATENESS_US: u64 = 10_000;
-/// Lines of a process's log that are kept to tell why it ended.
+/// The last lines of a process's log, kept to explain its exit.
 const KEPT_LOG_LINES: usize = 20;
 
 /// A trial.
 pub struct Trial {
-    /// The program that holds the stand-ins and the tie.
+    /// The lab program, which contains the stubs and the `tether` command.
     pub lab: PathBuf,
     /// The program under test.
     pub program: PathBuf,
-    /// How it is called.
+    /// Its arguments.
     pub arguments: Vec<String>,
     /// The instances' names.
     pub instances: Vec<String>,
     /// The servers' names.
     pub servers: Vec<String>,
-    /// The seed of all that is drawn.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Requests of each instance.
+    /// The load of each instance.
     pub load: LoadSpec,
-    /// What its answers are wanted within.
+    /// The latency target of all classes.
     pub aim: Duration,
-    /// What is judged by.
+    /// The auditor's bounds.
     pub bounds: Bounds,
-    /// What goes wrong.
+    /// The faults to inject.
     pub schedule: Schedule,
-    /// Where each process's log is kept.
+    /// The folder for each process's log.
     pub log_dir: Option<PathBuf>,
-    /// The fleet and its duty, where there is one.
+    /// The fleet and its duty, if any.
     pub fleet: Option<FleetConfig>,
-    /// A planted fault, which a program built for it takes from its environment.
+    /// A fault that a program built with the feature `plant` reads from its environment.
     pub injected_fault: Option<String>,
 }
 
-/// What the operator's file says of the fleet.
+/// The fleet section of the operator's settings.
 pub struct FleetConfig {
-    /// How many of the instances vote: the first ones.
+    /// How many of the instances are voters; these are the first ones.
     pub voters: usize,
-    /// How long a lease is, in milliseconds.
+    /// The duration of a lease, in milliseconds.
     pub lease_ms: u64,
-    /// How often the duty's effect is due, in milliseconds.
+    /// The period of the duty's effect, in milliseconds.
     pub period_ms: u64,
 }
 
-/// The fault of a stand-in that carries out effects under any fence.
+/// The injected fault of a stub that carries out effects under any fence.
 pub const ANY_FENCE: &str = "any-fence";
 
-/// What is seen of a second, for those who watch.
+/// A report of one second while a trial runs.
 pub struct Progress<'a> {
-    /// Seconds since the applications began.
+    /// Seconds since the applications started.
     pub second: u64,
-    /// What became of its requests.
+    /// Results of its requests.
     pub requests: &'a SecondStats,
-    /// What came to each server.
+    /// Number of requests that started at each server.
     pub starts_per_server: &'a [(String, u64)],
-    /// What was done to whom.
+    /// Faults that were injected.
     pub faults: &'a [Fault],
 }
 
-/// What came of a trial.
+/// The result of a trial.
 pub struct Outcome {
-    /// What is judged.
+    /// The auditor's verdict.
     pub verdict: Verdict,
-    /// All that was seen, by time.
+    /// All events by time.
     pub history: Vec<Event>,
-    /// When the applications began.
+    /// When the applications started.
     pub start: u64,
 }
 
-/// All that is seen.
+/// All events so far.
 pub(crate) type History = Rc<RefCell<Vec<Event>>>;
 
 pub(crate) fn record(history: &History, what: EventKind) {
     history.borrow_mut().push(Event::now(what));
 }
 
-/// A stand-in's process.
+/// The process of a stub.
 pub(crate) struct StubProcess {
     process: Process,
     stdin: ChildStdin,
@@ -125,15 +126,15 @@
         let (stdin, stdout, stderr) = process.streams()?;
         let mut lines = BufReader::new(stdout).lines();
         let first =
-            timeout(PROCESS_TIMEOUT, lines.next_line()).await.context("a stand-in does not begin")??;
+            timeout(PROCESS_TIMEOUT, lines.next_line()).await.context("a stub did not start in time")??;
         let first: Option<Event> = first.map(|line| serde_json::from_str(&line)).transpose()?;
         let Some(Event { what: EventKind::Listening { addresses }, .. }) = first else {
-            bail!("the stand-in {} ended at once", arguments.join(" "));
+            bail!("the stub `{}` exited before it listened", arguments.join(" "));
         };
         actix_rt::spawn(async move {
             let mut lines = BufReader::new(stderr).lines();
             while let Ok(Some(line)) = lines.next_line().await {
-                eprintln!("a stand-in: {line}");
+                eprintln!("stub: {line}");
             }
         });
         let history = history.clone();
@@ -149,30 +150,30 @@
 
     pub(crate) async fn send_command(&mut self, command: &ListCommand) -> Result<()> {
         let line = serde_json::to_string(command)? + "\n";
-        self.stdin.write_all(line.as_bytes()).await.context("a stand-in takes no orders")
+        self.stdin.write_all(line.as_bytes()).await.context("a stub does not read its commands")
     }
 
     pub(crate) fn signal(&self, signal: Signal) {
         self.process.signal(signal);
     }
 
-    /// Lets it end, and reads what it saw to the last line.
+    /// Lets the stub exit, and reads its events to the end.
     pub(crate) async fn end(self) -> Result<()> {
         self.process.signal(Signal::CONT);
         drop(self.stdin);
-        timeout(PROCESS_TIMEOUT, self.reader).await.context("a stand-in does not end")??;
+        timeout(PROCESS_TIMEOUT, self.reader).await.context("a stub did not exit in time")??;
         Ok(())
     }
 }
 
-/// What an instance is told to do.
+/// A command to the actor of an instance.
 pub(crate) enum InstanceCommand {
     Fault(Fault),
-    /// The platform ends it, and nothing comes after.
+    /// The platform terminates the process; no further command follows.
     End,
 }
 
-/// An instance: its process, where it is alive, and what it is started with.
+/// An instance: its process while it runs, and how it is started.
 pub(crate) struct Instance {
     pub(crate) lab: PathBuf,
     pub(crate) program: PathBuf,
@@ -184,23 +185,23 @@
     pub(crate) history: History,
     pub(crate) process: Option<Process>,
     pub(crate) exit_expected: bool,
-    /// Where it is heard as a member.
+    /// The address at which it receives fleet messages.
     pub(crate) member_address: Target,
     pub(crate) injected_fault: Option<String>,
 }
 
 /// An instance that serves.
 pub(crate) struct Serving {
-    /// Where its orders go.
+    /// Commands to its actor.
     pub(crate) commands: UnboundedSender<InstanceCommand>,
-    /// Where the platform sends; nowhere from some time after it was told to end.
+    /// The address that the platform sends requests to; none from some time after it requested termination.
     pub(crate) at: Rc<Cell<Option<SocketAddr>>>,
-    /// Its actor, which ends with its process.
+    /// Its actor, which finishes with the process.
     pub(crate) task: actix_rt::task::JoinHandle<()>,
 }
 
 impl Instance {
-    /// One that is not started yet, without arguments, a log or a planted fault.
+    /// An instance that is not started yet, without arguments, a log file or an injected fault.
     pub(crate) fn new(
         lab: &Path,
         program: &Path,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Starts it, and waits until it serves.
+    /// Starts the instance, and waits until it serves.
     pub(crate) async fn serve(self) -> Result<Serving> {
         let (name, at) = (self.name.clone(), self.at.clone());
         let (commands, received_commands) = unbounded_channel();
@@ -303,7 +304,8 @@
                     Fault::Stop { .. } => Signal::STOP,
                     _ => Signal::CONT,
                 };
-                // What it does until the signal comes is before the fault; what it does after going on is after it.
+                // What the process does before the signal arrives precedes a kill or a stop; what it does after it
+                // continues follows the fault.
                 if signal == Signal::CONT {
                     self.record_fault(fault.clone());
                 }
@@ -323,7 +325,7 @@
         }
     }
 
-    /// Told to end; its application goes on for a while.
+    /// Requests termination; the application goes on for a while.
     fn request_termination(&mut self, fault: Fault, signal: Signal) {
         self.record_fault(fault);
         self.exit_expected = true;
@@ -339,7 +341,7 @@
         });
     }
 
-    /// Waits for its end, as the platform does; told to end before that where it was not yet.
+    /// Waits for the process to exit, as the platform does; requests its termination first unless that was done.
     async fn end(&mut self, already_signalled: bool) {
         if self.process.is_none() {
             return;
@@ -422,7 +424,7 @@
     }
 }
 
-/// What a line of a sidecar's log says of a duty.
+/// Parses a line of a sidecar's log that reports on a duty.
 fn parse_duty_event(process: &str, line: &str) -> Option<EventKind> {
     let (duty, message) = line.split_once("duty ")?.1.split_once(": ")?;
     let (process, duty) = (process.to_owned(), duty.to_owned());
@@ -434,7 +436,7 @@
 }
 
 impl FleetConfig {
-    /// The operator's file of an instance that reaches the voters here.
+    /// The operator's settings of an instance that reaches the voters at these addresses.
     fn operator_settings(&self, voters: &[(String, SocketAddr)]) -> String {
         let FleetConfig { lease_ms, period_ms, .. } = self;
         let voter = |(name, at): &(String, SocketAddr)| {
@@ -450,7 +452,7 @@
     }
 }
 
-/// Waits until a process ends; for ever where there is none.
+/// Waits until a process exits; forever where there is none.
 async fn exited(process: &mut Option<Process>) -> String {
     match process {
         None => std::future::pending().await,
@@ -461,11 +463,11 @@
     }
 }
 
-/// Plays a trial to its end. All that was started has ended when this returns, or is dropped.
+/// Runs a trial. All processes that were started have terminated when this returns or is dropped.
 ///
 /// # Errors
 ///
-/// A process can't be started, or what it is told can't be written.
+/// A process can't be started, or one of its files can't be written.
 pub async fn run_trial(trial: &Trial, mut report_progress: impl FnMut(&Progress<'_>)) -> Result<Outcome> {
     let history: History = Rc::default();
     let mut rng = SmallRng::seed_from_u64(trial.seed);
@@ -495,7 +497,7 @@
     for (n, name) in trial.instances.iter().enumerate() {
         let mut reached = Vec::new();
         for (server, stub) in &servers {
-            // The first is the one that keeps what duties do.
+            // The first server receives the effects of duties.
             let model = if server == "s0" { "ledger" } else { "" }.to_owned();
             let at = links.tcp(name, server, fixed(stub.addresses[0])).await?;
             reached.push(ListedServer { uid: server.clone(), address: at, model });
@@ -571,7 +573,7 @@
     links.repair_all();
     rig.instances.values().for_each(|handle| drop(handle.commands.send(InstanceCommand::End)));
     for task in tasks {
-        timeout(PROCESS_TIMEOUT, task).await.context("an instance does not end")??;
+        timeout(PROCESS_TIMEOUT, task).await.context("an instance did not exit in time")??;
     }
     timer_watch.abort();
     for stub in rig.servers.into_values() {
@@ -584,7 +586,7 @@
     Ok(Outcome { verdict, history, start })
 }
 
-/// Notes where the rig's own timers run late, until it is aborted.
+/// Records the rig's own late timers until it is aborted.
 pub(crate) fn watch_timers(history: History) -> actix_rt::task::JoinHandle<()> {
     actix_rt::spawn(async move {
         loop {
@@ -598,7 +600,7 @@
     })
 }
 
-/// An instance's orders, and where it serves.
+/// Where an instance takes commands and where it serves.
 struct InstanceHandle {
     commands: UnboundedSender<InstanceCommand>,
     address: Rc<Cell<Option<SocketAddr>>>,
@@ -612,7 +614,7 @@
     start_result: watch::Receiver<Option<Result<(), String>>>,
 }
 
-/// What the schedule reaches.
+/// The processes and links that faults are injected into.
 struct Rig {
     links: Links,
     instances: BTreeMap<String, InstanceHandle>,
@@ -621,7 +623,7 @@
 }
 
 impl Rig {
-    /// Plays the schedule until every application has its last answer.
+    /// Injects the faults of the schedule until every application has its last answer.
     async fn play_schedule(
         &self,
         trial: &Trial,
@@ -687,7 +689,7 @@
                 match fault {
                     Fault::Stop { .. } => stub.process.signal(Signal::STOP),
                     Fault::Continue { .. } => stub.process.signal(Signal::CONT),
-                    _ => bail!("'{fault}': only instances are ended and started"),
+                    _ => bail!("'{fault}': only instances can be terminated and started"),
                 }
             }
             Fault::Link { from, to, impairment } => self.links.link(from, to).set(*impairment),
@@ -703,18 +705,18 @@
     }
 }
 
-/// What the classes of an instance's requests are held to.
+/// Times of an instance's classes.
 #[derive(Clone, Copy)]
 pub(crate) struct ClassTimes {
-    /// What answers are wanted within.
+    /// The latency target.
     pub(crate) aim: Duration,
-    /// How long a request waits.
+    /// The deadline.
     pub(crate) client_timeout: Duration,
-    /// How long a drained server may still be sent to, in microseconds.
+    /// How long requests may still be sent to a draining server, in microseconds.
     pub(crate) drain_grace: u64,
 }
 
-/// What an instance is told at its start.
+/// The configuration with which an instance starts.
 pub(crate) fn sidecar_config(
     times: ClassTimes,
     name: &str,
--- a/crates/trial/src/schedule.rs
+++ b/crates/trial/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when: drawn from a seed, or read from a file, so that a found case becomes a test. Pure.
+//! Schedules of faults: drawn from a seed, or read from a file, so that a failure that was found becomes a test. Pure.
 
 use anyhow::{Context, Result, bail};
 use rand::rngs::SmallRng;
@@ -9,44 +9,44 @@
 use std::fmt::{self, Display, Formatter};
 use std::path::Path;
 
-/// What happens to what goes one way between two processes.
+/// An impairment of one direction between two processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Impairment {
-    /// Nothing comes through. What goes over a connection is held until the way is mended; datagrams are lost.
+    /// Nothing passes. Data of connections is delayed until the link is repaired; datagrams are lost.
     pub cut: bool,
-    /// How much later it comes, in milliseconds.
+    /// Additional delay in milliseconds.
     pub delay_ms: u64,
-    /// Bytes a second, for connections; 0 for no bound.
+    /// Bandwidth of connections in bytes a second; 0 for no limit.
     pub bytes_per_s: u64,
-    /// Of 100 datagrams so many are lost.
+    /// Percentage of datagrams that are lost.
     #[serde(rename = "lose")]
     pub loss_percent: u8,
-    /// Of 100 datagrams so many come twice.
+    /// Percentage of datagrams that are duplicated.
     #[serde(rename = "twice")]
     pub duplicate_percent: u8,
-    /// Of 100 datagrams so many come late, behind others.
+    /// Percentage of datagrams that are delayed behind others.
     #[serde(rename = "reorder")]
     pub reorder_percent: u8,
-    /// Of 100 datagrams so many come a second time, three seconds later.
+    /// Percentage of datagrams that are sent again after three seconds.
     #[serde(rename = "late")]
     pub late_duplicate_percent: u8,
 }
 
 impl Eq for Impairment {}
 
-/// What becomes of the folder of a process between its end and its next start.
+/// What happens to the folder of a process between its exit and its next start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Disk {
-    /// It stays.
+    /// It is kept.
     #[default]
     Kept,
-    /// It is empty.
+    /// It is emptied.
     Lost,
 }
 
-/// What is done. Processes: instances `n0`…, servers and `list`.
+/// A fault. Processes are named `n0`… (instances), as servers are, and `list`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
@@ -74,12 +74,12 @@
         #[serde(rename = "who")]
         process: String,
     },
-    /// It is started anew.
+    /// A restart.
     Start {
         /// The instance.
         #[serde(rename = "who")]
         process: String,
-        /// With which folder.
+        /// What happens to its folder before.
         #[serde(default)]
         disk: Disk,
     },
@@ -96,30 +96,30 @@
         #[serde(rename = "who")]
         process: String,
     },
-    /// A way falls ill, or is mended where nothing is named.
+    /// A link is impaired, or repaired where no impairment is given.
     #[serde(rename = "way")]
     Link {
-        /// From this process.
+        /// The sending process.
         from: String,
-        /// To this one.
+        /// The receiving process.
         to: String,
-        /// How.
+        /// The impairment.
         #[serde(rename = "ill", default)]
         impairment: Impairment,
     },
-    /// Every connection between two is reset.
+    /// All connections between two processes are reset.
     Reset {
-        /// One.
+        /// One process.
         from: String,
-        /// The other.
+        /// The other process.
         to: String,
     },
-    /// The list tells that a server leaves.
+    /// The list announces a server as draining.
     Drain {
         /// The server.
         server: String,
     },
-    /// The list tells that it has gone.
+    /// The list announces a server as removed.
     #[serde(rename = "gone")]
     Remove {
         /// The server.
@@ -128,7 +128,7 @@
 }
 
 impl Fault {
-    /// The processes that it names.
+    /// The processes that the fault names.
     #[must_use]
     pub fn names(&self) -> Vec<&str> {
         match self {
@@ -201,14 +201,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// Milliseconds after the clients began.
+    /// Milliseconds after the clients started.
     pub at_ms: u64,
-    /// What is done.
+    /// The fault.
     #[serde(rename = "do")]
     pub fault: Fault,
 }
 
-/// All of them, by time.
+/// The faults of a trial, by time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
@@ -217,16 +217,17 @@
     pub steps: Vec<Step>,
 }
 
-/// Who takes part.
+/// The processes of a trial.
 #[derive(Clone, Debug)]
 pub struct Participants {
     /// The instances.
     pub instances: Vec<String>,
     /// The servers.
     pub servers: Vec<String>,
-    /// Instances talk to each other.
+    /// Whether instances communicate with each other.
     pub peers: bool,
-    /// How long a lease is, where there are any: pauses are drawn around it, in milliseconds.
+    /// The duration of a lease in milliseconds, also where there is no fleet: the durations of stops are drawn around
+    /// it.
     pub lease_ms: u64,
 }
 
@@ -237,11 +238,11 @@
 }
 
 impl Schedule {
-    /// Reads one from TOML.
+    /// Reads a schedule from TOML.
     ///
     /// # Errors
     ///
-    /// The file can't be read, has a key that is not known, or names nobody of the cast.
+    /// The file can't be read, has an unknown key, or names an unknown process.
     pub fn read(path: &Path, participants: &Participants) -> Result<Schedule> {
         let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
         let mut schedule: Schedule = toml::from_str(&text).with_context(|| path.display().to_string())?;
@@ -249,7 +250,7 @@
             if let Some(name) = step.fault.names().into_iter().find(|name| !participants.contains(name)) {
                 let (all, servers) = (participants.instances.join(", "), participants.servers.join(", "));
                 bail!(
-                    "{}: step[{n}]: nobody is called '{name}'; right would be one of {all}, {servers}, list",
+                    "{}: step[{n}]: unknown process '{name}'; expected one of {all}, {servers}, list",
                     path.display()
                 );
             }
@@ -258,8 +259,8 @@
         Ok(schedule)
     }
 
-    /// Draws one: faults of processes and ways that overlap, all mended a quarter before the end, so that what comes back is
-    /// seen to.
+    /// Draws a schedule: overlapping faults of processes and links, all repaired in the first three quarters of the
+    /// trial, so that recovery is judged too.
     #[must_use]
     pub fn draw(seed: u64, participants: &Participants, duration_ms: u64) -> Schedule {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -278,7 +279,7 @@
 
 struct Generator {
     steps: Vec<Step>,
-    /// Until when nothing further happens to a process or way.
+    /// Until when no further fault is drawn for a process or link.
     busy_until: BTreeMap<String, u64>,
     end: u64,
 }
@@ -314,7 +315,7 @@
                 }
             }
             3..6 => {
-                // Shorter than a lease, around it, far over it.
+                // Shorter than a lease, around it, or much longer.
                 let duration = match rng.random_range(0..3) {
                     0 => rng.random_range(20..participants.lease_ms / 2),
                     1 => rng.random_range(participants.lease_ms * 8 / 10..participants.lease_ms * 13 / 10),
@@ -349,7 +350,7 @@
                         ..Impairment::default()
                     }
                 };
-                // To all others where it is cut off, else to one; one way or both.
+                // A cut may isolate the process from all others; other impairments concern one. One direction or both.
                 let isolate = impairment.cut && participants.peers && rng.random_bool(0.4);
                 let (forward, backward) =
                     [(true, true), (true, false), (false, true)][rng.random_range(0..3)];
--- a/crates/trial/src/schedule/tests.rs
+++ b/crates/trial/src/schedule/tests.rs
@@ -7,8 +7,8 @@
     Participants { instances: names('n', 5), servers: names('s', 2), peers: true, lease_ms: 1000 }
 }
 
-/// A schedule that leaves a process stopped or a way cut would judge the rig; one that is drawn otherwise the second
-/// time would find nothing again.
+/// A schedule that leaves a process stopped or a link cut would test the rig instead of the program, and one that
+/// differs between two draws of a seed could not reproduce a failure.
 #[test]
 fn one_seed_draws_one_schedule_and_all_is_mended_before_the_end() {
     let mut kinds = std::collections::BTreeSet::new();
@@ -55,5 +55,5 @@
     assert_eq!(descriptions, ["n2 is killed", "n0 -> n1 is cut"]);
     std::fs::write(&path, text.replace("n2", "n7")).unwrap();
     let error = Schedule::read(&path, &participants()).unwrap_err().to_string();
-    assert!(error.contains("step[1]: nobody is called 'n7'; right would be one of n0,"), "{error}");
+    assert!(error.contains("step[1]: unknown process 'n7'; expected one of n0,"), "{error}");
 }
--- a/crates/trial/src/soak/audit.rs
+++ b/crates/trial/src/soak/audit.rs
@@ -1,29 +1,29 @@
-//! What a soak is judged by: the protocol page's terms, from what clients and servers saw. Pure.
+//! The auditor of the soak: the terms of the protocol, judged from what clients and servers observed. Pure.
 
 use crate::audit::{Answers, Bounds, Property, TimedAnswer, Verdict, Violation};
 use crate::history::{Answer, Event, EventKind};
 use crate::schedule::Fault;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long after its client has left an attempt of a request may still be seen to begin, in microseconds.
+/// How long after its client has left an attempt of a request may still start, in microseconds.
 const CANCEL_GRACE_US: u64 = 100_000;
-/// How a process ends that was told to end and did so in order.
+/// The exit of a process that terminated in order.
 const ORDERLY_EXIT: &str = "ended with exit status: 0";
 
-/// What became of the requests.
+/// Numbers of requests by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Asked.
+    /// Sent.
     pub asked: u64,
-    /// Answered 200.
+    /// Answered with 200.
     pub served: u64,
-    /// Answered 429 or 503.
+    /// Answered with 429 or 503.
     pub refused: u64,
     /// Answered otherwise.
     pub failed: u64,
-    /// Crossed the close of a connection between two requests, and were never read.
+    /// Sent while the process closed the idle connection, and never read.
     pub crossed: u64,
-    /// Left by their client.
+    /// Abandoned by their client.
     pub left: u64,
 }
 
@@ -42,11 +42,11 @@
     crossed: bool,
     left_at: Option<u64>,
     starts: Vec<Start<'a>>,
-    /// When it first began at a server that does not stand still.
+    /// The first start at a server that is not stopped.
     first_observed_start: Option<u64>,
 }
 
-/// Judges a history, in the order of its times.
+/// Judges a history, which is sorted by time.
 #[must_use]
 pub fn judge(history: &[Event], bounds: Bounds) -> (Verdict, Counts) {
     let mut requests: BTreeMap<&str, Request<'_>> = BTreeMap::new();
@@ -75,7 +75,7 @@
             EventKind::RequestStarted { server, id, body } => {
                 let request = requests.entry(id).or_default();
                 request.starts.push(Start { at: *at, body });
-                // One that stands still reads what came long before only once it goes on, at the end.
+                // A stopped server reads requests from long before only once it continues, at the end.
                 if !stopped.contains(server.as_str()) {
                     request.first_observed_start.get_or_insert(*at);
                 }
@@ -142,7 +142,7 @@
         }
         match self.answers.as_slice() {
             [] if self.left_at.is_some() => {}
-            // It was never read, so nothing of it can have begun.
+            // A request that was never read can't have started.
             [] if self.crossed => {
                 if let Some(start) = self.starts.first() {
                     add(
--- a/crates/trial/src/soak/audit/tests.rs
+++ b/crates/trial/src/soak/audit/tests.rs
@@ -28,7 +28,7 @@
     Event { at: 900_000, what: EventKind::Down { process: "n0".into(), how: how.into(), expected: true } }
 }
 
-/// The properties that a history breaks; the process ends in order where it does not say otherwise.
+/// The properties that a history violates. The process exits in order where the history has no exit.
 fn violated(history: &[Event]) -> Vec<Property> {
     let mut history = history.to_vec();
     if !history.iter().any(|event| matches!(event.what, EventKind::Down { .. })) {
@@ -80,7 +80,7 @@
         violated(&[sent("a", false), left.clone(), started(101_001)]),
         [Property::NoStartAfterClientLeft]
     );
-    // A server that stood still reads at the end what had come to it before.
+    // A stopped server reads at the end what was sent to it before.
     let stop = |process: &str| Event {
         at: 0,
         what: EventKind::FaultInjected { fault: Fault::Stop { process: process.into() } },
@@ -105,7 +105,7 @@
 fn a_rig_that_ran_late_says_nothing() {
     let late = |by| Event { at: 10, what: EventKind::TimerLate { by } };
     assert_eq!(judge(&[late(BOUNDS.timer_lateness), down(ORDERLY_EXIT)], BOUNDS).0, Verdict::Kept);
-    // Also where something is broken: the rig may have broken it.
+    // Also where a property is violated: the late rig may be the cause.
     let history = [late(BOUNDS.timer_lateness + 1), sent("a", false), down(ORDERLY_EXIT)];
     assert_eq!(judge(&history, BOUNDS).0, Verdict::Void(BOUNDS.timer_lateness + 1));
 }
--- a/crates/trial/src/soak/client.rs
+++ b/crates/trial/src/soak/client.rs
@@ -1,5 +1,5 @@
-//! Clients of the soak: each sends one request at a time on a connection, keeps it for as long as it stays open, and opens
-//! another while the platform still sends to the process.
+//! Clients of the soak: each sends one request at a time, reuses its connection while that is open, and opens another
+//! one while the platform still sends requests to the process.
 
 use super::plan::INSTANCE;
 use crate::history::{Answer, EventKind};
@@ -16,35 +16,35 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// How long a connection may take to come up.
+/// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a client reads on after its time, to see whether an answer comes late.
+/// How long a client waits beyond its timeout, to detect late answers.
 const LATE_ANSWER_WAIT: Duration = Duration::from_secs(1);
-/// How long a reset may come after the end of a connection.
+/// How long after the end of a connection a reset may follow.
 const RESET_WAIT: Duration = Duration::from_secs(1);
-/// Of a hundred requests so many are left by their client while they are in hand.
+/// Percentage of requests that the client abandons while they are in flight.
 const ABANDON_PERCENT: u32 = 3;
-/// How often one more client of a crowd comes.
+/// How often another idle client connects.
 const CROWD_CONNECT_INTERVAL: Duration = Duration::from_millis(20);
 /// The largest head of an answer.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// How an exchange ended.
 enum ExchangeResult {
-    /// With an answer, after which the connection stays or ends.
+    /// An answer arrived; the connection may be reusable.
     Answered { answer: Answer, reusable: bool },
-    /// Nothing came, and the connection ended after the process had read the request.
+    /// No answer arrived, and the connection ended after the process had read the request.
     Dropped,
-    /// Nothing came, and the connection was reset: the process had closed it, or left the request unread.
+    /// No answer arrived, and the connection was reset: the process had closed it, or left the request unread.
     Unread,
-    /// Neither an answer nor an end came in time.
+    /// Neither an answer nor the end of the connection arrived in time.
     Silent,
 }
 
 /// A client.
 pub struct Client {
     name: String,
-    /// Where the process serves; nowhere once the platform sends it no more connections.
+    /// Where the process serves; none once the platform opens no more connections to it.
     at: Rc<Cell<Option<SocketAddr>>>,
     history: History,
     /// The longest deadline.
@@ -61,7 +61,7 @@
 }
 
 impl Client {
-    /// The nth client, which stops when the time is over.
+    /// The nth client, which stops at the given time.
     pub fn new(
         n: usize,
         at: Rc<Cell<Option<SocketAddr>>>,
@@ -72,7 +72,7 @@
         Client { name: format!("c{n}"), at, history, client_timeout, end, requests_sent: 0 }
     }
 
-    /// Asks until the time is over, or no connection is left and none can be opened.
+    /// Sends requests until the end, or until no connection is left and none can be opened.
     pub async fn run(mut self, mut rng: SmallRng) {
         let mut kept_connection: Option<Connection> = None;
         while Instant::now() < self.end {
@@ -86,13 +86,13 @@
                 continue;
             };
             kept_connection = self.send_request(connection, &mut rng).await;
-            // Most ask again at once; some keep their connection idle for a while.
+            // Most requests follow immediately; some connections stay idle for a while.
             let idle = if rng.random_bool(0.1) { 700 } else { 30 };
             sleep(Duration::from_millis(rng.random_range(0..idle))).await;
         }
     }
 
-    /// One request; gives the connection back where it stays.
+    /// Sends a request; returns the connection where it can be reused.
     async fn send_request(&mut self, mut connection: Connection, rng: &mut SmallRng) -> Option<Connection> {
         let id = format!("{}-{}", self.name, self.requests_sent);
         self.requests_sent += 1;
@@ -122,7 +122,7 @@
                 record(&self.history, EventKind::ClientLeft { id });
                 None
             }
-            // A request crosses the close of a connection between two requests, and of no other.
+            // A request can only be lost to a close between two requests of a connection, not on a new one.
             ExchangeResult::Unread if connection.used => {
                 record(&self.history, EventKind::CrossedClose { id });
                 None
@@ -139,7 +139,7 @@
     }
 }
 
-/// The kinds of requests, one for each kind of semantics.
+/// The kinds of requests, one for each of the semantics.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RequestKind {
     Read,
@@ -163,7 +163,7 @@
     }
 }
 
-/// Whether nothing has come on an idle connection, its end included.
+/// Whether an idle connection is open and has nothing to read.
 fn is_open(stream: &TcpStream) -> bool {
     stream.try_read(&mut [0]).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
@@ -200,8 +200,8 @@
     ExchangeResult::Answered { answer: Answer::Broken(why.to_owned()), reusable: false }
 }
 
-/// Whether a reset follows the end of a connection. The machine resets one that is closed with something unread on it, or on
-/// which something comes after it was closed; what was read before ends without.
+/// Whether a reset follows the end of a connection. The kernel resets a connection that is closed with unread data, or
+/// that receives data after the close; where the request was read, no reset follows.
 async fn reset_follows(stream: &TcpStream) -> bool {
     let until = Instant::now() + RESET_WAIT;
     while Instant::now() < until {
@@ -213,7 +213,7 @@
     false
 }
 
-/// The answer in what was read, where it is whole, and whether the connection stays.
+/// Parses a complete answer, and whether the connection can be reused.
 fn parse_answer(read: &[u8]) -> Result<Option<(Answer, bool)>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
@@ -233,7 +233,7 @@
     Ok(Some((answer, reusable)))
 }
 
-/// Idle clients that hold as many connections as they get: some say nothing, some half of what they have to say.
+/// Idle clients that hold as many connections as they can get: half of them send nothing, the others half a request.
 pub async fn crowd(at: Rc<Cell<Option<SocketAddr>>>, max_connections: usize, end: Instant) {
     let mut connections = VecDeque::new();
     let mut n = 0_usize;
--- a/crates/trial/src/soak/mod.rs
+++ b/crates/trial/src/soak/mod.rs
@@ -1,5 +1,6 @@
-//! A soak of one process of the program from its start to the kill: clients go on using their open connections while it is
-//! signalled again and again, with hung and slow servers, discovery down and a crowd of idle clients drawn from the seed.
+//! The soak runs one process of the program from its start to the kill: clients go on using their open connections
+//! while the process receives one signal after another. Hung and slow servers, an unreachable discovery and a crowd of
+//! idle clients are drawn from the seed.
 
 pub mod audit;
 mod client;
@@ -26,45 +27,46 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Clients of a crowd, all idle.
+/// Idle clients of a crowd.
 const IDLE_CLIENTS: usize = 60;
-/// SIGKILL comes no sooner than the longest deadline and this after the signal that ends the process (the protocol page).
+/// The platform sends SIGKILL no earlier than the longest deadline and this margin after the terminating signal (see
+/// the protocol).
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
 /// A run of the soak.
 pub struct Soak {
-    /// The program that holds the stand-ins and the tie.
+    /// The lab program, which contains the stubs and the `tether` command.
     pub lab: PathBuf,
     /// The program under test.
     pub program: PathBuf,
-    /// The seed of all that is drawn.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// What is judged by.
+    /// The auditor's bounds.
     pub bounds: Bounds,
-    /// Where the process's log is kept.
+    /// The file for the process's log.
     pub log: Option<PathBuf>,
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct SoakOutcome {
     /// What was drawn.
     pub plan: Plan,
-    /// What is judged.
+    /// The auditor's verdict.
     pub verdict: Verdict,
-    /// Counts of what became of the requests.
+    /// Numbers of requests by result.
     pub counts: audit::Counts,
-    /// All that was seen, by time.
+    /// All events by time.
     pub history: Vec<Event>,
-    /// When the clients began.
+    /// When the clients started.
     pub start: u64,
 }
 
 impl Soak {
-    /// Plays it to its end. All that was started has ended when this returns, or is dropped.
+    /// Runs the soak. All processes that were started have terminated when this returns or is dropped.
     ///
     /// # Errors
     ///
-    /// A process can't be started, or what it is told can't be written.
+    /// A process can't be started, or one of its files can't be written.
     pub async fn run(&self) -> Result<SoakOutcome> {
         let history = History::default();
         let mut rng = SmallRng::seed_from_u64(self.seed);
@@ -123,17 +125,17 @@
             let _ = commands.send(InstanceCommand::Fault(signal.fault.clone()));
         }
         sleep_until(client_end).await;
-        // The kill at the page's earliest, of a process that has not ended by then.
+        // The earliest time at which the platform may kill a process that still runs.
         if !history.borrow().iter().any(|event| matches!(event.what, EventKind::Down { .. })) {
             record(&history, EventKind::Overdue { process: INSTANCE.to_owned() });
             let _ = commands.send(InstanceCommand::Fault(Fault::Kill { process: INSTANCE.to_owned() }));
         }
         timer_watch.abort();
         for client in clients {
-            timeout(PROCESS_TIMEOUT, client).await.context("a client does not end")??;
+            timeout(PROCESS_TIMEOUT, client).await.context("a client did not finish in time")??;
         }
         drop(commands);
-        timeout(PROCESS_TIMEOUT, task).await.context("the process does not end")??;
+        timeout(PROCESS_TIMEOUT, task).await.context("the process did not exit in time")??;
         for stub in servers {
             stub.end().await?;
         }
@@ -144,7 +146,7 @@
         Ok(SoakOutcome { plan, verdict, counts, history, start })
     }
 
-    /// What goes wrong with servers and discovery, from the beginning to the end.
+    /// Injects the faults of servers and discovery, which last until the end.
     fn inject_faults(&self, plan: &Plan, links: &Links, servers: &[StubProcess], history: &History) {
         for server in &plan.hung {
             servers[*server].signal(Signal::STOP);
--- a/crates/trial/src/soak/plan.rs
+++ b/crates/trial/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed of the soak draws: deadlines, clients, what goes wrong, and the signals.
+//! What the soak draws from a seed: deadlines, clients, faults and signals.
 
 use crate::audit::Bounds;
 use crate::rig::{ClassTimes, sidecar_config};
@@ -10,44 +10,47 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The one instance.
+/// The only instance.
 pub(super) const INSTANCE: &str = "n0";
-/// Stand-in servers.
+/// Number of stub servers.
 pub(super) const SERVER_COUNT: usize = 4;
-/// How long clients ask before the process is told to end, in milliseconds.
+/// How long clients send requests before the process is requested to terminate, in milliseconds.
 pub(super) const SERVING_MS: u64 = 2500;
-/// For how long after that the process still takes new connections: every second further signal comes within it.
+/// How long after that the process still accepts connections, in milliseconds: every second further signal is sent
+/// within it.
 const ACCEPTING_MS: u64 = 500;
-/// What the process is told that it may hold where a crowd comes, and what clients and servers have of it.
+/// The process's limit of sockets where there is a crowd.
 const CROWDED_SOCKET_LIMIT: usize = 104;
+/// The client connections within that limit.
 const CROWDED_CLIENTS: usize = 36;
+/// The server connections within that limit.
 const CROWDED_SERVERS: usize = 8;
 
-/// What the seed draws.
+/// What is drawn from the seed.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The longest deadline.
     pub max_deadline: Duration,
-    /// Clients that ask.
+    /// Number of clients.
     pub clients: usize,
-    /// Idle clients hold every place that there is.
+    /// Whether idle clients take all free connections.
     pub crowd: bool,
-    /// Discovery can't be reached from here on.
+    /// Whether discovery can't be reached from the start.
     pub discovery_down: bool,
-    /// Servers that stand still.
+    /// Servers that are stopped.
     pub hung: Vec<usize>,
-    /// Servers whose answers come late.
+    /// Servers whose answers are delayed.
     pub slow: Vec<SlowServer>,
-    /// Signals, by time; the first that ends the process is sent after `SERVING_MS`.
+    /// Signals by time; the first one that terminates the process is sent after `SERVING_MS`.
     pub signals: Vec<Step>,
 }
 
-/// A server whose answers come late.
+/// A server whose answers are delayed.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowServer {
-    /// Which.
+    /// Its number.
     pub server: usize,
-    /// By how much, in milliseconds.
+    /// The delay in milliseconds.
     pub delay_ms: u64,
 }
 
@@ -76,7 +79,7 @@
         let step = |at_ms: f64, fault| Step { at_ms: at_ms as u64, fault };
         let serving_ms = SERVING_MS as f64;
         let mut signals = vec![step(serving_ms, terminate(rng.random_bool(0.3)))];
-        // In series, while it serves and after it was told to end.
+        // Signals in series, while the process serves and after it was requested to terminate.
         for _ in 0..rng.random_range(2..=5) {
             signals.push(step(serving_ms * rng.random_range(0.1..1.0), reload()));
         }
@@ -88,7 +91,7 @@
                 if rng.random_bool(0.4) { reload() } else { terminate(rng.random_bool(0.5)) },
             ));
         }
-        // At once with the one that ends it.
+        // Signals at the same time as the terminating one.
         if rng.random_bool(0.5) {
             signals.push(step(serving_ms, reload()));
             signals.push(step(serving_ms, terminate(rng.random_bool(0.5))));
@@ -105,7 +108,7 @@
         }
     }
 
-    /// The configuration of the process, another at each reload.
+    /// The configuration of the process, which differs at each reload.
     pub(super) fn sidecar_config(
         &self,
         discovery: SocketAddr,
--- a/crates/trial/src/stubs.rs
+++ b/crates/trial/src/stubs.rs
@@ -1,6 +1,6 @@
-//! The stand-ins on loopback, each a process of its own: servers that take their time, stall and answer with their load,
-//! and discovery with a watch. Each listens on a port of the system's choice and writes what it sees to standard output, one
-//! JSON line an event, before it acts on it. It ends when its standard input does.
+//! The stubs on loopback, each a process of its own: servers that need some service time, can stall and report their
+//! load, and discovery with a watch. Each listens on a port that the system chooses and writes what it observes to
+//! standard output, one event as a JSON line, before it acts on it. It exits at the end of standard input.
 
 use crate::history::{Event, EventKind};
 use actix_http::body::{BodyStream, BoxBody};
@@ -28,27 +28,28 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::{sleep, timeout};
 
-/// How often a watch brings a sign of life.
+/// How often an idle watch sends a heartbeat.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Requests that a server works on at a time, and that may wait.
+/// Requests that a server executes at a time.
 const SERVER_CORES: usize = 2;
+/// Requests that may wait at a server.
 const SERVER_QUEUE: usize = 16;
 
-/// A stand-in as a process of its own.
+/// A stub as a process of its own.
 #[derive(Clone, Debug, Subcommand)]
 pub enum Stub {
     /// A server
     Server {
         /// Its name
         name: String,
-        /// The seed of its times
+        /// The seed of its service times
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// A planted fault: effects of duties are carried out under any fence
+        /// Inject a fault: carry out effects of duties under any fence
         #[arg(long)]
         any_fence: bool,
     },
-    /// Many servers in one process, named `k0000` and on, each at an address of its own, that answer at once
+    /// Many servers in one process that answer immediately, named `k0000` and on, each at an address of its own
     Many {
         /// How many
         servers: usize,
@@ -60,14 +61,14 @@
     },
 }
 
-/// What the list is told on its standard input.
+/// A command that the stub of the list reads from standard input.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListCommand {
-    /// What each instance is to be told of.
+    /// Replace the lists of all instances.
     #[serde(rename = "hold")]
     ReplaceLists(BTreeMap<String, Vec<ListedServer>>),
-    /// A server is in this state now.
+    /// Change the state of a server.
     #[serde(rename = "tell")]
     SetState {
         /// The server.
@@ -77,7 +78,7 @@
     },
 }
 
-/// A server as an instance is told of it.
+/// A server as an instance sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedServer {
     /// Its name.
@@ -89,7 +90,7 @@
     pub model: String,
 }
 
-/// The address of the nth of many servers: all of the loopback net, one for each.
+/// The address of the nth of many servers: each has one of the loopback network's addresses.
 #[must_use]
 pub fn stub_address(n: usize) -> Ipv4Addr {
     let [.., a, b, c] = (n as u64 + 1).to_be_bytes();
@@ -102,7 +103,7 @@
     format!("k{n:04}")
 }
 
-/// Writes what was seen. A rig that does not read it any more has gone, and so does the stand-in.
+/// Writes an event. Where the rig no longer reads it, the rig has terminated, and this process exits too.
 fn write_event(what: EventKind) {
     let line = serde_json::to_string(&Event::now(what)).unwrap_or_default();
     if writeln!(std::io::stdout(), "{line}").is_err() {
@@ -110,11 +111,11 @@
     }
 }
 
-/// Stands in until standard input ends.
+/// Runs a stub until the end of standard input.
 ///
 /// # Errors
 ///
-/// No port can be had, or an order can't be read.
+/// No port is available, or a command can't be parsed.
 pub fn run(stub: Stub) -> Result<()> {
     actix_rt::System::new().block_on(async move {
         let list = match stub {
@@ -148,20 +149,21 @@
     })
 }
 
-/// Serves on a port of the system's choice until this process ends.
+/// Serves on a port that the system chooses until this process exits.
 async fn listen<F, S>(address: Ipv4Addr, handler: F) -> Result<SocketAddr>
 where
     F: Fn(Request) -> S + Clone + 'static,
     S: Future<Output = Result<Response<BoxBody>, Infallible>> + 'static,
 {
-    let listener = TcpListener::bind((address, 0)).await.with_context(|| format!("{address}: a listener"))?;
+    let listener =
+        TcpListener::bind((address, 0)).await.with_context(|| format!("can't listen on {address}"))?;
     let at = listener.local_addr()?;
     let service = HttpService::build()
         .keep_alive(KeepAlive::Os)
         .h1(fn_service(handler).into_factory())
         .new_service(())
         .await
-        .map_err(|()| anyhow!("a stand-in could not be set up"))?;
+        .map_err(|()| anyhow!("the HTTP service of a stub can't be built"))?;
     let service = Rc::new(service);
     actix_rt::spawn(async move {
         loop {
@@ -203,9 +205,9 @@
     name: String,
     cores: Semaphore,
     in_flight: Cell<usize>,
-    /// What its times are drawn from; one without answers at once.
+    /// The generator of service times; a server without one answers immediately.
     rng: Option<RefCell<SmallRng>>,
-    /// The highest fence and period of each duty that it carried out.
+    /// The highest fence and period of each duty whose effects were carried out.
     highest_effects: RefCell<BTreeMap<String, HighestEffect>>,
     any_fence: bool,
 }
@@ -217,7 +219,7 @@
         Server { name, cores, in_flight, rng, highest_effects: RefCell::default(), any_fence }
     }
 
-    /// The effect of a duty: noted, or refused for its fence before anything else is done with it.
+    /// Records the effect of a duty. Refuses it for a fence lower than an earlier one, before anything else is done.
     fn check_duty_fence(&self, request: &Request, id: &str) -> Option<Response<BoxBody>> {
         let text = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
         let number = |name: &str| text(name).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
@@ -244,7 +246,7 @@
     }
 }
 
-/// A request in a server's hands; it is given back also where its connection ends.
+/// Counts a request as in flight until it is dropped, which also happens where its connection ends.
 struct InFlight(Rc<Server>);
 
 impl Drop for InFlight {
@@ -280,7 +282,7 @@
     Ok(response_of(StatusCode::OK, body, &[("x-server-load", server.load())]))
 }
 
-/// What an instance is told of: servers by name, their state and since which revision.
+/// The list of one instance, by server name.
 type Entries = BTreeMap<String, ListEntry>;
 
 /// A server on the list.
@@ -291,7 +293,7 @@
     changed_at: u64,
 }
 
-/// Discovery: a list with changes, told to each instance at an address of its own.
+/// Discovery: a list with changes, served to each instance at an address of its own.
 struct ListStub {
     lists: Rc<RefCell<BTreeMap<String, Entries>>>,
     rev: watch::Sender<u64>,
@@ -343,7 +345,7 @@
     }
 }
 
-/// The list in discovery's form, of servers and their states.
+/// The body of discovery's list response.
 #[must_use]
 pub fn list_body<'a>(
     entries: impl Iterator<Item = (&'a ListedServer, &'a str)>,
@@ -357,14 +359,14 @@
     json!({"rev": rev, "all": all, "targets": entries.map(entry).collect::<Vec<_>>()})
 }
 
-/// The list as one instance is told it.
+/// The list as one instance sees it.
 struct ListView {
     lists: Rc<RefCell<BTreeMap<String, Entries>>>,
     instance: String,
 }
 
 impl ListView {
-    /// What changed after a version, or all that is listed.
+    /// The changes after a revision, or the whole list.
     fn body_after(&self, after: Option<u64>, rev: u64) -> Value {
         let lists = self.lists.borrow();
         let entries = lists.get(&self.instance).into_iter().flatten();
