--- a/crates/trial/src/audit/tests.rs
+++ b/crates/trial/src/audit/tests.rs
@@ -50,7 +50,7 @@
 /// Regression: an instance that was killed once was excused until the end, since the window that its kill opened was
 /// never closed.
 #[test]
-fn an_instance_that_serves_again_is_judged_again() {
+fn instance_is_judged_again_after_a_restart() {
     let down = EventKind::Down { process: "n0".into(), how: "ended".into(), expected: true };
     let history = [
         up(1),
@@ -65,7 +65,7 @@
 
 /// Each kind of violation is found once, and nothing is found in a run without violations.
 #[test]
-fn each_planted_fault_is_found_and_nothing_else() {
+fn each_violation_is_found_and_nothing_else() {
     let served = |id: &str, by: &str| Answer::Served(format!("{by} {id}"));
     let faults: Vec<(&str, Vec<Event>)> = vec![
         ("", vec![]),
--- a/crates/trial/src/page.rs
+++ b/crates/trial/src/page.rs
@@ -10,25 +10,44 @@
 const LABEL_WIDTH: f64 = 70.0;
 const ROW_HEIGHT: f64 = 34.0;
 
+/// A stretch of time.
+#[derive(Clone, Copy)]
+struct Stretch {
+    from: u64,
+    until: u64,
+}
+
+impl Stretch {
+    fn open(from: u64) -> Stretch {
+        Stretch { from, until: u64::MAX }
+    }
+}
+
+/// A stretch of time in which an instance held the duty.
+struct Holding {
+    stretch: Stretch,
+    fence: u64,
+}
+
 /// Stretches of time in an instance's row, by kind.
 #[derive(Default)]
 struct Row {
-    up: Vec<(u64, u64)>,
-    stopped: Vec<(u64, u64)>,
-    impaired: Vec<(u64, u64)>,
-    held: Vec<(u64, u64, u64)>,
+    up: Vec<Stretch>,
+    stopped: Vec<Stretch>,
+    impaired: Vec<Stretch>,
+    held: Vec<Holding>,
 }
 
-fn close(stretches: &mut [(u64, u64)], at: u64) {
+fn close(stretches: &mut [Stretch], at: u64) {
     if let Some(last) = stretches.last_mut() {
-        last.1 = last.1.min(at);
+        last.until = last.until.min(at);
     }
 }
 
 impl Row {
     fn release(&mut self, at: u64) {
         if let Some(last) = self.held.last_mut() {
-            last.1 = last.1.min(at);
+            last.stretch.until = last.stretch.until.min(at);
         }
     }
 }
@@ -37,7 +56,7 @@
     let mut rows: BTreeMap<&str, Row> = BTreeMap::new();
     for Event { at, what } in history {
         match what {
-            EventKind::Up { process, .. } => rows.entry(process).or_default().up.push((*at, u64::MAX)),
+            EventKind::Up { process, .. } => rows.entry(process).or_default().up.push(Stretch::open(*at)),
             EventKind::Down { process, .. } => {
                 let row = rows.entry(process).or_default();
                 close(&mut row.up, *at);
@@ -45,7 +64,7 @@
                 row.release(*at);
             }
             EventKind::FaultInjected { fault: Fault::Stop { process } } => {
-                rows.entry(process).or_default().stopped.push((*at, u64::MAX));
+                rows.entry(process).or_default().stopped.push(Stretch::open(*at));
             }
             EventKind::FaultInjected { fault: Fault::Continue { process } } => {
                 close(&mut rows.entry(process).or_default().stopped, *at)
@@ -54,12 +73,14 @@
                 let row = rows.entry(from).or_default();
                 close(&mut row.impaired, *at);
                 if *impairment != Impairment::default() {
-                    row.impaired.push((*at, u64::MAX));
+                    row.impaired.push(Stretch::open(*at));
                 }
             }
-            EventKind::DutyAcquired { process, fence, .. } => {
-                rows.entry(process).or_default().held.push((*at, u64::MAX, *fence))
-            }
+            EventKind::DutyAcquired { process, fence, .. } => rows
+                .entry(process)
+                .or_default()
+                .held
+                .push(Holding { stretch: Stretch::open(*at), fence: *fence }),
             EventKind::DutyReleased { process, .. } => rows.entry(process).or_default().release(*at),
             _ => {}
         }
@@ -83,7 +104,7 @@
     let height = ROW_HEIGHT * (rows.len() as f64 + 2.0);
     let mut svg = String::new();
     let bar = |svg: &mut String,
-               (from, until): (u64, u64),
+               Stretch { from, until }: Stretch,
                y: f64,
                bar_height: f64,
                colour: &str,
@@ -105,8 +126,8 @@
             .iter()
             .for_each(|impaired| bar(&mut svg, *impaired, y + 20.0, 4.0, "#d08a2e", "a way from it is ill"));
         row.stopped.iter().for_each(|stopped| bar(&mut svg, *stopped, y, 24.0, "#9aa3ad", "stands still"));
-        for (from, until, fence) in &row.held {
-            bar(&mut svg, (*from, *until), y + 4.0, 12.0, "#2f6fb7", &format!("holds it, fence {fence}"));
+        for Holding { stretch, fence } in &row.held {
+            bar(&mut svg, *stretch, y + 4.0, 12.0, "#2f6fb7", &format!("holds it, fence {fence}"));
         }
     }
     let y = ROW_HEIGHT * (rows.len() as f64 + 0.5);
@@ -116,7 +137,7 @@
             let colour = if *accepted { "#2c8a4b" } else { "#c0392b" };
             let title_text =
                 format!("period {period}, fence {fence}{}", if *accepted { "" } else { ", refused" });
-            bar(&mut svg, (*at, *at), y, 24.0, colour, &title_text);
+            bar(&mut svg, Stretch { from: *at, until: *at }, y, 24.0, colour, &title_text);
         }
     }
     let mut lines = String::new();
--- a/crates/trial/src/page/tests.rs
+++ b/crates/trial/src/page/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_page_shows_who_held_what_and_escapes_what_it_shows() {
+fn page_shows_duty_holders_and_escapes_text() {
     let event = |at, what| Event { at, what };
     let holds =
         |process: &str, fence| EventKind::DutyAcquired { process: process.into(), duty: "d".into(), fence };
--- a/crates/trial/src/relay/tests.rs
+++ b/crates/trial/src/relay/tests.rs
@@ -22,7 +22,7 @@
 
 /// A cut link must neither let bytes through nor lose them: trials would test another network than the one intended.
 #[actix_rt::test]
-async fn a_cut_way_holds_what_is_sent_and_a_reset_ends_both_sides() {
+async fn cut_link_delays_connection_data_and_reset_closes_both_ends() {
     let links = Links::new(1);
     let target = Rc::new(Cell::new(Some(echo().await)));
     let at = links.tcp("a", "b", target).await.unwrap();
@@ -44,7 +44,7 @@
 }
 
 #[actix_rt::test]
-async fn datagrams_are_lost_doubled_and_answered_through_the_same_relay() {
+async fn datagrams_are_duplicated_lost_and_answered_through_one_relay() {
     let links = Links::new(1);
     let server = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let target = Rc::new(Cell::new(Some(server.local_addr().unwrap())));
--- a/crates/trial/src/schedule/tests.rs
+++ b/crates/trial/src/schedule/tests.rs
@@ -10,7 +10,7 @@
 /// A schedule that leaves a process stopped or a link cut would test the rig instead of the program, and one that
 /// differs between two draws of a seed could not reproduce a failure.
 #[test]
-fn one_seed_draws_one_schedule_and_all_is_mended_before_the_end() {
+fn schedule_depends_on_its_seed_alone_and_every_fault_is_repaired() {
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..200 {
         let schedule = Schedule::draw(seed, &participants(), 20_000);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_schedule_is_read_as_it_is_written_and_a_wrong_name_is_told() {
+fn schedule_file_is_read_and_an_unknown_process_is_reported() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("case.toml");
     let text = "[[step]]\nat_ms = 900\ndo = { way = { from = \"n0\", to = \"n1\", ill = { cut = true } } }\n\
--- a/crates/trial/src/soak/audit/tests.rs
+++ b/crates/trial/src/soak/audit/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn one_whole_answer_in_time_is_due() {
+fn every_request_needs_one_complete_answer_in_time() {
     let served = || answered(100, Answer::Served("s0 a".into()));
     assert_eq!(violated(&[sent("a", false), started(50), served()]), []);
     assert_eq!(violated(&[sent("a", false)]), [Property::OneAnswer]);
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn a_request_crosses_a_close_only_where_it_began_nowhere() {
+fn request_lost_to_a_close_must_not_have_started() {
     let crossed = Event { at: 100, what: EventKind::CrossedClose { id: "a".into() } };
     assert_eq!(violated(&[sent("a", false), crossed.clone()]), []);
     assert_eq!(violated(&[sent("a", false), started(50), crossed]), [Property::OneAnswer]);
 }
 
 #[test]
-fn no_effect_comes_twice_or_is_denied() {
+fn unsafe_request_starts_once_at_most_and_is_not_refused_afterwards() {
     assert_eq!(
         violated(&[sent("a", true), started(50), started(60), answered(90, Answer::Failed)]),
         [Property::AtMostOnce]
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn nothing_begins_after_its_client_has_left() {
+fn no_attempt_starts_after_its_client_left() {
     let left = Event { at: 1000, what: EventKind::ClientLeft { id: "a".into() } };
     assert_eq!(violated(&[sent("a", false), left.clone(), started(101_000)]), []);
     assert_eq!(
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_process_ends_by_itself_in_time_and_in_order() {
+fn process_must_exit_in_time_and_in_order() {
     assert_eq!(violated(&[down("ended with exit status: 1")]), [Property::NoCrash]);
     let overdue = Event { at: 800_000, what: EventKind::Overdue { process: "n0".into() } };
     assert_eq!(violated(&[overdue]), [Property::TerminatesInTime]);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_rig_that_ran_late_says_nothing() {
+fn late_rig_gives_no_verdict() {
     let late = |by| Event { at: 10, what: EventKind::TimerLate { by } };
     assert_eq!(judge(&[late(BOUNDS.timer_lateness), down(ORDERLY_EXIT)], BOUNDS).0, Verdict::Kept);
     // Also where a property is violated: the late rig may be the cause.
