--- a/crates/fleet/src/baseline.rs
+++ b/crates/fleet/src/baseline.rs
@@ -17,7 +17,7 @@
     /// One after the other.
     RoundRobin,
     /// That with the fewest of its own in hand.
-    LeastInHand,
+    LeastOutstanding,
     /// The one with fewer of its own in hand, of two drawn.
     TwoChoices,
     /// The least product of smoothed peak delay and own requests in hand.
@@ -35,7 +35,7 @@
     pub const ALL: [(&'static str, Choice); 5] = [
         ("random", Choice::Random),
         ("round-robin", Choice::RoundRobin),
-        ("least-in-hand", Choice::LeastInHand),
+        ("least-in-hand", Choice::LeastOutstanding),
         ("two-choices", Choice::TwoChoices),
         ("peak-delay", Choice::PeakDelay),
     ];
@@ -100,7 +100,7 @@
                 self.turn += 1;
                 ready[self.turn % ready.len()]
             }
-            Choice::LeastInHand => {
+            Choice::LeastOutstanding => {
                 let from = self.rng.random_range(0..ready.len());
                 ready.rotate_left(from);
                 *ready.iter().min_by_key(|id| hand(id))?
--- a/crates/fleet/src/mutant.rs
+++ b/crates/fleet/src/mutant.rs
@@ -8,7 +8,7 @@
 
 /// What is wrong with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// Every attempt of a hundredth request goes out twice.
     SendsTwice,
     /// A hundredth request is answered twice.
@@ -25,16 +25,16 @@
     TakesBudget,
 }
 
-impl Plant {
+impl InjectedFault {
     /// All of them.
-    pub const ALL: [Plant; 7] = [
-        Plant::SendsTwice,
-        Plant::AnswersTwice,
-        Plant::IgnoresDrains,
-        Plant::FloodsCold,
-        Plant::DelaysRefusals,
-        Plant::LosesRequests,
-        Plant::TakesBudget,
+    pub const ALL: [InjectedFault; 7] = [
+        InjectedFault::SendsTwice,
+        InjectedFault::AnswersTwice,
+        InjectedFault::IgnoresDrains,
+        InjectedFault::FloodsCold,
+        InjectedFault::DelaysRefusals,
+        InjectedFault::LosesRequests,
+        InjectedFault::TakesBudget,
     ];
 }
 
@@ -44,7 +44,7 @@
 /// An engine with a planted fault.
 pub struct Mutant<B> {
     inner: B,
-    plant: Plant,
+    fault: InjectedFault,
     held: Vec<(Time, Out)>,
     /// The server that started last, where one did.
     newest: Option<ServerId>,
@@ -56,9 +56,9 @@
 
 impl<B: Balancing> Mutant<B> {
     /// Plants a fault.
-    pub fn new(inner: B, plant: Plant, cold: Terms) -> Mutant<B> {
+    pub fn new(inner: B, fault: InjectedFault, cold: Terms) -> Mutant<B> {
         let (newest_born, own) = (Time(0), VecDeque::new());
-        Mutant { inner, plant, held: Vec::new(), newest: None, newest_born, cold, own }
+        Mutant { inner, fault, held: Vec::new(), newest: None, newest_born, cold, own }
     }
 
     /// The server that started last, while it is cold and this instance alone has not sent it the whole budget.
@@ -77,9 +77,9 @@
     fn spoil(&mut self, now: Time, from: usize, out: &mut Vec<Out>) {
         let mut spoilt = Vec::new();
         for mut output in out.drain(from..) {
-            match (self.plant, &mut output) {
+            match (self.fault, &mut output) {
                 (
-                    Plant::FloodsCold,
+                    InjectedFault::FloodsCold,
                     Output::UpdateServer {
                         server,
                         endpoint: Some(Endpoint { boot_ms, .. }),
@@ -89,7 +89,7 @@
                     self.newest = Some(*server);
                 }
                 (
-                    Plant::TakesBudget,
+                    InjectedFault::TakesBudget,
                     Output::UpdateServer {
                         server,
                         endpoint: Some(Endpoint { boot_ms, .. }),
@@ -99,14 +99,14 @@
                     (self.newest, self.newest_born) = (Some(*server), Time(*boot_ms * 1000));
                     self.own.clear();
                 }
-                (Plant::TakesBudget, Output::Attempt { server, .. }) => {
+                (InjectedFault::TakesBudget, Output::Attempt { server, .. }) => {
                     *server = self.budget_left(now).unwrap_or(*server);
                 }
-                (Plant::FloodsCold, Output::Attempt { server, .. }) => {
+                (InjectedFault::FloodsCold, Output::Attempt { server, .. }) => {
                     *server = self.newest.unwrap_or(*server);
                 }
                 (
-                    Plant::SendsTwice,
+                    InjectedFault::SendsTwice,
                     Output::Attempt { id, attempt, server, payload, until, connect_timeout: connect },
                 ) if id.0 % 100 == 0 => {
                     let (id, attempt, server) = (*id, Attempt(attempt.0 + 50), *server);
@@ -120,11 +120,11 @@
                         connect_timeout: connect,
                     });
                 }
-                (Plant::AnswersTwice, Output::Answer { id, answer }) if id.0 % 100 == 0 => {
+                (InjectedFault::AnswersTwice, Output::Answer { id, answer }) if id.0 % 100 == 0 => {
                     spoilt.push(Output::Answer { id: *id, answer: answer.clone() });
                 }
-                (Plant::LosesRequests, Output::Answer { id, .. }) if id.0 % 100 == 0 => continue,
-                (Plant::DelaysRefusals, Output::Answer { answer: Answer::Refused { .. }, .. }) => {
+                (InjectedFault::LosesRequests, Output::Answer { id, .. }) if id.0 % 100 == 0 => continue,
+                (InjectedFault::DelaysRefusals, Output::Answer { answer: Answer::Refused { .. }, .. }) => {
                     self.held.push((now + SITS, output));
                     continue;
                 }
@@ -138,8 +138,8 @@
 
 impl<B: Balancing> Balancing for Mutant<B> {
     fn input(&mut self, now: Time, input: In, out: &mut Vec<Out>) {
-        let input = match (self.plant, input) {
-            (Plant::IgnoresDrains, Input::ServerList(mut delivery)) => {
+        let input = match (self.fault, input) {
+            (InjectedFault::IgnoresDrains, Input::ServerList(mut delivery)) => {
                 for entry in delivery.entries.iter_mut().filter(|e| e.endpoint.is_some()) {
                     entry.state = State::Ready;
                 }
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -1,7 +1,7 @@
 //! What happens: a fleet, its traffic and a time line of faults, read from TOML with units and checked before use.
 
 use crate::cold::Terms;
-use crate::draw::{Template, line_of};
+use crate::template::{Template, line_of};
 use anyhow::{Context, Result, anyhow};
 use dunlincleat::api::Span;
 use dunlincleat_limits::{format_duration, parse_duration};
@@ -558,7 +558,7 @@
     ///
     /// Names the key that is at fault, its line, value and what would be right.
     pub fn read(text: &str) -> Result<Scenario> {
-        Scenario::fixed(&Template::read(text).context("the scenario")?.end(false))
+        Scenario::read_without_ranges(&Template::read(text).context("the scenario")?.at_bound(false))
     }
 
     /// Reads and checks a text without ranges.
@@ -566,7 +566,7 @@
     /// # Errors
     ///
     /// As [`Scenario::read`].
-    pub fn fixed(text: &str) -> Result<Scenario> {
+    pub fn read_without_ranges(text: &str) -> Result<Scenario> {
         let scenario: Scenario = toml::from_str(text).context("the scenario")?;
         scenario.check().map_err(|Wrong(key, what)| match line_of(text, &key) {
             Some(line) => anyhow!("line {line}: {key}: {what}"),
--- a/crates/fleet/src/draw.rs
+++ b/crates/fleet/src/template.rs
@@ -59,7 +59,7 @@
 
     /// The text with each range drawn by this seed.
     #[must_use]
-    pub fn drawn(&self, seed: u64) -> String {
+    pub fn sample(&self, seed: u64) -> String {
         self.with(|key, between| {
             let mut hasher = FxHasher::default();
             (seed, key).hash(&mut hasher);
@@ -76,7 +76,7 @@
 
     /// The text with all ranges at one end: what holds at both is checked before any day is played.
     #[must_use]
-    pub fn end(&self, upper: bool) -> String {
+    pub fn at_bound(&self, upper: bool) -> String {
         self.with(|_, between| match between {
             Between::Whole(from, to) => if upper { to } else { from }.to_string(),
             Between::Real(from, to) => real(if upper { to } else { from }),
--- a/crates/fleet/src/draw/tests.rs
+++ b/crates/fleet/src/template/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `draw.rs`.
+//! Tests of `template.rs`.
 
 use super::*;
 
@@ -13,9 +13,9 @@
     let (short, long) = (short.unwrap(), long.unwrap());
     let mut seen = std::collections::BTreeSet::new();
     for seed in 0..50 {
-        let drawn = short.drawn(seed);
-        assert_eq!(drawn, short.drawn(seed));
-        assert!(long.drawn(seed).starts_with(&drawn));
+        let drawn = short.sample(seed);
+        assert_eq!(drawn, short.sample(seed));
+        assert!(long.sample(seed).starts_with(&drawn));
         assert_eq!(line(&drawn, 4), "e = 5");
         let table: toml::Table = toml::from_str(&drawn).unwrap();
         let (a, d) = (table["a"].as_integer().unwrap(), table["d"].as_float().unwrap());
@@ -24,8 +24,8 @@
         seen.insert(drawn);
     }
     assert!(seen.len() > 45, "seeds are different deployments");
-    assert!(short.end(false).starts_with("a = 1\nb = [{ c = \"1ms\" }]\nd = 0.0"));
-    assert!(short.end(true).starts_with("a = 90\nb = [{ c = \"9s\" }]\nd = 1.0"));
+    assert!(short.at_bound(false).starts_with("a = 1\nb = [{ c = \"1ms\" }]\nd = 0.0"));
+    assert!(short.at_bound(true).starts_with("a = 90\nb = [{ c = \"9s\" }]\nd = 1.0"));
     assert_eq!(line_of(TEXT, "b[0].c"), Some(2));
     assert_eq!(line_of(TEXT, "e"), Some(5));
 }
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -11,7 +11,7 @@
 use crate::cold::Terms as ColdTerms;
 use crate::discovery::{Answered, Line, Service, Word};
 use crate::links::{Got, Links, Terms};
-use crate::mutant::{Mutant, Plant};
+use crate::mutant::{InjectedFault, Mutant};
 use crate::node::{Job, Mood, Node, Taken};
 use crate::plan::{Chance, Chances, Step, steps};
 use crate::report::{Loss, Mark, Report, Second, recovery};
@@ -54,26 +54,38 @@
     /// A baseline.
     Baseline(Choice),
     /// The engine with a planted fault.
-    Mutant(Plant),
+    Mutant(InjectedFault),
     /// The engine without something that it has for days at size.
-    Without(Part),
+    Without(Mechanism),
 }
 
 /// What can be taken out, to see that its absence shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Mechanism {
     /// Calls for lists keep their turn: without it each is given up after a short time and made again.
-    Turns,
+    CallQueueing,
     /// Few servers are used where connections cost: without it nobody is told that they do.
     FewServers,
     /// What is turned away is what is worth the least: without it all are told alike.
     Worth,
 }
 
-impl Part {
+impl Mechanism {
     /// All of them by name.
-    pub const ALL: [(&'static str, Part); 3] =
-        [("turns", Part::Turns), ("few-servers", Part::FewServers), ("worth", Part::Worth)];
+    pub const ALL: [(&'static str, Mechanism); 3] = [
+        ("turns", Mechanism::CallQueueing),
+        ("few-servers", Mechanism::FewServers),
+        ("worth", Mechanism::Worth),
+    ];
+
+    /// Its name in reports.
+    fn report_name(self) -> &'static str {
+        match self {
+            Mechanism::CallQueueing => "Turns",
+            Mechanism::FewServers => "FewServers",
+            Mechanism::Worth => "Worth",
+        }
+    }
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -265,8 +277,8 @@
 /// # Errors
 ///
 /// The scenario's classes can't be read as settings.
-pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> Result<Report> {
-    play_whole(scenario, policy, seed, false)
+pub fn simulate(scenario: &Scenario, policy: Policy, seed: u64) -> Result<Report> {
+    simulate_with_details(scenario, policy, seed, false)
 }
 
 /// Plays a day; the report has each second where that is wanted.
@@ -274,31 +286,45 @@
 /// # Errors
 ///
 /// The scenario's classes can't be read as settings.
-pub fn play_whole(scenario: &Scenario, policy: Policy, seed: u64, seconds: bool) -> Result<Report> {
+pub fn simulate_with_details(
+    scenario: &Scenario,
+    policy: Policy,
+    seed: u64,
+    seconds: bool,
+) -> Result<Report> {
     let mut times = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3)?;
     let mut world = World::new(scenario, policy, seed)?;
     world.run(&mut times)?;
     Ok(world.report(&times, seconds))
 }
 
-/// Plays a day and gives the bytes that its instances hold at its end, as `allocated` counts them, and how many they are.
+/// The memory that instances hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InstanceMemory {
+    /// Allocated by all of them, in bytes.
+    pub bytes: usize,
+    /// How many instances there are.
+    pub instances: usize,
+}
+
+/// Plays a day and measures the memory that its instances hold at its end, as `allocated` counts it.
 ///
 /// # Errors
 ///
 /// The scenario's classes can't be read as settings.
-pub fn held_by_instances(
+pub fn instance_memory(
     scenario: &Scenario,
     policy: Policy,
     seed: u64,
     allocated: fn() -> usize,
-) -> Result<(usize, usize)> {
+) -> Result<InstanceMemory> {
     let mut times = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3)?;
     let mut world = World::new(scenario, policy, seed)?;
     world.run(&mut times)?;
     let (instances, with) = (std::mem::take(&mut world.instances), allocated());
     let count = instances.len();
     drop(instances);
-    Ok((with.saturating_sub(allocated()), count))
+    Ok(InstanceMemory { bytes: with.saturating_sub(allocated()), instances: count })
 }
 
 /// Who asks how much.
@@ -331,9 +357,14 @@
         let effects = scenario.site(0)?.settings.classes.iter().map(|class| class.effect).collect();
         let mut told = scenario.clone();
         match policy {
-            Policy::Without(Part::FewServers) => (told.prices.handshake, told.prices.connection) = (0.0, 0.0),
-            Policy::Without(Part::Worth) => told.classes.iter_mut().for_each(|class| class.worth = 1.0),
-            Policy::Without(Part::Turns) | Policy::Module | Policy::Baseline(_) | Policy::Mutant(_) => {}
+            Policy::Without(Mechanism::FewServers) => {
+                (told.prices.handshake, told.prices.connection) = (0.0, 0.0)
+            }
+            Policy::Without(Mechanism::Worth) => told.classes.iter_mut().for_each(|class| class.worth = 1.0),
+            Policy::Without(Mechanism::CallQueueing)
+            | Policy::Module
+            | Policy::Baseline(_)
+            | Policy::Mutant(_) => {}
         }
         let (fleet, traffic) = (&scenario.fleet, &scenario.traffic);
         let zones = fleet.zones.len();
@@ -623,8 +654,8 @@
                     .find(|(_, c)| *c == choice)
                     .map_or("baseline", |(name, _)| name)
                     .to_owned(),
-                Policy::Mutant(plant) => format!("mutant {plant:?}"),
-                Policy::Without(without) => format!("without {without:?}"),
+                Policy::Mutant(fault) => format!("mutant {fault:?}"),
+                Policy::Without(mechanism) => format!("without {}", mechanism.report_name()),
             },
             seed: self.seed,
             wanted,
--- a/crates/fleet/src/world/instances.rs
+++ b/crates/fleet/src/world/instances.rs
@@ -19,11 +19,11 @@
             Policy::Module | Policy::Without(_) => Box::new(engine()),
             Policy::Baseline(choice) => Box::new(Baseline::new(choice, &site, seed)),
             // What one instance takes for itself shows beside others that keep to their part.
-            Policy::Mutant(Plant::TakesBudget) if caller > 0 => Box::new(engine()),
-            Policy::Mutant(plant) => Box::new(Mutant::new(engine(), plant, self.scenario.cold_terms())),
+            Policy::Mutant(InjectedFault::TakesBudget) if caller > 0 => Box::new(engine()),
+            Policy::Mutant(fault) => Box::new(Mutant::new(engine(), fault, self.scenario.cold_terms())),
         };
         let mut timing = Timing::derive(HEARTBEAT, TOLD_WITHIN, GRACE);
-        if self.policy == Policy::Without(Part::Turns) {
+        if self.policy == Policy::Without(Mechanism::CallQueueing) {
             timing.staleness_bound = timing.call_timeout;
         }
         let mode = if self.scenario.fleet.list_on_request { Discovery::OnRequest } else { Discovery::Pushed };
--- a/crates/fleet/tests/days.rs
+++ b/crates/fleet/tests/days.rs
@@ -1,10 +1,10 @@
 //! Whole days: the shipped scenarios keep the rules, the same seed gives the same bytes, planted faults are caught.
 
 use dunlincleat::api::Span;
-use dunlincleat_fleet::mutant::Plant;
+use dunlincleat_fleet::mutant::InjectedFault;
 use dunlincleat_fleet::report::Report;
 use dunlincleat_fleet::scenario::{Scenario, Time};
-use dunlincleat_fleet::world::{Policy, play};
+use dunlincleat_fleet::world::{Policy, simulate};
 use std::path::Path;
 
 fn shipped() -> Vec<(String, Scenario)> {
@@ -33,7 +33,7 @@
                 let mut short = scenario.clone();
                 short.lasts = Time(Span(12_000_000));
                 short.traffic.instances = short.traffic.instances.min(60);
-                let report = play(&short, Policy::Module, 3).unwrap();
+                let report = simulate(&short, Policy::Module, 3).unwrap();
                 assert!(report.broken.is_empty(), "{name}: {:?} {:#?}", report.broken, report.cases);
                 assert!(report.wanted > 1000 && report.worth > 0.3, "{name}: {report:?}");
                 // Everyone who wanted something was told how it ended.
@@ -47,7 +47,7 @@
 #[test]
 fn the_same_seed_gives_the_same_bytes_on_any_number_of_threads() {
     let scenario = scenario("death-in-deploy");
-    let bytes = |seed| serde_json::to_string(&play(&scenario, Policy::Module, seed).unwrap()).unwrap();
+    let bytes = |seed| serde_json::to_string(&simulate(&scenario, Policy::Module, seed).unwrap()).unwrap();
     let alone: Vec<String> = (1..4).map(bytes).collect();
     let together: Vec<String> = std::thread::scope(|scope| {
         let days: Vec<_> = (1..4).map(|seed| scope.spawn(move || bytes(seed))).collect();
@@ -67,18 +67,18 @@
     let death = scenario("mass-death");
     let busy = scenario("burst");
     let cold = scenario("cold-hot-caller");
-    for plant in Plant::ALL {
-        let (day, rule) = match plant {
-            Plant::SendsTwice => (&deploy, "one attempt"),
-            Plant::AnswersTwice | Plant::LosesRequests => (&deploy, "one answer"),
-            Plant::IgnoresDrains => (&deploy, "drains"),
-            Plant::FloodsCold => (&death, "cold nodes"),
-            Plant::TakesBudget => (&cold, "cold budget"),
-            Plant::DelaysRefusals => (&busy, "not held back"),
+    for fault in InjectedFault::ALL {
+        let (day, rule) = match fault {
+            InjectedFault::SendsTwice => (&deploy, "one attempt"),
+            InjectedFault::AnswersTwice | InjectedFault::LosesRequests => (&deploy, "one answer"),
+            InjectedFault::IgnoresDrains => (&deploy, "drains"),
+            InjectedFault::FloodsCold => (&death, "cold nodes"),
+            InjectedFault::TakesBudget => (&cold, "cold budget"),
+            InjectedFault::DelaysRefusals => (&busy, "not held back"),
         };
         // What a mutant floods is also shed: one day in five may show nothing.
-        let caught = |seed| breaks(&play(day, Policy::Mutant(plant), seed).unwrap(), rule);
-        assert!((1..=5).any(caught), "{plant:?} is not caught");
+        let caught = |seed| breaks(&simulate(day, Policy::Mutant(fault), seed).unwrap(), rule);
+        assert!((1..=5).any(caught), "{fault:?} is not caught");
     }
 }
 
--- a/crates/fleet/tests/ramp.rs
+++ b/crates/fleet/tests/ramp.rs
@@ -4,11 +4,11 @@
 use dunlincleat::api::Span;
 use dunlincleat_fleet::audit::Auditor;
 use dunlincleat_fleet::cold::{Terms, limit};
-use dunlincleat_fleet::mutant::Plant;
+use dunlincleat_fleet::mutant::InjectedFault;
 use dunlincleat_fleet::node::Job;
 use dunlincleat_fleet::report::Report;
 use dunlincleat_fleet::scenario::{Fault, Scenario, Time};
-use dunlincleat_fleet::world::{Policy, play};
+use dunlincleat_fleet::world::{Policy, simulate};
 
 const RULE: &str = "cold budget";
 const SECOND: u64 = 1_000_000;
@@ -123,8 +123,8 @@
 
 fn played(day: &Scenario, seeds: std::ops::Range<u64>) -> Vec<Report> {
     std::thread::scope(|scope| {
-        let play = |seed| play(day, Policy::Module, seed).unwrap();
-        let days: Vec<_> = seeds.map(|seed| scope.spawn(move || play(seed))).collect();
+        let run = |seed| simulate(day, Policy::Module, seed).unwrap();
+        let days: Vec<_> = seeds.map(|seed| scope.spawn(move || run(seed))).collect();
         days.into_iter().map(|day| day.join().unwrap()).collect()
     })
 }
@@ -231,8 +231,8 @@
 fn an_instance_that_takes_the_whole_budget_for_itself_is_caught() {
     let day = Scenario::read(include_str!("../scenarios/cold-hot-caller.toml")).unwrap();
     for seed in 1..5 {
-        let [fine, planted] = [Policy::Module, Policy::Mutant(Plant::TakesBudget)]
-            .map(|policy| play(&day, policy, seed).unwrap().broken.get(RULE).copied().unwrap_or(0));
+        let [fine, planted] = [Policy::Module, Policy::Mutant(InjectedFault::TakesBudget)]
+            .map(|policy| simulate(&day, policy, seed).unwrap().broken.get(RULE).copied().unwrap_or(0));
         assert_eq!((fine, planted > 0), (0, true), "seed {seed}: {fine} without it, {planted} with it");
     }
 }
--- a/crates/lab/src/days.rs
+++ b/crates/lab/src/days.rs
@@ -2,10 +2,10 @@
 
 use anyhow::{Context, Result, anyhow, bail};
 use dunlincleat_fleet::baseline::Choice;
-use dunlincleat_fleet::draw::Template;
 use dunlincleat_fleet::report::Report;
 use dunlincleat_fleet::scenario::Scenario;
-use dunlincleat_fleet::world::{Part, Policy, play_whole};
+use dunlincleat_fleet::template::Template;
+use dunlincleat_fleet::world::{Mechanism, Policy, simulate_with_details};
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -35,7 +35,7 @@
         let at = || path.display().to_string();
         let template = Template::read(&text).with_context(at)?;
         for upper in [false, true] {
-            Scenario::fixed(&template.end(upper)).with_context(at)?;
+            Scenario::read_without_ranges(&template.at_bound(upper)).with_context(at)?;
         }
         Ok(File { path: path.to_owned(), template })
     }
@@ -54,8 +54,8 @@
 
     /// The scenario that a seed draws.
     pub fn drawn(&self, seed: u64) -> Result<Scenario> {
-        let text = self.template.drawn(seed);
-        Scenario::fixed(&text).with_context(|| format!("{}, seed {seed}", self.path.display()))
+        let text = self.template.sample(seed);
+        Scenario::read_without_ranges(&text).with_context(|| format!("{}, seed {seed}", self.path.display()))
     }
 }
 
@@ -68,16 +68,16 @@
         return part_of(without).map(Policy::Without);
     }
     let known = Choice::ALL.map(|(name, _)| name).join(", ");
-    let parts = Part::ALL.map(|(name, _)| format!("without-{name}")).join(", ");
+    let parts = Mechanism::ALL.map(|(name, _)| format!("without-{name}")).join(", ");
     Choice::named(name)
         .map(Policy::Baseline)
         .ok_or_else(|| anyhow!("no policy '{name}': right would be one of module, {known}, {parts}"))
 }
 
 /// What is to be taken out, by name.
-pub fn part_of(name: &str) -> Result<Part> {
-    let known = Part::ALL.map(|(name, _)| name).join(", ");
-    let part = Part::ALL.iter().find(|(known, _)| *known == name).map(|(_, part)| *part);
+pub fn part_of(name: &str) -> Result<Mechanism> {
+    let known = Mechanism::ALL.map(|(name, _)| name).join(", ");
+    let part = Mechanism::ALL.iter().find(|(known, _)| *known == name).map(|(_, part)| *part);
     part.ok_or_else(|| anyhow!("nothing called '{name}' can be taken out: right would be one of {known}"))
 }
 
@@ -92,7 +92,7 @@
                 loop {
                     let n = next.fetch_add(1, Ordering::Relaxed);
                     let Some(day) = days.get(n) else { return };
-                    let report = play_whole(&day.scenario, day.policy, day.seed, seconds);
+                    let report = simulate_with_details(&day.scenario, day.policy, day.seed, seconds);
                     if let Ok(report) = &report {
                         told(n, report);
                     }
--- a/crates/lab/src/gate.rs
+++ b/crates/lab/src/gate.rs
@@ -4,9 +4,9 @@
 use crate::days::{Day, File, mean, play_all, policy_of};
 use crate::memory;
 use anyhow::{Context, Result, bail};
-use dunlincleat_fleet::draw::{line_at, line_of};
 use dunlincleat_fleet::report::Report;
 use dunlincleat_fleet::scenario::Scenario;
+use dunlincleat_fleet::template::{line_at, line_of};
 use dunlincleat_fleet::world::Policy;
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/crates/lab/src/memory.rs
+++ b/crates/lab/src/memory.rs
@@ -3,7 +3,7 @@
 use anyhow::Result;
 use cap::Cap;
 use dunlincleat_fleet::scenario::Scenario;
-use dunlincleat_fleet::world::{Policy, held_by_instances};
+use dunlincleat_fleet::world::{Policy, instance_memory};
 use std::alloc::System;
 
 #[global_allocator]
@@ -16,8 +16,8 @@
 
 /// Bytes that an instance holds at the end of a day, in the mean. Nothing else may run meanwhile.
 pub fn an_instance(scenario: &Scenario, policy: Policy, seed: u64) -> Result<f64> {
-    let (bytes, instances) = held_by_instances(scenario, policy, seed, allocated)?;
-    Ok(bytes as f64 / instances.max(1) as f64)
+    let memory = instance_memory(scenario, policy, seed, allocated)?;
+    Ok(memory.bytes as f64 / memory.instances.max(1) as f64)
 }
 
 /// The most that was ever allocated, in bytes.
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -3,7 +3,7 @@
 //! would be right.
 
 use anyhow::{Context, Result, anyhow};
-use dunlincleat_fleet::draw::{line_at, line_of};
+use dunlincleat_fleet::template::{line_at, line_of};
 use serde::Deserialize;
 use std::path::Path;
 
