--- a/crates/fleet/src/audit.rs
+++ b/crates/fleet/src/audit.rs
@@ -1,8 +1,8 @@
 //! The rules, from what nodes and callers saw alone. It knows nothing of the code under test.
 
-use crate::cold::{Came, Watched};
+use crate::cold_start::{ColdArrivals, ColdStartMonitor};
 use crate::node::Job;
-use crate::scenario::GRACE;
+use crate::scenario::DRAIN_GRACE;
 use dunlincleat::api::Effect;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -10,14 +10,14 @@
 use std::collections::BTreeMap;
 
 /// The slack of each time limit, in microseconds.
-pub const SLACK: u64 = 50_000;
+pub const SLACK_US: u64 = 50_000;
 /// A refusal may come so long after the last thing that happened to its request: a part of the aim, and the slack of a
 /// look at the servers.
 const HELD: (f64, u64) = (0.1, 20_000);
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct Violation {
     /// Which rule.
     pub rule: Cow<'static, str>,
     /// When, in microseconds since the start.
@@ -28,7 +28,7 @@
 
 /// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum AnswerKind {
     /// With the answer made for this request.
     Served(u64),
     /// Refused.
@@ -55,75 +55,75 @@
     requests: FxHashMap<u64, Request>,
     /// When an instance was told that a node, with this start, leaves.
     told: FxHashMap<(u32, usize, u32), u64>,
-    cold: Watched,
-    faults: Vec<Fault>,
+    cold: ColdStartMonitor,
+    cases: Vec<Violation>,
     counts: BTreeMap<&'static str, u64>,
 }
 
 impl Auditor {
-    fn fault(&mut self, rule: &'static str, at_us: u64, what: String) {
+    fn report(&mut self, rule: &'static str, at_us: u64, what: String) {
         *self.counts.entry(rule).or_default() += 1;
         // Enough to find the cause by.
-        if self.faults.len() < 20 {
-            self.faults.push(Fault { rule: rule.into(), at_us, what });
+        if self.cases.len() < 20 {
+            self.cases.push(Violation { rule: rule.into(), at_us, what });
         }
     }
 
     /// A caller's request was taken.
-    pub fn taken(&mut self, id: u64, now: u64, effect: Effect, aim: u64, gives_up: u64) {
+    pub fn request_received(&mut self, id: u64, now: u64, effect: Effect, aim: u64, gives_up: u64) {
         let request = Request { effect, aim, gives_up, answers: 0, ran: 0, out: 0, last: now };
         self.requests.insert(id, request);
     }
 
     /// A caller got an answer.
-    pub fn answered(&mut self, id: u64, now: u64, kind: Kind) {
+    pub fn request_answered(&mut self, id: u64, now: u64, kind: AnswerKind) {
         let Some(request) = self.requests.get_mut(&id) else {
-            return self.fault("one answer", now, format!("request {id}: an answer that nobody asked for"));
+            return self.report("one answer", now, format!("request {id}: an answer that nobody asked for"));
         };
         request.answers += 1;
         let Request { effect, aim, gives_up, answers, ran, last, .. } = *request;
         if answers > 1 {
-            self.fault("one answer", now, format!("request {id}: answer {answers}"));
+            self.report("one answer", now, format!("request {id}: answer {answers}"));
         }
-        if now > gives_up + SLACK {
-            self.fault("one answer", now, format!("request {id}: {} us after its time", now - gives_up));
+        if now > gives_up + SLACK_US {
+            self.report("one answer", now, format!("request {id}: {} us after its time", now - gives_up));
         }
         match kind {
-            Kind::Served(body) if body != id => {
-                self.fault("one answer", now, format!("request {id}: the answer of request {body}"));
+            AnswerKind::Served(body) if body != id => {
+                self.report("one answer", now, format!("request {id}: the answer of request {body}"));
             }
-            Kind::Refused if ran > 0 && effect == Effect::Unsafe => {
-                self.fault("no effect twice", now, format!("request {id}: refused, and it may have run"));
+            AnswerKind::Refused if ran > 0 && effect == Effect::Unsafe => {
+                self.report("no effect twice", now, format!("request {id}: refused, and it may have run"));
             }
-            Kind::Refused if now - last > (aim as f64 * HELD.0) as u64 + HELD.1 => {
+            AnswerKind::Refused if now - last > (aim as f64 * HELD.0) as u64 + HELD.1 => {
                 let held = (now - last) / 1000;
-                self.fault(
+                self.report(
                     "not held back",
                     now,
                     format!("request {id}: refused {held} ms after its last attempt"),
                 );
             }
-            Kind::Served(_) | Kind::Refused | Kind::Failed => {}
+            AnswerKind::Served(_) | AnswerKind::Refused | AnswerKind::Failed => {}
         }
     }
 
     /// A caller's time is over.
-    pub fn gave_up(&mut self, id: u64, now: u64) {
+    pub fn client_timed_out(&mut self, id: u64, now: u64) {
         if self.requests.get(&id).is_some_and(|request| request.answers == 0) {
-            self.fault("one answer", now, format!("request {id}: none in time"));
+            self.report("one answer", now, format!("request {id}: none in time"));
         }
     }
 
     /// A caller left before its time, or its instance ended under it: nothing is owed any more.
-    pub fn left(&mut self, id: u64) {
+    pub fn client_left(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id).filter(|request| request.answers == 0) {
             request.answers = 1;
         }
     }
 
     /// The list told an instance of a node.
-    pub fn told(&mut self, instance: u32, node: usize, start: u32, leaves: bool, now: u64) {
-        self.cold.told(instance, node, start);
+    pub fn listed(&mut self, instance: u32, node: usize, start: u32, leaves: bool, now: u64) {
+        self.cold.notified(instance, node, start);
         if leaves {
             self.told.entry((instance, node, start)).or_insert(now);
         } else {
@@ -132,16 +132,16 @@
     }
 
     /// An instance knew of a node's start from its own first moment.
-    pub fn knew(&mut self, instance: u32, node: usize, start: u32) {
-        self.cold.told(instance, node, start);
+    pub fn initially_listed(&mut self, instance: u32, node: usize, start: u32) {
+        self.cold.notified(instance, node, start);
     }
 
     /// An instance sent an attempt.
-    pub fn sent(&mut self, job: Job, node: usize, start: u32, now: u64) {
+    pub fn attempt_sent(&mut self, job: Job, node: usize, start: u32, now: u64) {
         let told = self.told.get(&(job.instance, node, start)).copied();
-        if let Some(told) = told.filter(|told| now > told + GRACE.0 + SLACK) {
+        if let Some(told) = told.filter(|told| now > told + DRAIN_GRACE.0 + SLACK_US) {
             let late = (now - told) / 1000;
-            self.fault(
+            self.report(
                 "drains",
                 now,
                 format!("request {}: to node {node}, {late} ms after it was told", job.request),
@@ -151,25 +151,25 @@
         request.out += 1;
         let (out, answers) = (request.out, request.answers);
         if out > 1 {
-            self.fault("one attempt", now, format!("request {}: {out} attempts out", job.request));
+            self.report("one attempt", now, format!("request {}: {out} attempts out", job.request));
         }
         if answers > 0 {
-            self.fault("one answer", now, format!("request {}: sent after its answer", job.request));
+            self.report("one answer", now, format!("request {}: sent after its answer", job.request));
         }
     }
 
     /// A node began to work on an attempt.
-    pub fn began(&mut self, job: Job, now: u64) {
+    pub fn attempt_started(&mut self, job: Job, now: u64) {
         let Some(request) = self.requests.get_mut(&job.request) else { return };
         request.ran += 1;
         if request.ran > 1 && request.effect == Effect::Unsafe {
             let ran = request.ran;
-            self.fault("no effect twice", now, format!("request {}: run {ran} times", job.request));
+            self.report("no effect twice", now, format!("request {}: run {ran} times", job.request));
         }
     }
 
     /// An attempt ended, as its instance sees it.
-    pub fn ended(&mut self, job: Job, now: u64) {
+    pub fn attempt_ended(&mut self, job: Job, now: u64) {
         if let Some(request) = self.requests.get_mut(&job.request) {
             request.out = request.out.saturating_sub(1);
             request.last = now;
@@ -177,13 +177,13 @@
     }
 
     /// A cold node got more than its budget, with nothing put down to chance and whoever had been told.
-    pub fn fell(&mut self, node: usize, now: u64) {
-        self.fault("cold nodes", now, format!("node {node} was pushed over"));
+    pub fn cold_node_overloaded(&mut self, node: usize, now: u64) {
+        self.report("cold nodes", now, format!("node {node} was pushed over"));
     }
 
     /// An attempt came to a cold node, with this start, that may get `budget` requests of mean work within `over`
     /// microseconds; `calls` is its own work over the mean. The rule is on the sum of what all instances send.
-    pub fn came_cold(
+    pub fn cold_arrival(
         &mut self,
         job: Job,
         (node, start): (usize, u32),
@@ -191,26 +191,27 @@
         (budget, over): (f64, u64),
         now: u64,
     ) {
-        let Some(came) = self.cold.came(job.instance, (node, start), calls, (budget, over), now) else {
+        let Some(came) = self.cold.record_arrival(job.instance, (node, start), calls, (budget, over), now)
+        else {
             return;
         };
-        let (Came { calls, told, budget }, most) = (came, came.calls - came.excess());
+        let (ColdArrivals { calls, told, budget }, most) = (came, came.calls - came.excess());
         let what = format!(
             "node {node}, start {start}: {calls:.1} requests on a budget of {budget:.1}, which bears {most:.1}; \
              {told:.1} from instances that had been told of the start"
         );
-        self.fault("cold budget", now, what);
+        self.report("cold budget", now, what);
     }
 
     /// What came nearest to a cold node's limit, or went furthest beyond.
     #[must_use]
-    pub fn cold_peak(&self) -> Option<Came> {
+    pub fn cold_peak(&self) -> Option<ColdArrivals> {
         self.cold.peak()
     }
 
     /// What was found: how often each rule was broken, and the first cases.
     #[must_use]
-    pub fn found(self) -> (BTreeMap<&'static str, u64>, Vec<Fault>) {
-        (self.counts, self.faults)
+    pub fn found(self) -> (BTreeMap<&'static str, u64>, Vec<Violation>) {
+        (self.counts, self.cases)
     }
 }
--- a/crates/fleet/src/balancing.rs
+++ b/crates/fleet/src/balancer.rs
@@ -4,26 +4,26 @@
 use dunlincleat_engine::{Engine, Input, Output};
 
 /// What a request carries: its number; the answer carries it back.
-pub type In = Input<u64, u64>;
+pub type EngineInput = Input<u64, u64>;
 /// What is wanted.
-pub type Out = Output<u64, u64>;
+pub type EngineOutput = Output<u64, u64>;
 
 /// One instance's balancing.
-pub trait Balancing {
+pub trait Balancer {
     /// Takes what happened.
-    fn input(&mut self, now: Time, input: In, out: &mut Vec<Out>);
+    fn input(&mut self, now: Time, input: EngineInput, out: &mut Vec<EngineOutput>);
     /// Does what is due.
-    fn wake(&mut self, now: Time, out: &mut Vec<Out>);
+    fn wake(&mut self, now: Time, out: &mut Vec<EngineOutput>);
     /// When that is, if ever.
     fn due(&self) -> Option<Time>;
 }
 
-impl Balancing for Engine<u64, u64> {
-    fn input(&mut self, now: Time, input: In, out: &mut Vec<Out>) {
+impl Balancer for Engine<u64, u64> {
+    fn input(&mut self, now: Time, input: EngineInput, out: &mut Vec<EngineOutput>) {
         Engine::input(self, now, input, out);
     }
 
-    fn wake(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn wake(&mut self, now: Time, out: &mut Vec<EngineOutput>) {
         Engine::wake(self, now, out);
     }
 
--- a/crates/fleet/src/baseline.rs
+++ b/crates/fleet/src/baseline.rs
@@ -1,7 +1,7 @@
 //! Policies to compare against, never to serve with: they keep the rules on repeats and know nothing of load reports,
 //! cold servers or crowding.
 
-use crate::balancing::{Balancing, In, Out};
+use crate::balancer::{Balancer, EngineInput, EngineOutput};
 use dunlincleat::api::{Attempt, Effect, ListKind, RequestId, ServerId, State, Status, Time};
 use dunlincleat_engine::{Answer, Endpoint, Input, Output, ServerTable};
 use dunlincleat_settings::InstanceSettings;
@@ -44,7 +44,7 @@
 #[derive(Default)]
 struct Server {
     ready: bool,
-    in_hand: usize,
+    in_flight: usize,
     /// Smoothed delay in microseconds; it rises at once and falls slowly.
     delay: f64,
 }
@@ -60,59 +60,59 @@
 pub struct Baseline {
     choice: Choice,
     effects: Vec<Effect>,
-    most: usize,
+    max_attempts: usize,
     rng: SmallRng,
-    places: ServerTable,
+    server_ids: ServerTable,
     servers: BTreeMap<u32, Server>,
     requests: BTreeMap<u64, Entry>,
-    turn: usize,
+    round_robin_next: usize,
 }
 
 impl Baseline {
     /// An instance.
     #[must_use]
-    pub fn new(choice: Choice, site: &InstanceSettings, seed: u64) -> Baseline {
+    pub fn new(choice: Choice, instance: &InstanceSettings, seed: u64) -> Baseline {
         Baseline {
             choice,
-            effects: site.settings.classes.iter().map(|class| class.effect).collect(),
-            most: site.settings.limits.max_attempts as usize,
+            effects: instance.settings.classes.iter().map(|class| class.effect).collect(),
+            max_attempts: instance.settings.limits.max_attempts as usize,
             rng: SmallRng::seed_from_u64(seed),
-            places: ServerTable::default(),
+            server_ids: ServerTable::default(),
             servers: BTreeMap::new(),
             requests: BTreeMap::new(),
-            turn: 0,
+            round_robin_next: 0,
         }
     }
 
-    fn pick(&mut self, not: Option<ServerId>) -> Option<ServerId> {
+    fn choose_server(&mut self, exclude: Option<ServerId>) -> Option<ServerId> {
         let ready = |(id, server): (&u32, &Server)| server.ready.then_some(*id);
         let mut ready: Vec<u32> = self.servers.iter().filter_map(ready).collect();
         if ready.len() > 1 {
-            ready.retain(|id| Some(ServerId(*id)) != not);
+            ready.retain(|id| Some(ServerId(*id)) != exclude);
         }
         if ready.is_empty() {
             return None;
         }
-        let hand = |id: &u32| self.servers[id].in_hand;
+        let in_flight_at = |id: &u32| self.servers[id].in_flight;
         let chosen = match self.choice {
             Choice::Random => ready[self.rng.random_range(0..ready.len())],
             Choice::RoundRobin => {
-                self.turn += 1;
-                ready[self.turn % ready.len()]
+                self.round_robin_next += 1;
+                ready[self.round_robin_next % ready.len()]
             }
             Choice::LeastOutstanding => {
                 let from = self.rng.random_range(0..ready.len());
                 ready.rotate_left(from);
-                *ready.iter().min_by_key(|id| hand(id))?
+                *ready.iter().min_by_key(|id| in_flight_at(id))?
             }
             Choice::TwoChoices => {
                 let two = [0, 1].map(|_| ready[self.rng.random_range(0..ready.len())]);
-                if hand(&two[0]) <= hand(&two[1]) { two[0] } else { two[1] }
+                if in_flight_at(&two[0]) <= in_flight_at(&two[1]) { two[0] } else { two[1] }
             }
             Choice::PeakDelay => {
                 let from = self.rng.random_range(0..ready.len());
                 ready.rotate_left(from);
-                let cost = |id: &u32| (self.servers[id].delay + 1.0) * (hand(id) + 1) as f64;
+                let cost = |id: &u32| (self.servers[id].delay + 1.0) * (in_flight_at(id) + 1) as f64;
                 *ready.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))?
             }
         };
@@ -120,13 +120,13 @@
     }
 
     /// Sends a request, or gives it its final answer.
-    fn advance(&mut self, now: Time, id: RequestId, out: &mut Vec<Out>) {
+    fn advance(&mut self, now: Time, id: RequestId, out: &mut Vec<EngineOutput>) {
         let Some(entry) = self.requests.get(&id.0) else { return };
         let effect = self.effects.get(entry.class as usize).copied().unwrap_or(Effect::Unsafe);
         let harmless = !entry.may_have_run || effect != Effect::Unsafe;
-        let again = harmless && entry.attempts.len() < self.most && now < entry.deadline;
-        let (not, until) = (entry.attempts.last().copied(), entry.deadline);
-        let server = if again { self.pick(not) } else { None };
+        let may_send = harmless && entry.attempts.len() < self.max_attempts && now < entry.deadline;
+        let (previous, until) = (entry.attempts.last().copied(), entry.deadline);
+        let server = if may_send { self.choose_server(previous) } else { None };
         let (Some(server), Some(entry)) = (server, self.requests.get_mut(&id.0)) else {
             self.requests.remove(&id.0);
             let answer = if harmless { Answer::Refused { retry_after: None } } else { Answer::Failed };
@@ -134,27 +134,27 @@
         };
         let attempt = Attempt(entry.attempts.len() as u32);
         entry.attempts.push(server);
-        self.servers.entry(server.0).or_default().in_hand += 1;
+        self.servers.entry(server.0).or_default().in_flight += 1;
         out.push(Output::Attempt { id, attempt, server, payload: id.0, until, connect_timeout: None });
     }
 }
 
-impl Balancing for Baseline {
-    fn input(&mut self, now: Time, input: In, out: &mut Vec<Out>) {
+impl Balancer for Baseline {
+    fn input(&mut self, now: Time, input: EngineInput, out: &mut Vec<EngineOutput>) {
         match input {
-            Input::Request { id, info: ask, .. } => {
-                let (class, deadline) = (ask.class, now + ask.wait);
+            Input::Request { id, info, .. } => {
+                let (class, deadline) = (info.class, now + info.wait);
                 let (attempts, may_have_run) = (Vec::new(), false);
                 self.requests.insert(id.0, Entry { class, deadline, attempts, may_have_run });
                 self.advance(now, id, out);
             }
             Input::ClientLeft(id) => drop(self.requests.remove(&id.0)),
-            Input::AttemptEnded { id, server, completion: ended, .. } => {
-                let known = self.servers.entry(server.0).or_default();
-                known.in_hand = known.in_hand.saturating_sub(1);
-                let took = ended.latency.as_f64();
-                known.delay = if took > known.delay { took } else { known.delay * 0.9 + took * 0.1 };
-                match (ended.status, ended.body) {
+            Input::AttemptEnded { id, server, completion, .. } => {
+                let state = self.servers.entry(server.0).or_default();
+                state.in_flight = state.in_flight.saturating_sub(1);
+                let latency = completion.latency.as_f64();
+                state.delay = if latency > state.delay { latency } else { state.delay * 0.9 + latency * 0.1 };
+                match (completion.status, completion.body) {
                     (Status::Ok, Some(body)) => {
                         if self.requests.remove(&id.0).is_some() {
                             out.push(Output::Answer { id, answer: Answer::Served(body) });
@@ -172,7 +172,7 @@
                     self.servers.values_mut().for_each(|server| server.ready = false);
                 }
                 for entry in delivery.entries {
-                    let server = self.places.id_or_assign(&entry.uid);
+                    let server = self.server_ids.id_or_assign(&entry.uid);
                     self.servers.entry(server.0).or_default().ready = entry.state == State::Ready;
                     if let Some(at) = entry.endpoint {
                         out.push(Output::Open {
@@ -192,7 +192,7 @@
         }
     }
 
-    fn wake(&mut self, _: Time, _: &mut Vec<Out>) {}
+    fn wake(&mut self, _: Time, _: &mut Vec<EngineOutput>) {}
 
     fn due(&self) -> Option<Time> {
         None
--- a/crates/fleet/src/cold.rs
+++ b/crates/fleet/src/cold_start.rs
@@ -7,23 +7,23 @@
 
 /// What the settings say of cold nodes. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct ColdBudget {
     /// The part of its capacity that a node has when it starts.
-    pub from: f64,
+    pub initial_part: f64,
     /// The time after which it has all of it.
-    pub cold: u64,
+    pub warm_up: u64,
     /// The sliding time over which requests are counted.
-    pub over: u64,
+    pub window: u64,
     /// Requests of mean work that a warm node may get in that time.
     pub warm_budget: f64,
 }
 
-impl Terms {
+impl ColdBudget {
     /// Requests of mean work that a node may get in the sliding time, at this age: N.
     #[must_use]
     pub fn budget(&self, age: u64) -> f64 {
-        let part = (age as f64 / self.cold.max(1) as f64).min(1.0);
-        self.warm_budget * (self.from + (1.0 - self.from) * part)
+        let part = (age as f64 / self.warm_up.max(1) as f64).min(1.0);
+        self.warm_budget * (self.initial_part + (1.0 - self.initial_part) * part)
     }
 }
 
@@ -35,7 +35,7 @@
 
 /// What came to a cold node in one sliding time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Came {
+pub struct ColdArrivals {
     /// Requests, each counted by its work over the mean.
     pub calls: f64,
     /// Those of them from instances that had been told of the start.
@@ -44,10 +44,10 @@
     pub budget: f64,
 }
 
-impl Came {
+impl ColdArrivals {
     /// The calls as a part of what the budget bears; over 1 the node falls.
     #[must_use]
-    pub fn of_limit(&self) -> f64 {
+    pub fn fraction_of_limit(&self) -> f64 {
         self.calls / limit(self.budget)
     }
 
@@ -59,7 +59,7 @@
 
     /// Whether the instances answer for it: over two thirds came from those that had been told of the start.
     #[must_use]
-    pub fn known(&self) -> bool {
+    pub fn is_attributable(&self) -> bool {
         3.0 * self.told > 2.0 * self.calls
     }
 }
@@ -67,62 +67,65 @@
 #[derive(Clone, Debug, Default)]
 struct Window {
     start: u32,
-    came: VecDeque<(u64, f64, bool)>,
-    fell: bool,
+    arrivals: VecDeque<(u64, f64, bool)>,
+    overloaded: bool,
 }
 
 /// What came to each cold node, over all instances.
 #[derive(Clone, Debug, Default)]
-pub struct Watched {
+pub struct ColdStartMonitor {
     /// Which starts each instance was told of.
     told: FxHashSet<(u32, usize, u32)>,
     nodes: FxHashMap<usize, Window>,
-    peak: Option<Came>,
+    peak: Option<ColdArrivals>,
 }
 
-impl Watched {
+impl ColdStartMonitor {
     /// An instance was told of a node's start.
-    pub fn told(&mut self, instance: u32, node: usize, start: u32) {
+    pub fn notified(&mut self, instance: u32, node: usize, start: u32) {
         self.told.insert((instance, node, start));
     }
 
     /// A request of an instance came to a cold node that may get `budget` of them within `over`; `calls` is its work over
     /// the mean. Gives what came where the node falls by it and the instances answer for that.
-    pub fn came(
+    pub fn record_arrival(
         &mut self,
         instance: u32,
         (node, start): (usize, u32),
         calls: f64,
-        (budget, over): (f64, u64),
+        (budget, span): (f64, u64),
         now: u64,
-    ) -> Option<Came> {
+    ) -> Option<ColdArrivals> {
         let told = self.told.contains(&(instance, node, start));
         let window = self.nodes.entry(node).or_default();
         if window.start != start {
             *window = Window { start, ..Window::default() };
         }
-        if window.fell {
+        if window.overloaded {
             return None;
         }
-        window.came.push_back((now, calls, told));
-        while window.came.front().is_some_and(|(at, ..)| at + over <= now) {
-            window.came.pop_front();
+        window.arrivals.push_back((now, calls, told));
+        while window.arrivals.front().is_some_and(|(at, ..)| at + span <= now) {
+            window.arrivals.pop_front();
         }
         // Summed anew: a running sum drifts, and a fall is judged at the last request.
-        let (calls, told) = window.came.iter().fold((0.0, 0.0), |(calls, told), (_, work, known)| {
-            (calls + work, told + if *known { *work } else { 0.0 })
-        });
-        let came = Came { calls, told, budget };
-        if came.known() && self.peak.is_none_or(|peak| came.of_limit() > peak.of_limit()) {
-            self.peak = Some(came);
+        let (calls, told) =
+            window.arrivals.iter().fold((0.0, 0.0), |(calls, told), (_, work, attributable)| {
+                (calls + work, told + if *attributable { *work } else { 0.0 })
+            });
+        let arrivals = ColdArrivals { calls, told, budget };
+        if arrivals.is_attributable()
+            && self.peak.is_none_or(|peak| arrivals.fraction_of_limit() > peak.fraction_of_limit())
+        {
+            self.peak = Some(arrivals);
         }
-        window.fell = came.excess() > 0.0;
-        (window.fell && came.known()).then_some(came)
+        window.overloaded = arrivals.excess() > 0.0;
+        (window.overloaded && arrivals.is_attributable()).then_some(arrivals)
     }
 
     /// What came nearest to a fall, or went furthest beyond, of what instances answer for.
     #[must_use]
-    pub fn peak(&self) -> Option<Came> {
+    pub fn peak(&self) -> Option<ColdArrivals> {
         self.peak
     }
 }
--- a/crates/fleet/src/discovery/tests.rs
+++ b/crates/fleet/src/discovery/tests.rs
@@ -5,24 +5,27 @@
 use dunlincleat::api::Span;
 use rand::SeedableRng;
 
-fn service(calls_per_s: f64, queue: usize) -> Service {
-    let late = Time(Span(100_000));
+fn service(calls_per_s: f64, queue: usize) -> DiscoveryService {
+    let delay = Time(Span(100_000));
     let entry = Entry { state: State::Ready, ..Entry::leaving("n0".to_owned(), State::Ready) };
-    let word = Word { rev: 1, entry, node: 0, starts: 0 };
-    Service::new(Limits { late, calls_per_s, queue, on_request: false }, vec![word])
+    let change = ListChange { rev: 1, entry, node: 0, incarnation: 0 };
+    DiscoveryService::new(
+        DiscoveryLimits { delay, calls_per_s, max_queued: queue, on_request: false },
+        vec![change],
+    )
 }
 
 /// Sixty that gave up and called again once kept each other out for good: a call is work also when nobody waits.
 #[test]
-fn calls_wait_in_turn_and_those_given_up_still_cost() {
+fn calls_are_served_in_order_and_abandoned_calls_still_take_time() {
     let mut service = service(10.0, 4);
     let mut at = Vec::new();
     for n in 0..6 {
         let watch = WatchId(n);
         match service.call(0, 0, watch, CallKind::FullList) {
-            Answered::Opens(line) => at.push(line.at),
-            Answered::Refused(_) => at.push(0),
-            Answered::Nothing => panic!("it is not silent"),
+            CallOutcome::Opened(line) => at.push(line.at),
+            CallOutcome::Refused(_) => at.push(0),
+            CallOutcome::NoAnswer => panic!("it is not silent"),
         }
         service.close(0, watch);
     }
@@ -31,24 +34,24 @@
 }
 
 #[test]
-fn a_watch_hears_each_change_once_in_order_and_silence_loses_none() {
+fn a_watch_receives_each_change_once_in_order_across_silence() {
     let mut service = service(1000.0, 1000);
     let mut rng = SmallRng::seed_from_u64(5);
     let watch = WatchId(1);
     assert!(
-        matches!(service.call(0, 7, watch, CallKind::ChangesAfter(1)), Answered::Opens(line) if line.words.is_empty())
+        matches!(service.call(0, 7, watch, CallKind::ChangesAfter(1)), CallOutcome::Opened(line) if line.nodes.is_empty())
     );
-    let (mut out, mut heard) = (Vec::new(), Vec::new());
+    let (mut lines, mut received) = (Vec::new(), Vec::new());
     for n in 1..200_u32 {
         if n % 40 == 0 {
-            service.silence(n % 80 == 0);
+            service.set_silent(n % 80 == 0);
         }
         service.change(n as usize, 0, Entry::leaving(format!("n{n}"), State::Draining));
-        service.tell(u64::from(n) * 1000, n % 7 == 0, &mut rng, &mut out);
+        service.publish(u64::from(n) * 1000, n % 7 == 0, &mut rng, &mut lines);
     }
-    service.silence(false);
-    service.tell(300_000, true, &mut rng, &mut out);
-    assert!(out.windows(2).all(|w| w[0].at <= w[1].at), "lines keep their order");
-    out.iter().for_each(|line| heard.extend(line.words.iter().map(|(node, _, _)| *node)));
-    assert_eq!(heard, (1..200).collect::<Vec<_>>());
+    service.set_silent(false);
+    service.publish(300_000, true, &mut rng, &mut lines);
+    assert!(lines.windows(2).all(|w| w[0].at <= w[1].at), "lines keep their order");
+    lines.iter().for_each(|line| received.extend(line.nodes.iter().map(|(node, _, _)| *node)));
+    assert_eq!(received, (1..200).collect::<Vec<_>>());
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -17,32 +17,35 @@
 
 /// What state a node is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum NodeState {
     /// It serves.
-    Serves,
+    Serving,
     /// It answers errors at once.
-    Fails,
+    Failing,
     /// It takes requests and says nothing.
-    Swallows,
+    Unresponsive,
     /// It refuses connections.
     Dead,
 }
 
 /// What becomes of a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
+pub enum Admission {
     /// It is in work, and ends then.
-    Works(u64),
+    Started {
+        /// When it ends.
+        ends_at: u64,
+    },
     /// It waits.
-    Waits,
+    Queued,
     /// Turned away unseen.
-    Full,
+    QueueFull,
     /// An error at once.
-    Fails,
+    Failed,
     /// Nothing will come.
-    Swallowed,
+    Ignored,
     /// No connection.
-    Refused,
+    ConnectionRefused,
 }
 
 /// A node. Times are in microseconds.
@@ -50,31 +53,31 @@
 pub struct Node {
     cores: usize,
     queue: usize,
-    cold_from: f64,
-    cold: u64,
-    falls_at: f64,
-    falls_over: u64,
+    initial_capacity: f64,
+    warm_up: u64,
+    overload_factor: f64,
+    overload_window: u64,
     /// When its process started; nothing for long ago.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// Its state.
-    pub mood: Mood,
+    pub state: NodeState,
     /// Work takes so many times as long.
-    pub slow: f64,
+    pub slowdown: f64,
     /// It stands still until then.
-    pub still: u64,
-    busy: Vec<Job>,
-    waiting: VecDeque<(Job, f64)>,
+    pub stalled_until: u64,
+    running: Vec<Job>,
+    queued: VecDeque<(Job, f64)>,
     /// Work that came while it was cold: when, and how much.
-    came: VecDeque<(u64, f64)>,
-    came_sum: f64,
+    cold_arrivals: VecDeque<(u64, f64)>,
+    cold_work: f64,
     /// The mean work of a request; with it a fall takes more than the budget and what is put down to chance.
-    mean: f64,
+    mean_work: f64,
     /// It got more than its budget, and it fell over.
     pub over_budget: bool,
     /// The same.
-    pub fell: bool,
+    pub overloaded: bool,
     /// The most that came while it was cold, against what pushes it over.
-    pub worst: f64,
+    pub peak_overload: f64,
 }
 
 impl Node {
@@ -84,141 +87,147 @@
         Node {
             cores: fleet.cores,
             queue: fleet.queue,
-            cold_from: fleet.cold_from,
-            cold: fleet.cold.us(),
-            falls_at: fleet.falls_at,
-            falls_over: fleet.falls_over.us(),
-            born: None,
-            mood: Mood::Serves,
-            slow: 1.0,
-            still: 0,
-            busy: Vec::new(),
-            waiting: VecDeque::new(),
-            came: VecDeque::new(),
-            came_sum: 0.0,
-            mean: 0.0,
+            initial_capacity: fleet.cold_from,
+            warm_up: fleet.cold.us(),
+            overload_factor: fleet.falls_at,
+            overload_window: fleet.falls_over.us(),
+            started_at: None,
+            state: NodeState::Serving,
+            slowdown: 1.0,
+            stalled_until: 0,
+            running: Vec::new(),
+            queued: VecDeque::new(),
+            cold_arrivals: VecDeque::new(),
+            cold_work: 0.0,
+            mean_work: 0.0,
             over_budget: false,
-            fell: false,
-            worst: 0.0,
+            overloaded: false,
+            peak_overload: 0.0,
         }
     }
 
     /// The same node for requests of so much mean work, in microseconds. Where that is not told, a cold node falls with the
     /// first work beyond its budget.
     #[must_use]
-    pub fn of_mean_work(self, mean: f64) -> Node {
-        Node { mean, ..self }
+    pub fn with_mean_work(self, mean_work: f64) -> Node {
+        Node { mean_work, ..self }
     }
 
     /// The part of its work that it can do.
     #[must_use]
-    pub fn warmth(&self, now: u64) -> f64 {
-        let Some(born) = self.born else { return 1.0 };
-        let part = now.saturating_sub(born) as f64 / self.cold.max(1) as f64;
-        self.cold_from + (1.0 - self.cold_from) * part.min(1.0)
+    pub fn capacity(&self, now: u64) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let part = now.saturating_sub(started_at) as f64 / self.warm_up.max(1) as f64;
+        self.initial_capacity + (1.0 - self.initial_capacity) * part.min(1.0)
     }
 
     /// Requests in hand, and those of them that wait.
     #[must_use]
     pub fn load(&self) -> (usize, usize) {
-        (self.busy.len() + self.waiting.len(), self.waiting.len())
+        (self.running.len() + self.queued.len(), self.queued.len())
     }
 
     /// The part of its cores that work.
     #[must_use]
-    pub fn util(&self) -> f64 {
-        self.busy.len() as f64 / self.cores as f64
+    pub fn utilization(&self) -> f64 {
+        self.running.len() as f64 / self.cores as f64
     }
 
     /// It starts anew: what it had is lost.
     pub fn restart(&mut self, now: u64) -> Vec<Job> {
-        self.born = Some(now);
-        self.mood = Mood::Serves;
-        (self.slow, self.still) = (1.0, 0);
-        (self.over_budget, self.fell) = (false, false);
-        self.clear()
+        self.started_at = Some(now);
+        self.state = NodeState::Serving;
+        (self.slowdown, self.stalled_until) = (1.0, 0);
+        (self.over_budget, self.overloaded) = (false, false);
+        self.drop_all()
     }
 
     /// It dies: what it had is lost.
     pub fn die(&mut self) -> Vec<Job> {
-        self.mood = Mood::Dead;
-        self.clear()
+        self.state = NodeState::Dead;
+        self.drop_all()
     }
 
-    fn clear(&mut self) -> Vec<Job> {
-        self.came.clear();
-        self.came_sum = 0.0;
-        let waiting = self.waiting.drain(..).map(|(job, _)| job);
-        self.busy.drain(..).chain(waiting).collect()
+    fn drop_all(&mut self) -> Vec<Job> {
+        self.cold_arrivals.clear();
+        self.cold_work = 0.0;
+        let queued = self.queued.drain(..).map(|(job, _)| job);
+        self.running.drain(..).chain(queued).collect()
     }
 
-    fn ends(&self, now: u64, work: f64) -> u64 {
-        let takes = work * self.slow / self.warmth(now);
-        now.max(self.still) + (takes as u64).max(1)
+    fn completion_time(&self, now: u64, work: f64) -> u64 {
+        let takes = work * self.slowdown / self.capacity(now);
+        now.max(self.stalled_until) + (takes as u64).max(1)
     }
 
     /// A request of so much work, in microseconds on a warm core, arrives.
-    pub fn take(&mut self, now: u64, job: Job, work: f64) -> Taken {
-        match self.mood {
-            Mood::Dead => return Taken::Refused,
-            Mood::Swallows => return Taken::Swallowed,
-            Mood::Fails => return Taken::Fails,
-            Mood::Serves => {}
+    pub fn admit(&mut self, now: u64, job: Job, work: f64) -> Admission {
+        match self.state {
+            NodeState::Dead => return Admission::ConnectionRefused,
+            NodeState::Unresponsive => return Admission::Ignored,
+            NodeState::Failing => return Admission::Failed,
+            NodeState::Serving => {}
         }
-        if let Some(bears) = self.overrun(now, work) {
+        if let Some(budget) = self.cold_overload(now, work) {
             self.over_budget = true;
-            let mean = self.mean;
-            let most = if mean > 0.0 { mean * crate::cold::limit(bears / mean) } else { bears };
-            self.fell = self.came_sum > most;
-            if self.fell {
-                return Taken::Refused;
+            let mean_work = self.mean_work;
+            let tolerated = if mean_work > 0.0 {
+                mean_work * crate::cold_start::limit(budget / mean_work)
+            } else {
+                budget
+            };
+            self.overloaded = self.cold_work > tolerated;
+            if self.overloaded {
+                return Admission::ConnectionRefused;
             }
         }
-        if self.busy.len() < self.cores {
-            self.busy.push(job);
-            Taken::Works(self.ends(now, work))
-        } else if self.waiting.len() < self.queue {
-            self.waiting.push_back((job, work));
-            Taken::Waits
+        if self.running.len() < self.cores {
+            self.running.push(job);
+            Admission::Started { ends_at: self.completion_time(now, work) }
+        } else if self.queued.len() < self.queue {
+            self.queued.push_back((job, work));
+            Admission::Queued
         } else {
-            Taken::Full
+            Admission::QueueFull
         }
     }
 
     /// The work that a cold node bears over its time, where it has come to more.
-    fn overrun(&mut self, now: u64, work: f64) -> Option<f64> {
-        let born = self.born.filter(|born| now < born + self.cold)?;
-        self.came.push_back((now, work));
-        self.came_sum += work;
-        while let Some((at, work)) = self.came.front().copied().filter(|(at, _)| at + self.falls_over <= now)
+    fn cold_overload(&mut self, now: u64, work: f64) -> Option<f64> {
+        let started_at = self.started_at.filter(|started_at| now < started_at + self.warm_up)?;
+        self.cold_arrivals.push_back((now, work));
+        self.cold_work += work;
+        while let Some((at, work)) =
+            self.cold_arrivals.front().copied().filter(|(at, _)| at + self.overload_window <= now)
         {
             debug_assert!(at <= now);
-            self.came.pop_front();
-            self.came_sum -= work;
+            self.cold_arrivals.pop_front();
+            self.cold_work -= work;
         }
-        let bears = self.falls_over as f64 * self.cores as f64 * self.warmth(now) * self.falls_at;
-        if now >= born {
-            self.worst = self.worst.max(self.came_sum / bears);
+        let budget =
+            self.overload_window as f64 * self.cores as f64 * self.capacity(now) * self.overload_factor;
+        if now >= started_at {
+            self.peak_overload = self.peak_overload.max(self.cold_work / budget);
         }
-        (now >= born && self.came_sum > bears).then_some(bears)
+        (now >= started_at && self.cold_work > budget).then_some(budget)
     }
 
     /// A request ended or was given up. Gives the one that is begun in its place and when it ends.
-    pub fn done(&mut self, now: u64, job: Job) -> Option<(Job, u64)> {
-        if let Some(at) = self.waiting.iter().position(|(waiting, _)| *waiting == job) {
-            self.waiting.remove(at);
+    pub fn finish(&mut self, now: u64, job: Job) -> Option<(Job, u64)> {
+        if let Some(at) = self.queued.iter().position(|(queued, _)| *queued == job) {
+            self.queued.remove(at);
             return None;
         }
-        let at = self.busy.iter().position(|busy| *busy == job)?;
-        self.busy.swap_remove(at);
-        let (job, work) = self.waiting.pop_front()?;
-        self.busy.push(job);
-        Some((job, self.ends(now, work)))
+        let at = self.running.iter().position(|running| *running == job)?;
+        self.running.swap_remove(at);
+        let (job, work) = self.queued.pop_front()?;
+        self.running.push(job);
+        Some((job, self.completion_time(now, work)))
     }
 
     /// Whether it holds a request.
     #[must_use]
-    pub fn works_on(&self, job: Job) -> bool {
-        self.busy.contains(&job)
+    pub fn is_running(&self, job: Job) -> bool {
+        self.running.contains(&job)
     }
 }
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -1,7 +1,7 @@
 //! A day's result: what was wanted and what became of it, by second and by cause, and what it cost over the whole fleet.
 
-use crate::audit::Fault as Broken;
-use crate::cold::Came;
+use crate::audit::Violation;
+use crate::cold_start::ColdArrivals;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Loss {
     /// Sent where nobody could answer: gone, cut off, silent, broken.
-    NoSight,
+    Unreachable,
     /// It waited too long at a warm node, or found its queue full.
     Queueing,
     /// The same at a cold node.
@@ -21,19 +21,19 @@
     /// Served after its aim.
     Late,
     /// No instance was there to take it.
-    Away,
+    NoInstance,
 }
 
 impl Loss {
     /// All of them, as they are told.
     pub const ALL: [(Loss, &'static str); 7] = [
-        (Loss::NoSight, "no sight"),
+        (Loss::Unreachable, "no sight"),
         (Loss::Queueing, "queueing"),
         (Loss::Cold, "cold"),
         (Loss::Wasted, "wasted"),
         (Loss::Refused, "refused"),
         (Loss::Late, "late"),
-        (Loss::Away, "away"),
+        (Loss::NoInstance, "away"),
     ];
 
     /// Its name.
@@ -120,7 +120,7 @@
     /// What came nearest to the limit of a cold node over all instances, or went furthest beyond, of what instances that
     /// had been told of its start answer for.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cold_peak: Option<Came>,
+    pub cold_peak: Option<ColdArrivals>,
     /// The most connections at one node.
     pub most_connections: usize,
     /// The most requests that one instance held.
@@ -134,7 +134,7 @@
     /// How often each rule was broken.
     pub broken: BTreeMap<String, u64>,
     /// The first cases.
-    pub cases: Vec<Broken>,
+    pub cases: Vec<Violation>,
     /// Each second, where that was asked for.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub seconds: Vec<Second>,
@@ -145,7 +145,7 @@
 
 /// From the end of the last cause, in seconds, until two seconds on end served 95% of the goodput before the first.
 #[must_use]
-pub fn recovery(seconds: &[Second], troubled: Option<(u64, u64)>, lasts: u64) -> Option<f64> {
+pub fn recovery_seconds(seconds: &[Second], troubled: Option<(u64, u64)>, lasts: u64) -> Option<f64> {
     let (first, over) = troubled?;
     let part = |seconds: &[Second]| {
         let (served, wanted) = seconds.iter().fold((0.0, 0.0), |(s, w), n| (s + n.served, w + n.wanted));
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What happens: a fleet, its traffic and a time line of faults, read from TOML with units and checked before use.
 
-use crate::cold::Terms;
+use crate::cold_start::ColdBudget;
 use crate::template::{Template, line_of};
 use anyhow::{Context, Result, anyhow};
 use dunlincleat::api::Span;
@@ -190,13 +190,13 @@
 
 /// Limits of the service that tells of the servers.
 #[derive(Clone, Copy, Debug)]
-pub struct Discovery {
+pub struct DiscoveryLimits {
     /// How late it tells.
-    pub late: Time,
+    pub delay: Time,
     /// Calls a second.
     pub calls_per_s: f64,
     /// Calls that may wait.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Lists come only on request.
     pub on_request: bool,
 }
@@ -204,7 +204,7 @@
 /// How an instance ends before it starts again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum Termination {
     /// It is told to, takes nothing more and finishes what it has.
     Term,
     /// At once, with all that it had.
@@ -367,7 +367,7 @@
         /// How long each step takes.
         step: Time,
         /// How they end.
-        how: How,
+        how: Termination,
         /// After how long the next process serves.
         back: Time,
     },
@@ -455,7 +455,7 @@
 }
 
 /// The grace of a drain.
-pub const GRACE: Span = Span(1_000_000);
+pub const DRAIN_GRACE: Span = Span(1_000_000);
 
 impl Fault {
     /// When it begins, and when its cause is over.
@@ -512,7 +512,7 @@
     }
 
     /// Its part, factor and zones, each with its key, for the checks.
-    fn figures(&self) -> (Option<f64>, Option<f64>, Vec<(&'static str, &str)>) {
+    fn checked_values(&self) -> (Option<f64>, Option<f64>, Vec<(&'static str, &str)>) {
         match self {
             Fault::Death { part, .. }
             | Fault::Deploy { part, .. }
@@ -537,18 +537,18 @@
 }
 
 /// A value at fault: its key, and what is wrong and would be right.
-struct Wrong(String, String);
+struct InvalidValue(String, String);
 
-fn wrong(key: &str, what: impl Into<String>) -> Wrong {
-    Wrong(key.to_owned(), what.into())
+fn invalid(key: &str, what: impl Into<String>) -> InvalidValue {
+    InvalidValue(key.to_owned(), what.into())
 }
 
 /// The key and value of a number outside its range.
-fn within(key: &str, value: f64, range: std::ops::RangeInclusive<f64>) -> Result<(), Wrong> {
+fn within(key: &str, value: f64, range: std::ops::RangeInclusive<f64>) -> Result<(), InvalidValue> {
     if range.contains(&value) {
         return Ok(());
     }
-    Err(wrong(key, format!("{value} is not from {} to {}", range.start(), range.end())))
+    Err(invalid(key, format!("{value} is not from {} to {}", range.start(), range.end())))
 }
 
 impl Scenario {
@@ -568,15 +568,15 @@
     /// As [`Scenario::read`].
     pub fn read_without_ranges(text: &str) -> Result<Scenario> {
         let scenario: Scenario = toml::from_str(text).context("the scenario")?;
-        scenario.check().map_err(|Wrong(key, what)| match line_of(text, &key) {
+        scenario.check().map_err(|InvalidValue(key, what)| match line_of(text, &key) {
             Some(line) => anyhow!("line {line}: {key}: {what}"),
             None => anyhow!("{key}: {what}"),
         })?;
-        scenario.site(0).map(drop).context("the classes")?;
+        scenario.instance_settings(0).map(drop).context("the classes")?;
         Ok(scenario)
     }
 
-    fn check(&self) -> Result<(), Wrong> {
+    fn check(&self) -> Result<(), InvalidValue> {
         let Scenario { fleet, traffic, classes, .. } = self;
         for (key, count) in [
             ("fleet.nodes", fleet.nodes),
@@ -590,10 +590,10 @@
             (Some(rate), None) => within("traffic.rate_per_s", rate, 1e-3..=1e6)?,
             (None, Some(load)) => within("traffic.load", load, 0.01..=10.0)?,
             (Some(_), Some(_)) => {
-                return Err(wrong("traffic.load", "beside rate_per_s; there is one of them"));
+                return Err(invalid("traffic.load", "beside rate_per_s; there is one of them"));
             }
             (None, None) => {
-                return Err(wrong("traffic", "neither rate_per_s nor load; there is one of them"));
+                return Err(invalid("traffic", "neither rate_per_s nor load; there is one of them"));
             }
         }
         within("traffic.hot", traffic.hot, 0.0..=0.999)?;
@@ -611,7 +611,7 @@
             within(key, price, 0.0..=1.0)?;
         }
         if classes.is_empty() {
-            return Err(wrong("class", "none; there is at least one"));
+            return Err(invalid("class", "none; there is at least one"));
         }
         for (n, class) in classes.iter().enumerate() {
             let key = |name: &str| format!("class[{n}].{name}");
@@ -620,7 +620,7 @@
             within(&key("worth"), class.worth, 1e-3..=1e3)?;
             if class.aim.us() > class.deadline.us() {
                 let (aim, deadline) = (format_duration(class.aim.0), format_duration(class.deadline.0));
-                return Err(wrong(&key("aim"), format!("{aim} is over deadline, {deadline}")));
+                return Err(invalid(&key("aim"), format!("{aim} is over deadline, {deadline}")));
             }
         }
         for (n, fault) in self.faults.iter().enumerate() {
@@ -628,15 +628,15 @@
             let (at, _) = fault.span();
             if at > self.lasts.us() {
                 let (at, end) = (format_duration(Span(at)), format_duration(self.lasts.0));
-                return Err(wrong(&key("at"), format!("{at} is after the end, {end}")));
+                return Err(invalid(&key("at"), format!("{at} is after the end, {end}")));
             }
-            let (part, factor, zones) = fault.figures();
+            let (part, factor, zones) = fault.checked_values();
             within(&key("part"), part.unwrap_or(1.0), 1e-6..=1.0)?;
             within(&key("factor"), factor.unwrap_or(1.0), 0.01..=1000.0)?;
             for (name, zone) in zones {
                 if !fleet.zones.iter().any(|known| known == zone) {
                     let known = fleet.zones.join(", ");
-                    return Err(wrong(&key(name), format!("'{zone}' is none of {known}")));
+                    return Err(invalid(&key(name), format!("'{zone}' is none of {known}")));
                 }
             }
             if let Fault::Restarts { steps, .. } = fault {
@@ -651,7 +651,7 @@
 
     /// When the last cause is over, in microseconds from the start, and when the first begins; nothing where there is none.
     #[must_use]
-    pub fn troubled(&self) -> Option<(u64, u64)> {
+    pub fn fault_span(&self) -> Option<(u64, u64)> {
         let spans = || self.faults.iter().map(Fault::span);
         Some((spans().map(|(at, _)| at).min()?, spans().map(|(_, over)| over).max()?))
     }
@@ -665,11 +665,11 @@
 
     /// What a cold node may get.
     #[must_use]
-    pub fn cold_terms(&self) -> Terms {
+    pub fn cold_budget(&self) -> ColdBudget {
         let Fleet { cores, cold_from, cold, falls_at, falls_over, .. } = self.fleet;
-        let over = falls_over.us();
-        let warm_budget = falls_at * cores as f64 * over as f64 / self.mean_work();
-        Terms { from: cold_from, cold: cold.us(), over, warm_budget }
+        let window = falls_over.us();
+        let warm_budget = falls_at * cores as f64 * window as f64 / self.mean_work();
+        ColdBudget { initial_part: cold_from, warm_up: cold.us(), window, warm_budget }
     }
 
     /// First tries a second, over all.
@@ -694,11 +694,11 @@
 
     /// The limits of discovery.
     #[must_use]
-    pub fn discovery(&self) -> Discovery {
-        Discovery {
-            late: self.fleet.list_late,
+    pub fn discovery_limits(&self) -> DiscoveryLimits {
+        DiscoveryLimits {
+            delay: self.fleet.list_late,
             calls_per_s: self.fleet.list_calls_per_s,
-            queue: self.fleet.list_queue,
+            max_queued: self.fleet.list_queue,
             on_request: self.fleet.list_on_request,
         }
     }
@@ -708,7 +708,7 @@
     /// # Errors
     ///
     /// A class has a semantics that is not known.
-    pub fn site(&self, me: usize) -> Result<InstanceSettings> {
+    pub fn instance_settings(&self, me: usize) -> Result<InstanceSettings> {
         let class = |c: &Class| {
             serde_json::json!({
                 "name": c.name, "aim": c.aim.us(), "deadline": c.deadline.us(), "gain": c.worth, "late_worth": 0.5,
@@ -725,7 +725,7 @@
             "limits": {"try_limit": 4, "probes": true, "cancel": true, "connect_timeout": 200_000},
             "deductions": {"probe": self.prices.probe, "handshake": self.prices.handshake,
                 "connection": self.prices.connection, "cross_zone": self.prices.cross_zone},
-            "safety": {"drain_grace": GRACE.0, "cold": self.fleet.cold.us(), "cold_from": self.fleet.cold_from},
+            "safety": {"drain_grace": DRAIN_GRACE.0, "cold": self.fleet.cold.us(), "cold_from": self.fleet.cold_from},
         }))
     }
 }
--- a/crates/fleet/src/template.rs
+++ b/crates/fleet/src/template.rs
@@ -19,22 +19,22 @@
 #[derive(Clone, Debug)]
 pub struct Template {
     text: String,
-    ranges: Vec<Drawn>,
+    ranges: Vec<RangeField>,
 }
 
 #[derive(Clone, Debug)]
-struct Drawn {
-    at: Range<usize>,
+struct RangeField {
+    span: Range<usize>,
     key: String,
-    between: Between,
+    bounds: Bounds,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Between {
-    Whole(i64, i64),
-    Real(f64, f64),
+enum Bounds {
+    Integer(i64, i64),
+    Float(f64, f64),
     /// Microseconds.
-    Time(u64, u64),
+    Duration(u64, u64),
 }
 
 impl Template {
@@ -46,8 +46,8 @@
     pub fn read(text: &str) -> Result<Template> {
         let table = DeTable::parse(text).context("it is no TOML")?;
         let mut ranges = Vec::new();
-        walk_table(text, "", table.get_ref(), &mut ranges)?;
-        ranges.sort_by_key(|range| range.at.start);
+        collect_table(text, "", table.get_ref(), &mut ranges)?;
+        ranges.sort_by_key(|range| range.span.start);
         Ok(Template { text: text.to_owned(), ranges })
     }
 
@@ -60,14 +60,14 @@
     /// The text with each range drawn by this seed.
     #[must_use]
     pub fn sample(&self, seed: u64) -> String {
-        self.with(|key, between| {
+        self.substitute(|key, bounds| {
             let mut hasher = FxHasher::default();
             (seed, key).hash(&mut hasher);
             let mut rng = SmallRng::seed_from_u64(hasher.finish());
-            match between {
-                Between::Whole(from, to) => rng.random_range(from..=to).to_string(),
-                Between::Real(from, to) => real(rng.random_range(from..=to)),
-                Between::Time(from, to) => {
+            match bounds {
+                Bounds::Integer(from, to) => rng.random_range(from..=to).to_string(),
+                Bounds::Float(from, to) => format_float(rng.random_range(from..=to)),
+                Bounds::Duration(from, to) => {
                     format_duration(dunlincleat::api::Span(rng.random_range(from..=to)))
                 }
             }
@@ -77,25 +77,27 @@
     /// The text with all ranges at one end: what holds at both is checked before any day is played.
     #[must_use]
     pub fn at_bound(&self, upper: bool) -> String {
-        self.with(|_, between| match between {
-            Between::Whole(from, to) => if upper { to } else { from }.to_string(),
-            Between::Real(from, to) => real(if upper { to } else { from }),
-            Between::Time(from, to) => format_duration(dunlincleat::api::Span(if upper { to } else { from })),
+        self.substitute(|_, bounds| match bounds {
+            Bounds::Integer(from, to) => if upper { to } else { from }.to_string(),
+            Bounds::Float(from, to) => format_float(if upper { to } else { from }),
+            Bounds::Duration(from, to) => {
+                format_duration(dunlincleat::api::Span(if upper { to } else { from }))
+            }
         })
     }
 
-    fn with(&self, value: impl Fn(&str, Between) -> String) -> String {
+    fn substitute(&self, value: impl Fn(&str, Bounds) -> String) -> String {
         let (mut text, mut done) = (String::with_capacity(self.text.len()), 0);
-        for Drawn { at, key, between } in &self.ranges {
-            text.push_str(&self.text[done..at.start]);
-            let value = value(key, *between);
-            match between {
-                Between::Time(..) => text.push_str(&format!("\"{value}\"")),
-                Between::Whole(..) | Between::Real(..) => text.push_str(&value),
+        for RangeField { span, key, bounds } in &self.ranges {
+            text.push_str(&self.text[done..span.start]);
+            let value = value(key, *bounds);
+            match bounds {
+                Bounds::Duration(..) => text.push_str(&format!("\"{value}\"")),
+                Bounds::Integer(..) | Bounds::Float(..) => text.push_str(&value),
             }
             // An inline table may span lines: those after it keep their numbers.
-            text.extend(self.text[at.clone()].chars().filter(|c| *c == '\n'));
-            done = at.end;
+            text.extend(self.text[span.clone()].chars().filter(|c| *c == '\n'));
+            done = span.end;
         }
         text.push_str(&self.text[done..]);
         text
@@ -103,7 +105,7 @@
 }
 
 /// A float that TOML reads as one.
-fn real(value: f64) -> String {
+fn format_float(value: f64) -> String {
     let text = format!("{value:.6}");
     let text = text.trim_end_matches('0');
     if text.ends_with('.') { format!("{text}0") } else { text.to_owned() }
@@ -139,27 +141,27 @@
     at.map(|at| line_at(text, at))
 }
 
-fn walk_table(text: &str, key: &str, table: &DeTable, ranges: &mut Vec<Drawn>) -> Result<()> {
+fn collect_table(text: &str, key: &str, table: &DeTable, ranges: &mut Vec<RangeField>) -> Result<()> {
     for (name, value) in table {
         let key =
             if key.is_empty() { name.get_ref().to_string() } else { format!("{key}.{}", name.get_ref()) };
-        walk(text, &key, value, ranges)?;
+        collect(text, &key, value, ranges)?;
     }
     Ok(())
 }
 
-fn walk(text: &str, key: &str, value: &Spanned<DeValue>, ranges: &mut Vec<Drawn>) -> Result<()> {
+fn collect(text: &str, key: &str, value: &Spanned<DeValue>, ranges: &mut Vec<RangeField>) -> Result<()> {
     match value.get_ref() {
         DeValue::Array(all) => {
-            all.iter().enumerate().try_for_each(|(n, one)| walk(text, &format!("{key}[{n}]"), one, ranges))
+            all.iter().enumerate().try_for_each(|(n, one)| collect(text, &format!("{key}[{n}]"), one, ranges))
         }
         DeValue::Table(table) if is_range(table) => {
             let line = line_at(text, value.span().start);
-            let between = between(table).with_context(|| format!("line {line}: {key}"))?;
-            ranges.push(Drawn { at: value.span(), key: key.to_owned(), between });
+            let bounds = bounds(table).with_context(|| format!("line {line}: {key}"))?;
+            ranges.push(RangeField { span: value.span(), key: key.to_owned(), bounds });
             Ok(())
         }
-        DeValue::Table(table) => walk_table(text, key, table, ranges),
+        DeValue::Table(table) => collect_table(text, key, table, ranges),
         DeValue::String(_)
         | DeValue::Integer(_)
         | DeValue::Float(_)
@@ -175,30 +177,30 @@
     keys == ["from", "to"]
 }
 
-fn between(table: &DeTable) -> Result<Between> {
-    let end = |name: &str| table.get(name).map(|value| value.get_ref().clone());
-    let (Some(from), Some(to)) = (end("from"), end("to")) else { bail!("a range has from and to") };
+fn bounds(table: &DeTable) -> Result<Bounds> {
+    let bound = |name: &str| table.get(name).map(|value| value.get_ref().clone());
+    let (Some(from), Some(to)) = (bound("from"), bound("to")) else { bail!("a range has from and to") };
     let number = |value: &DeValue| match value {
         DeValue::Integer(n) => n.as_str().replace('_', "").parse::<f64>().ok(),
         DeValue::Float(n) => n.as_str().replace('_', "").parse::<f64>().ok(),
         _ => None,
     };
-    let between = match (&from, &to) {
+    let bounds = match (&from, &to) {
         (DeValue::Integer(a), DeValue::Integer(b)) => {
             let whole = |text: &str| text.replace('_', "").parse::<i64>().ok();
             let (Some(a), Some(b)) = (whole(a.as_str()), whole(b.as_str())) else {
                 bail!("{} to {}: whole numbers are written in tens", a.as_str(), b.as_str())
             };
-            Between::Whole(a, b)
+            Bounds::Integer(a, b)
         }
         (DeValue::String(a), DeValue::String(b)) => {
             let (Some(x), Some(y)) = (parse_duration(a), parse_duration(b)) else {
                 bail!("from '{a}' to '{b}': both ends are durations, as \"80ms\"")
             };
-            Between::Time(x.0, y.0)
+            Bounds::Duration(x.0, y.0)
         }
         (a, b) => match (number(a), number(b)) {
-            (Some(a), Some(b)) if a.is_finite() && b.is_finite() => Between::Real(a, b),
+            (Some(a), Some(b)) if a.is_finite() && b.is_finite() => Bounds::Float(a, b),
             _ => bail!(
                 "a range from {} to {}: both ends are numbers, or both are durations",
                 from.type_str(),
@@ -206,10 +208,10 @@
             ),
         },
     };
-    match between {
-        Between::Whole(from, to) if from > to => bail!("from {from} to {to}: from is at most to"),
-        Between::Real(from, to) if from > to => bail!("from {from} to {to}: from is at most to"),
-        Between::Time(a, b) if a > b => {
+    match bounds {
+        Bounds::Integer(from, to) if from > to => bail!("from {from} to {to}: from is at most to"),
+        Bounds::Float(from, to) if from > to => bail!("from {from} to {to}: from is at most to"),
+        Bounds::Duration(a, b) if a > b => {
             let text = |us| format_duration(dunlincleat::api::Span(us));
             bail!("from {} to {}: from is at most to", text(a), text(b))
         }
--- a/crates/fleet/src/template/tests.rs
+++ b/crates/fleet/src/template/tests.rs
@@ -6,7 +6,7 @@
 
 /// A range added to a scenario once would have made every band of the gate another deployment's.
 #[test]
-fn a_seed_draws_each_range_by_its_key_alone_and_lines_keep_their_numbers() {
+fn a_range_depends_on_seed_and_key_only_and_line_numbers_are_kept() {
     let line = |text: &str, n: usize| text.lines().nth(n).unwrap().to_owned();
     let (short, long) =
         (Template::read(TEXT), Template::read(&format!("{TEXT}f = {{ from = 1, to = 9 }}\n")));
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -5,17 +5,17 @@
 mod instances;
 mod nodes;
 
-use crate::audit::{Auditor, Kind};
-use crate::balancing::{Balancing, In, Out};
+use crate::audit::{AnswerKind, Auditor};
+use crate::balancer::{Balancer, EngineInput, EngineOutput};
 use crate::baseline::{Baseline, Choice};
-use crate::cold::Terms as ColdTerms;
-use crate::discovery::{Answered, Line, Service, Word};
-use crate::links::{Got, Links, Terms};
+use crate::cold_start::ColdBudget;
+use crate::connections::{Acquired, ConnectionLimits, Connections};
+use crate::discovery::{CallOutcome, DiscoveryService, Line, ListChange};
 use crate::mutant::{InjectedFault, Mutant};
-use crate::node::{Job, Mood, Node, Taken};
-use crate::plan::{Chance, Chances, Step, steps};
-use crate::report::{Loss, Mark, Report, Second, recovery};
-use crate::scenario::{Fault, GRACE, How, Scenario};
+use crate::node::{Admission, Job, Node, NodeState};
+use crate::report::{Loss, Mark, Report, Second, recovery_seconds};
+use crate::scenario::{DRAIN_GRACE, Fault, Scenario, Termination};
+use crate::timeline::{Probabilities, RandomFault, Step, steps};
 use anyhow::Result;
 use dunlincleat::api::{Attempt, Discovery, Effect, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Cause, Entry, Follower, Listing, Output as Follow, Timing, WatchId};
@@ -31,20 +31,20 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Unix time at which days begin, in microseconds.
-const START: u64 = 1_800_000_000_000_000;
+const SIMULATION_START_US: u64 = 1_800_000_000_000_000;
 /// Requests that an instance may hold.
-const MOST: u32 = 10_000;
+const MAX_REQUESTS: u32 = 10_000;
 /// The part of a caller's patience that one try gets where it will try again.
-const TRY: f64 = 0.55;
+const TRY_TIMEOUT_PART: f64 = 0.55;
 /// How often a watch brings a sign of life, and within what time a word counts as told.
 const HEARTBEAT: Span = Span(2_000_000);
-const TOLD_WITHIN: Span = Span(6_000_000);
+const KNOWN_WITHIN: Span = Span(6_000_000);
 /// What changes within this time is told in one line, as a release changes many servers at once.
-const TOGETHER: u64 = 20_000;
+const CHANGE_BATCH_US: u64 = 20_000;
 /// How often a caller knocks where no instance is there.
-const KNOCK: u64 = 20_000;
+const RECONNECT_INTERVAL_US: u64 = 20_000;
 /// How long a connection that can't come up is waited for, where nobody says.
-const CONNECT: Span = Span(200_000);
+const DEFAULT_CONNECT_TIMEOUT: Span = Span(200_000);
 
 /// What is under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Try {
+struct ClientRequest {
     caller: u32,
     class: usize,
     work: f64,
@@ -99,70 +99,70 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Ask(u32),
+    NewRequest(u32),
     /// A caller tries again, or knocks where no instance was.
-    Again(Try),
-    Wake(u32),
-    Arrive(Job),
-    Done(Job, usize, u32),
-    Back(Job, Status),
-    Until(Job),
-    GaveUp(u64),
+    Retry(ClientRequest),
+    WakeInstance(u32),
+    AttemptArrives(Job),
+    WorkDone(Job, usize, u32),
+    AttemptEnds(Job, Status),
+    AttemptTimesOut(Job),
+    RequestExpires(u64),
     /// A caller leaves before its time.
-    Leaves(u64),
-    Probed {
+    ClientLeaves(u64),
+    ProbeAnswered {
         instance: u32,
         server: ServerId,
-        asked: PoolId,
+        pool: PoolId,
     },
     /// The follower of an instance has something due.
-    Follow(u32),
-    Line(Box<Line>),
-    WatchEnds(u32, WatchId, Cause),
+    WakeFollower(u32),
+    DiscoveryLine(Box<Line>),
+    WatchEnded(u32, WatchId, Cause),
     /// Open watches bring a sign of life.
-    Beat,
+    DiscoveryHeartbeat,
     /// What changed of late is told.
-    News,
+    PublishChanges,
     /// A second is over.
-    Second,
+    SecondElapsed,
     /// A caller's next instance serves.
-    Up(u32),
+    InstanceStarts(u32),
     /// An instance that was told to end is gone.
-    Gone(u32),
+    InstanceStops(u32),
     Step(Step),
 }
 
-struct Due {
+struct Scheduled {
     at: u64,
-    order: u64,
+    sequence: u64,
     event: Event,
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+impl PartialEq for Scheduled {
+    fn eq(&self, other: &Scheduled) -> bool {
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl Eq for Due {}
+impl Eq for Scheduled {}
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl PartialOrd for Scheduled {
+    fn partial_cmp(&self, other: &Scheduled) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+impl Ord for Scheduled {
+    fn cmp(&self, other: &Scheduled) -> std::cmp::Ordering {
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
 /// A place for a node: its present process, by number of starts, and the name that it is listed under.
-struct Place {
+struct NodeSlot {
     node: Node,
     zone: usize,
-    starts: u32,
+    incarnation: u32,
     uid: u32,
     state: State,
 }
@@ -178,30 +178,30 @@
 struct Instance {
     caller: u32,
     zone: usize,
-    balancing: Box<dyn Balancing>,
+    balancer: Box<dyn Balancer>,
     follower: Follower,
     servers: FxHashMap<ServerId, usize>,
-    wakes: u64,
-    follows: u64,
-    in_hand: usize,
+    next_wake: u64,
+    next_follow: u64,
+    open_requests: usize,
 }
 
-struct Request {
+struct SubmittedRequest {
     instance: u32,
-    asked: Try,
+    origin: ClientRequest,
     answered: bool,
     /// What kept its last attempt from serving it.
     last: Option<Loss>,
 }
 
-struct Flight {
+struct PendingAttempt {
     server: ServerId,
     /// Nothing where no node has ever been there.
     node: Option<usize>,
-    starts: u32,
+    incarnation: u32,
     sent: u64,
     /// It holds a connection, and that is new.
-    link: Option<bool>,
+    connection: Option<bool>,
     /// Its answer can't come.
     lost: bool,
     cold: bool,
@@ -212,35 +212,35 @@
     policy: Policy,
     seed: u64,
     /// What instances are told, before their number and zone.
-    told: Scenario,
+    settings_scenario: Scenario,
     now: u64,
-    order: u64,
-    events: BinaryHeap<Reverse<Due>>,
+    sequence: u64,
+    events: BinaryHeap<Reverse<Scheduled>>,
     rng: SmallRng,
-    places: Vec<Place>,
+    slots: Vec<NodeSlot>,
     callers: Vec<Caller>,
     instances: FxHashMap<u32, Instance>,
     next_instance: u32,
-    requests: FxHashMap<u64, Request>,
-    flights: FxHashMap<Job, Flight>,
-    links: Links,
-    service: Service,
-    cold: ColdTerms,
+    requests: FxHashMap<u64, SubmittedRequest>,
+    pending_attempts: FxHashMap<Job, PendingAttempt>,
+    connections: Connections,
+    service: DiscoveryService,
+    cold_budget: ColdBudget,
     mean_work: f64,
     zones_lost: Vec<bool>,
     /// Ways cut, from instances of a zone to nodes of one.
     cut: Vec<Vec<bool>>,
     rate: f64,
-    burst: f64,
-    shift: Vec<f64>,
-    chances: Chances,
-    gives_up: u64,
-    abuse_tries: u32,
-    next: u64,
+    traffic_factor: f64,
+    zone_factors: Vec<f64>,
+    probabilities: Probabilities,
+    give_up_after: u64,
+    extra_retries: u32,
+    next_request: u64,
     auditor: Auditor,
-    out: Vec<Out>,
+    out: Vec<EngineOutput>,
     lines: Vec<Line>,
-    news_due: bool,
+    publish_scheduled: bool,
     effects: Vec<Effect>,
     tally: Tally,
 }
@@ -257,14 +257,14 @@
     opened: u64,
     calls: u64,
     calls_refused: u64,
-    held: usize,
+    max_open_requests: usize,
     outcomes: BTreeMap<String, u64>,
     seconds: Vec<Second>,
 }
 
 impl Tally {
     fn second(&mut self, at: u64, nodes: usize) -> &mut Second {
-        let n = ((at - START) / 1_000_000) as usize;
+        let n = ((at - SIMULATION_START_US) / 1_000_000) as usize;
         if self.seconds.len() <= n {
             self.seconds.resize_with(n + 1, || Second { arrived: vec![0; nodes], ..Second::default() });
         }
@@ -292,10 +292,10 @@
     seed: u64,
     seconds: bool,
 ) -> Result<Report> {
-    let mut times = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3)?;
+    let mut latencies = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3)?;
     let mut world = World::new(scenario, policy, seed)?;
-    world.run(&mut times)?;
-    Ok(world.report(&times, seconds))
+    world.run(&mut latencies)?;
+    Ok(world.report(&latencies, seconds))
 }
 
 /// The memory that instances hold.
@@ -318,23 +318,23 @@
     seed: u64,
     allocated: fn() -> usize,
 ) -> Result<InstanceMemory> {
-    let mut times = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3)?;
+    let mut latencies = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3)?;
     let mut world = World::new(scenario, policy, seed)?;
-    world.run(&mut times)?;
-    let (instances, with) = (std::mem::take(&mut world.instances), allocated());
+    world.run(&mut latencies)?;
+    let (instances, before_drop) = (std::mem::take(&mut world.instances), allocated());
     let count = instances.len();
     drop(instances);
-    Ok(InstanceMemory { bytes: with.saturating_sub(allocated()), instances: count })
+    Ok(InstanceMemory { bytes: before_drop.saturating_sub(allocated()), instances: count })
 }
 
 /// Who asks how much.
 fn callers(scenario: &Scenario, rng: &mut SmallRng) -> Vec<Caller> {
     let (traffic, zones) = (&scenario.traffic, scenario.fleet.zones.len());
-    let drawn = |rng: &mut SmallRng| match LogNormal::new(0.0, traffic.skew) {
+    let sample = |rng: &mut SmallRng| match LogNormal::new(0.0, traffic.skew) {
         Ok(spread) if traffic.skew > 0.0 => spread.sample(rng),
         _ => 1.0,
     };
-    let mut shares: Vec<f64> = (0..traffic.instances).map(|_| drawn(rng)).collect();
+    let mut shares: Vec<f64> = (0..traffic.instances).map(|_| sample(rng)).collect();
     let hot = usize::from(traffic.hot > 0.0);
     let rest: f64 = shares[hot..].iter().sum();
     shares[hot..].iter_mut().for_each(|share| *share *= (1.0 - traffic.hot) / rest);
@@ -343,8 +343,8 @@
     shares.into_iter().enumerate().map(caller).collect()
 }
 
-fn entry(scenario: &Scenario, places: &[Place], node: usize, uid: u32, state: State, boot: u64) -> Entry {
-    let zone = scenario.fleet.zones[places[node].zone].clone();
+fn entry(scenario: &Scenario, slots: &[NodeSlot], node: usize, uid: u32, state: State, boot: u64) -> Entry {
+    let zone = scenario.fleet.zones[slots[node].zone].clone();
     let host = Ipv4Addr::from(0x7f00_0001 + node as u32);
     let endpoint = (state != State::Removed).then(|| SocketAddr::from((host, 1)));
     let (model, weight) = (String::new(), 1.0);
@@ -354,13 +354,16 @@
 impl<'s> World<'s> {
     /// A day before it begins.
     fn new(scenario: &'s Scenario, policy: Policy, seed: u64) -> Result<World<'s>> {
-        let effects = scenario.site(0)?.settings.classes.iter().map(|class| class.effect).collect();
-        let mut told = scenario.clone();
+        let effects =
+            scenario.instance_settings(0)?.settings.classes.iter().map(|class| class.effect).collect();
+        let mut settings_scenario = scenario.clone();
         match policy {
             Policy::Without(Mechanism::FewServers) => {
-                (told.prices.handshake, told.prices.connection) = (0.0, 0.0)
+                (settings_scenario.prices.handshake, settings_scenario.prices.connection) = (0.0, 0.0)
+            }
+            Policy::Without(Mechanism::Worth) => {
+                settings_scenario.classes.iter_mut().for_each(|class| class.worth = 1.0)
             }
-            Policy::Without(Mechanism::Worth) => told.classes.iter_mut().for_each(|class| class.worth = 1.0),
             Policy::Without(Mechanism::CallQueueing)
             | Policy::Module
             | Policy::Baseline(_)
@@ -369,84 +372,87 @@
         let (fleet, traffic) = (&scenario.fleet, &scenario.traffic);
         let zones = fleet.zones.len();
         let mut rng = SmallRng::seed_from_u64(seed);
-        let place = |n: usize| Place {
-            node: Node::new(fleet).of_mean_work(scenario.mean_work()),
+        let slot = |n: usize| NodeSlot {
+            node: Node::new(fleet).with_mean_work(scenario.mean_work()),
             zone: n % zones,
-            starts: 0,
+            incarnation: 0,
             uid: n as u32,
             state: State::Ready,
         };
-        let places: Vec<Place> = (0..fleet.nodes).map(place).collect();
-        let words = (0..places.len()).map(|node| {
-            let entry = entry(scenario, &places, node, node as u32, State::Ready, 0);
-            Word { rev: 1, entry, node, starts: 0 }
+        let slots: Vec<NodeSlot> = (0..fleet.nodes).map(slot).collect();
+        let changes = (0..slots.len()).map(|node| {
+            let entry = entry(scenario, &slots, node, node as u32, State::Ready, 0);
+            ListChange { rev: 1, entry, node, incarnation: 0 }
         });
-        let service = Service::new(scenario.discovery(), words.collect());
-        let terms = Terms { most: fleet.connections, idle: fleet.idle.map_or(0, |idle| idle.us()) };
+        let service = DiscoveryService::new(scenario.discovery_limits(), changes.collect());
+        let limits = ConnectionLimits {
+            max_per_node: fleet.connections,
+            idle_timeout: fleet.idle.map_or(0, |idle| idle.us()),
+        };
         let callers = callers(scenario, &mut rng);
         let mut world = World {
             scenario,
             policy,
             seed,
-            told,
-            now: START,
-            order: 0,
+            settings_scenario,
+            now: SIMULATION_START_US,
+            sequence: 0,
             events: BinaryHeap::new(),
             rng,
-            links: Links::new(terms, places.len()),
-            places,
+            connections: Connections::new(limits, slots.len()),
+            slots,
             callers,
             instances: FxHashMap::default(),
             next_instance: 0,
             requests: FxHashMap::default(),
-            flights: FxHashMap::default(),
+            pending_attempts: FxHashMap::default(),
             service,
-            cold: scenario.cold_terms(),
+            cold_budget: scenario.cold_budget(),
             mean_work: scenario.mean_work(),
             zones_lost: vec![false; zones],
             cut: vec![vec![false; zones]; zones],
             rate: scenario.rate(),
-            burst: 1.0,
-            shift: vec![1.0; zones],
-            chances: Chances::default(),
-            gives_up: 0,
-            abuse_tries: 0,
-            next: 0,
+            traffic_factor: 1.0,
+            zone_factors: vec![1.0; zones],
+            probabilities: Probabilities::default(),
+            give_up_after: 0,
+            extra_retries: 0,
+            next_request: 0,
             auditor: Auditor::default(),
             out: Vec::new(),
             lines: Vec::new(),
-            news_due: false,
+            publish_scheduled: false,
             effects,
             tally: Tally::default(),
         };
         for caller in 0..traffic.instances as u32 {
-            let known = world.service.listing();
-            world.start(caller, known)?;
-            world.next_ask(caller);
+            let listing = world.service.listing();
+            world.start_instance(caller, listing)?;
+            world.schedule_next_request(caller);
         }
         Ok(world)
     }
 
-    fn at(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse(Due { at, order: self.order, event }));
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse(Scheduled { at, sequence: self.sequence, event }));
     }
 
-    fn run(&mut self, times: &mut Histogram<u64>) -> Result<()> {
+    fn run(&mut self, latencies: &mut Histogram<u64>) -> Result<()> {
         for (at, step) in steps(self.scenario, &mut self.rng) {
-            self.at(START + at, Event::Step(step));
+            self.schedule(SIMULATION_START_US + at, Event::Step(step));
         }
-        self.at(START + HEARTBEAT.0, Event::Beat);
-        self.at(START + 1_000_000, Event::Second);
-        let end = START + self.scenario.lasts.us();
+        self.schedule(SIMULATION_START_US + HEARTBEAT.0, Event::DiscoveryHeartbeat);
+        self.schedule(SIMULATION_START_US + 1_000_000, Event::SecondElapsed);
+        let end = SIMULATION_START_US + self.scenario.lasts.us();
         // Nobody asks any more, and all that was asked is answered.
         let over = end + 2 * self.longest() + 1_000_000;
-        while let Some(Reverse(Due { at, event, .. })) = self.events.pop() {
+        while let Some(Reverse(Scheduled { at, event, .. })) = self.events.pop() {
             if at > over {
                 break;
             }
             self.now = at;
-            self.happen(event, end, times)?;
+            self.handle(event, end, latencies)?;
         }
         Ok(())
     }
@@ -455,188 +461,192 @@
         self.scenario.classes.iter().map(|c| c.deadline.us()).max().unwrap_or(0)
     }
 
-    fn happen(&mut self, event: Event, end: u64, times: &mut Histogram<u64>) -> Result<()> {
+    fn handle(&mut self, event: Event, end: u64, latencies: &mut Histogram<u64>) -> Result<()> {
         match event {
-            Event::Ask(caller) => {
+            Event::NewRequest(caller) => {
                 if self.now < end {
-                    self.ask(caller);
-                    self.next_ask(caller);
+                    self.new_request(caller);
+                    self.schedule_next_request(caller);
                 }
             }
-            Event::Again(asked) => self.take(asked),
-            Event::Wake(instance) => {
+            Event::Retry(request) => self.submit(request),
+            Event::WakeInstance(instance) => {
                 let now = self.now;
-                let Some(of) = self.instances.get_mut(&instance).filter(|of| of.wakes == now) else {
+                let Some(state) = self.instances.get_mut(&instance).filter(|state| state.next_wake == now)
+                else {
                     return Ok(());
                 };
-                of.wakes = u64::MAX;
+                state.next_wake = u64::MAX;
                 let mut out = std::mem::take(&mut self.out);
-                of.balancing.wake(Time(now), &mut out);
-                self.carry_out(instance, out);
+                state.balancer.wake(Time(now), &mut out);
+                self.execute(instance, out);
             }
-            Event::Arrive(job) => self.arrive(job),
-            Event::Done(job, node, starts) => self.done(job, node, starts),
-            Event::Back(job, status) => self.ended(job, status, times),
-            Event::Until(job) => self.ended(job, Status::Timeout, times),
-            Event::GaveUp(id) => {
-                self.auditor.gave_up(id, self.now);
-                if let Some((asked, last)) = self.settle(id) {
+            Event::AttemptArrives(job) => self.attempt_arrives(job),
+            Event::WorkDone(job, node, incarnation) => self.finish_work(job, node, incarnation),
+            Event::AttemptEnds(job, status) => self.finish_attempt(job, status, latencies),
+            Event::AttemptTimesOut(job) => self.finish_attempt(job, Status::Timeout, latencies),
+            Event::RequestExpires(id) => {
+                self.auditor.client_timed_out(id, self.now);
+                if let Some((request, last)) = self.settle(id) {
                     self.tally.failed += 1;
-                    self.lose(asked, last.unwrap_or(Loss::Queueing));
+                    self.record_loss(request, last.unwrap_or(Loss::Queueing));
                     let instance = self.requests[&id].instance;
-                    self.tell(instance, Input::ClientLeft(RequestId(id)));
+                    self.notify(instance, Input::ClientLeft(RequestId(id)));
                 }
                 self.requests.remove(&id);
             }
-            Event::Leaves(id) => {
-                if let Some((asked, _)) = self.settle(id) {
-                    self.auditor.left(id);
+            Event::ClientLeaves(id) => {
+                if let Some((request, _)) = self.settle(id) {
+                    self.auditor.client_left(id);
                     self.tally.failed += 1;
-                    self.lose(asked, Loss::Wasted);
+                    self.record_loss(request, Loss::Wasted);
                     let instance = self.requests[&id].instance;
-                    self.tell(instance, Input::ClientLeft(RequestId(id)));
+                    self.notify(instance, Input::ClientLeft(RequestId(id)));
                 }
             }
-            Event::Probed { instance, server, asked } => self.probed(instance, server, asked),
-            Event::Follow(instance) => {
+            Event::ProbeAnswered { instance, server, pool } => self.probe_answered(instance, server, pool),
+            Event::WakeFollower(instance) => {
                 let now = self.now;
-                if let Some(of) = self.instances.get_mut(&instance).filter(|of| of.follows == now) {
-                    of.follows = u64::MAX;
-                    self.follow(instance, None);
+                if let Some(state) =
+                    self.instances.get_mut(&instance).filter(|state| state.next_follow == now)
+                {
+                    state.next_follow = u64::MAX;
+                    self.drive_follower(instance, None);
                 }
             }
-            Event::Line(line) => {
-                let Line { instance, watch, listing, words, .. } = *line;
-                if self.service.holds(instance, watch) && self.instances.contains_key(&instance) {
-                    for (node, starts, state) in words {
-                        self.auditor.told(instance, node, starts, state != State::Ready, self.now);
+            Event::DiscoveryLine(line) => {
+                let Line { instance, watch, listing, nodes, .. } = *line;
+                if self.service.is_open(instance, watch) && self.instances.contains_key(&instance) {
+                    for (node, incarnation, state) in nodes {
+                        self.auditor.listed(instance, node, incarnation, state != State::Ready, self.now);
                     }
-                    self.follow(instance, Some(dunlincleat_directory::Input::Line(watch, listing)));
+                    self.drive_follower(instance, Some(dunlincleat_directory::Input::Line(watch, listing)));
                 }
             }
-            Event::WatchEnds(instance, watch, cause) => {
-                self.follow(instance, Some(dunlincleat_directory::Input::Ended(watch, cause)));
+            Event::WatchEnded(instance, watch, cause) => {
+                self.drive_follower(instance, Some(dunlincleat_directory::Input::Ended(watch, cause)));
             }
-            Event::Beat => {
-                self.news(true);
-                self.at(self.now + HEARTBEAT.0, Event::Beat);
+            Event::DiscoveryHeartbeat => {
+                self.publish_changes(true);
+                self.schedule(self.now + HEARTBEAT.0, Event::DiscoveryHeartbeat);
             }
-            Event::News => {
-                self.news_due = false;
-                self.news(false);
+            Event::PublishChanges => {
+                self.publish_scheduled = false;
+                self.publish_changes(false);
             }
-            Event::Second => {
-                self.links.sweep(self.now);
-                let (opened, held) = (self.links.take_opened(), self.links.held() as u64);
+            Event::SecondElapsed => {
+                self.connections.close_idle(self.now);
+                let (opened, held) =
+                    (self.connections.take_opened_count(), self.connections.open_count() as u64);
                 let (calls, refused) = self.service.take_calls();
                 (self.tally.opened, self.tally.calls) =
                     (self.tally.opened + opened, self.tally.calls + calls);
                 self.tally.calls_refused += refused;
-                let nodes = self.places.len();
+                let nodes = self.slots.len();
                 let second = self.tally.second(self.now - 1, nodes);
                 (second.opened, second.held, second.calls) = (opened, held, calls);
-                self.at(self.now + 1_000_000, Event::Second);
+                self.schedule(self.now + 1_000_000, Event::SecondElapsed);
             }
-            Event::Up(caller) => {
-                let known = self.service.listing();
-                self.start(caller, known)?;
+            Event::InstanceStarts(caller) => {
+                let listing = self.service.listing();
+                self.start_instance(caller, listing)?;
             }
-            Event::Gone(instance) => self.instance_ends(instance),
-            Event::Step(step) => self.step(step)?,
+            Event::InstanceStops(instance) => self.end_instance(instance),
+            Event::Step(step) => self.apply_step(step)?,
         }
         Ok(())
     }
 
-    fn step(&mut self, step: Step) -> Result<()> {
+    fn apply_step(&mut self, step: Step) -> Result<()> {
         match step {
-            Step::Die(node) => self.down(node),
-            Step::Return(node) => {
+            Step::NodeDies(node) => self.stop_node(node),
+            Step::NodeReturns(node) => {
                 // It was replaced meanwhile: there is nothing to come back.
-                if self.places[node].node.mood == Mood::Dead {
-                    self.anew(node);
+                if self.slots[node].node.state == NodeState::Dead {
+                    self.start_node(node);
                 }
             }
             Step::Replace(node) => {
-                self.down(node);
-                let uid = self.places[node].uid;
-                self.list(node, uid, State::Removed, 0);
-                self.places[node].uid += self.places.len() as u32;
-                self.anew(node);
+                self.stop_node(node);
+                let uid = self.slots[node].uid;
+                self.list_change(node, uid, State::Removed, 0);
+                self.slots[node].uid += self.slots.len() as u32;
+                self.start_node(node);
             }
             Step::Drain(node) => {
-                self.places[node].state = State::Draining;
-                let uid = self.places[node].uid;
-                let boot = self.places[node].node.born.unwrap_or(0);
-                self.list(node, uid, State::Draining, boot);
+                self.slots[node].state = State::Draining;
+                let uid = self.slots[node].uid;
+                let boot = self.slots[node].node.started_at.unwrap_or(0);
+                self.list_change(node, uid, State::Draining, boot);
             }
-            Step::Mood(node, mood) => {
-                if self.places[node].node.mood != Mood::Dead {
-                    self.places[node].node.mood = mood;
+            Step::SetState(node, state) => {
+                if self.slots[node].node.state != NodeState::Dead {
+                    self.slots[node].node.state = state;
                 }
             }
-            Step::Slow(node, factor) => self.places[node].node.slow = factor,
-            Step::Still(node, each) => self.places[node].node.still = self.now + each,
-            Step::Zone(zone, lost) => self.zones_lost[zone] = lost,
-            Step::ZoneAnew(zone) => {
-                for node in 0..self.places.len() {
-                    if self.places[node].zone == zone && self.places[node].node.mood != Mood::Dead {
-                        self.down(node);
-                        self.anew(node);
+            Step::Slow(node, factor) => self.slots[node].node.slowdown = factor,
+            Step::Stall(node, each) => self.slots[node].node.stalled_until = self.now + each,
+            Step::ZoneUnreachable(zone, lost) => self.zones_lost[zone] = lost,
+            Step::RestartZone(zone) => {
+                for node in 0..self.slots.len() {
+                    if self.slots[node].zone == zone && self.slots[node].node.state != NodeState::Dead {
+                        self.stop_node(node);
+                        self.start_node(node);
                     }
                 }
             }
             Step::Cut(from, to, cut) => self.cut[from][to] = cut,
-            Step::List(silent) => {
-                self.service.silence(silent);
+            Step::DiscoverySilent(silent) => {
+                self.service.set_silent(silent);
                 if !silent {
-                    self.news(false);
+                    self.publish_changes(false);
                 }
             }
-            Step::Burst(factor) => self.burst *= factor,
-            Step::Shift(zone, factor) => self.shift[zone] *= factor,
-            Step::Chance(chance, part) => self.chances.set(chance, part),
-            Step::GivesUp(after) => self.gives_up = after,
-            Step::Tries(tries) => self.abuse_tries = tries,
-            Step::Restart(caller, how, back) => {
+            Step::ScaleTraffic(factor) => self.traffic_factor *= factor,
+            Step::ScaleZoneTraffic(zone, factor) => self.zone_factors[zone] *= factor,
+            Step::SetProbability(fault, probability) => self.probabilities.set(fault, probability),
+            Step::SetGiveUpAfter(after) => self.give_up_after = after,
+            Step::SetExtraRetries(tries) => self.extra_retries = tries,
+            Step::RestartInstance(caller, termination, back) => {
                 let Some(instance) = self.callers[caller].instance else { return Ok(()) };
-                match how {
-                    How::Death => self.instance_ends(instance),
-                    How::Term => {
+                match termination {
+                    Termination::Death => self.end_instance(instance),
+                    Termination::Term => {
                         self.callers[caller].instance = None;
-                        self.at(self.now + self.longest() + 1_000_000, Event::Gone(instance));
+                        self.schedule(self.now + self.longest() + 1_000_000, Event::InstanceStops(instance));
                     }
                 }
-                self.at(self.now + back, Event::Up(caller as u32));
+                self.schedule(self.now + back, Event::InstanceStarts(caller as u32));
             }
-            Step::Reload(factor) => {
-                for class in &mut self.told.classes {
+            Step::ScaleAims(factor) => {
+                for class in &mut self.settings_scenario.classes {
                     let aim = (class.aim.us() as f64 * factor) as u64;
                     class.aim.0 = Span(aim.clamp(1, class.deadline.us()));
                 }
                 for caller in 0..self.callers.len() as u32 {
                     let Some(instance) = self.callers[caller as usize].instance else { continue };
-                    let site = std::sync::Arc::new(self.site(caller)?);
-                    self.tell(instance, Input::Settings { site, shadow: None });
+                    let settings = std::sync::Arc::new(self.instance_settings(caller)?);
+                    self.notify(instance, Input::Settings { site: settings, shadow: None });
                 }
             }
         }
         Ok(())
     }
 
-    fn report(self, times: &Histogram<u64>, seconds: bool) -> Report {
+    fn report(self, latencies: &Histogram<u64>, seconds: bool) -> Report {
         let Tally { wanted, in_time, late, refused, failed, attempts, probes, outcomes, .. } = self.tally;
         let lasts = self.scenario.lasts.us();
-        let mut played = self.tally.seconds;
+        let mut seconds_in_run = self.tally.seconds;
         // What comes after the last request is asked belongs to no second of the day.
-        played.truncate(lasts.div_ceil(1_000_000) as usize);
+        seconds_in_run.truncate(lasts.div_ceil(1_000_000) as usize);
         let part = |count: u64| count as f64 / wanted.max(1) as f64;
-        let worth_wanted: f64 = played.iter().map(|s| s.wanted).sum();
-        let of_worth = |worth: f64| if worth_wanted > 0.0 { worth / worth_wanted } else { 0.0 };
+        let worth_wanted: f64 = seconds_in_run.iter().map(|s| s.wanted).sum();
+        let part_of_wanted = |worth: f64| if worth_wanted > 0.0 { worth / worth_wanted } else { 0.0 };
         let mut losses: BTreeMap<String, f64> = BTreeMap::new();
-        for (name, worth) in played.iter().flat_map(|second| &second.lost) {
+        for (name, worth) in seconds_in_run.iter().flat_map(|second| &second.lost) {
             *losses.entry(name.clone()).or_default() += worth;
         }
-        losses.values_mut().for_each(|worth| *worth = of_worth(*worth));
+        losses.values_mut().for_each(|worth| *worth = part_of_wanted(*worth));
         let minutes = lasts as f64 / 60e6 * self.callers.len() as f64;
         let cold_peak = self.auditor.cold_peak();
         let (broken, cases) = self.auditor.found();
@@ -659,7 +669,7 @@
             },
             seed: self.seed,
             wanted,
-            worth: of_worth(played.iter().map(|s| s.served).sum()),
+            worth: part_of_wanted(seconds_in_run.iter().map(|s| s.served).sum()),
             in_time: part(in_time),
             late: part(late),
             refused: part(refused),
@@ -669,20 +679,20 @@
             connections: part(self.tally.opened),
             list_calls: self.tally.calls as f64 / minutes.max(1e-9),
             list_refused: self.tally.calls_refused as f64 / self.tally.calls.max(1) as f64,
-            p50_ms: times.value_at_quantile(0.5) as f64 / 1e3,
-            p99_ms: times.value_at_quantile(0.99) as f64 / 1e3,
-            recovery_s: recovery(&played, self.scenario.troubled(), lasts),
-            worst_cold: self.places.iter().map(|place| place.node.worst).fold(0.0, f64::max),
+            p50_ms: latencies.value_at_quantile(0.5) as f64 / 1e3,
+            p99_ms: latencies.value_at_quantile(0.99) as f64 / 1e3,
+            recovery_s: recovery_seconds(&seconds_in_run, self.scenario.fault_span(), lasts),
+            worst_cold: self.slots.iter().map(|slot| slot.node.peak_overload).fold(0.0, f64::max),
             cold_peak,
-            most_connections: self.links.most_at_one(),
-            held: self.tally.held,
+            most_connections: self.connections.peak_per_node(),
+            held: self.tally.max_open_requests,
             losses,
             outcomes,
-            worth_by_second: played.iter().map(|s| s.served / s.wanted.max(1e-9)).collect(),
+            worth_by_second: seconds_in_run.iter().map(|s| s.served / s.wanted.max(1e-9)).collect(),
             broken: broken.into_iter().map(|(rule, count)| (rule.to_owned(), count)).collect(),
             cases,
             marks: if seconds { self.scenario.faults.iter().map(mark).collect() } else { Vec::new() },
-            seconds: if seconds { played } else { Vec::new() },
+            seconds: if seconds { seconds_in_run } else { Vec::new() },
         }
     }
 }
--- a/crates/fleet/src/world/callers.rs
+++ b/crates/fleet/src/world/callers.rs
@@ -3,19 +3,19 @@
 use super::*;
 
 impl World<'_> {
-    pub(super) fn next_ask(&mut self, caller: u32) {
+    pub(super) fn schedule_next_request(&mut self, caller: u32) {
         let Caller { zone, share, .. } = self.callers[caller as usize];
-        let rate = self.rate * share * self.burst * self.shift[zone] / 1e6;
+        let rate = self.rate * share * self.traffic_factor * self.zone_factors[zone] / 1e6;
         if let Ok(gap) = Exp::new(rate) {
             let gap = gap.sample(&mut self.rng).min(1e12) as u64;
-            self.at(self.now + gap, Event::Ask(caller));
+            self.schedule(self.now + gap, Event::NewRequest(caller));
         }
     }
 
-    pub(super) fn work(&mut self, class: usize) -> f64 {
+    pub(super) fn sample_work(&mut self, class: usize) -> f64 {
         let class = &self.scenario.classes[class];
         let mean = class.work.us() as f64;
-        let drawn = if class.exponential {
+        let sample = if class.exponential {
             Exp::new(1.0 / mean).map(|d| d.sample(&mut self.rng))
         } else {
             let sigma = class.spread;
@@ -24,10 +24,10 @@
                 .map(|d| d.sample(&mut self.rng))
                 .map_err(|_| rand_distr::ExpError::LambdaTooSmall)
         };
-        drawn.unwrap_or(mean)
+        sample.unwrap_or(mean)
     }
 
-    pub(super) fn ask(&mut self, caller: u32) {
+    pub(super) fn new_request(&mut self, caller: u32) {
         let shares: f64 = self.scenario.classes.iter().map(|c| c.share).sum();
         let mut draw = self.rng.random_range(0.0..shares);
         let class = self.scenario.classes.iter().position(|c| {
@@ -35,112 +35,121 @@
             draw < 0.0
         });
         let class = class.unwrap_or(0);
-        let work = self.work(class);
+        let work = self.sample_work(class);
         self.tally.wanted += 1;
-        let (worth, nodes) = (self.scenario.classes[class].worth, self.places.len());
+        let (worth, nodes) = (self.scenario.classes[class].worth, self.slots.len());
         self.tally.second(self.now, nodes).wanted += worth;
-        self.take(Try { caller, class, work, first: self.now, tries: 0 });
+        self.submit(ClientRequest { caller, class, work, first: self.now, tries: 0 });
     }
 
     /// A caller's request reaches its instance, or nobody.
-    pub(super) fn take(&mut self, asked: Try) {
-        let class = &self.scenario.classes[asked.class];
+    pub(super) fn submit(&mut self, request: ClientRequest) {
+        let class = &self.scenario.classes[request.class];
         let (aim, deadline) = (class.aim.us(), class.deadline.us());
-        let left = (asked.first + deadline).saturating_sub(self.now);
-        let Some(instance) = self.callers[asked.caller as usize].instance else {
-            if left > KNOCK {
-                return self.at(self.now + KNOCK, Event::Again(asked));
+        let left = (request.first + deadline).saturating_sub(self.now);
+        let Some(instance) = self.callers[request.caller as usize].instance else {
+            if left > RECONNECT_INTERVAL_US {
+                return self.schedule(self.now + RECONNECT_INTERVAL_US, Event::Retry(request));
             }
             self.tally.failed += 1;
-            return self.lose(asked, Loss::Away);
+            return self.record_loss(request, Loss::NoInstance);
         };
-        let id = self.next;
-        self.next += 1;
-        let wait =
-            if self.scenario.traffic.retries > 0 { left.min((deadline as f64 * TRY) as u64) } else { left };
-        self.auditor.taken(id, self.now, self.effects[asked.class], aim, self.now + wait);
-        self.requests.insert(id, Request { instance, asked, answered: false, last: None });
-        self.at(self.now + wait + crate::audit::SLACK + 1, Event::GaveUp(id));
-        if self.chances.falls(Chance::GivesUp, &mut self.rng) && self.gives_up < wait {
-            self.at(self.now + self.gives_up, Event::Leaves(id));
+        let id = self.next_request;
+        self.next_request += 1;
+        let wait = if self.scenario.traffic.retries > 0 {
+            left.min((deadline as f64 * TRY_TIMEOUT_PART) as u64)
+        } else {
+            left
+        };
+        self.auditor.request_received(id, self.now, self.effects[request.class], aim, self.now + wait);
+        self.requests.insert(id, SubmittedRequest { instance, origin: request, answered: false, last: None });
+        self.schedule(self.now + wait + crate::audit::SLACK_US + 1, Event::RequestExpires(id));
+        if self.probabilities.occurs(RandomFault::ClientGivesUp, &mut self.rng) && self.give_up_after < wait {
+            self.schedule(self.now + self.give_up_after, Event::ClientLeaves(id));
         }
-        let guess = self.scenario.traffic.hints.map(|sigma| {
-            let off = LogNormal::new(0.0, sigma).map_or(1.0, |spread| spread.sample(&mut self.rng));
-            Span((asked.work * off) as u64)
+        let hint = self.scenario.traffic.hints.map(|sigma| {
+            let error = LogNormal::new(0.0, sigma).map_or(1.0, |spread| spread.sample(&mut self.rng));
+            Span((request.work * error) as u64)
         });
-        let (number, repeat) = (asked.class as u32, asked.tries > 0);
+        let (class_id, repeat) = (request.class as u32, request.tries > 0);
         let wait = Span(wait);
-        let ask = RequestInfo { class: number, tenant: 0, wait, hint: guess, key: None, repeat, rule: None };
-        if let Some(of) = self.instances.get_mut(&instance) {
-            of.in_hand += 1;
-            self.tally.held = self.tally.held.max(of.in_hand);
+        let info = RequestInfo { class: class_id, tenant: 0, wait, hint, key: None, repeat, rule: None };
+        if let Some(state) = self.instances.get_mut(&instance) {
+            state.open_requests += 1;
+            self.tally.max_open_requests = self.tally.max_open_requests.max(state.open_requests);
         }
         let received = Time(self.now);
-        self.tell(instance, Input::Request { id: RequestId(id), info: ask, received, payload: id });
+        self.notify(instance, Input::Request { id: RequestId(id), info, received, payload: id });
     }
 
     /// A request will not be served: its worth is lost, for this cause.
-    pub(super) fn lose(&mut self, asked: Try, loss: Loss) {
-        let (worth, nodes) = (self.scenario.classes[asked.class].worth, self.places.len());
-        let lost = &mut self.tally.second(asked.first, nodes).lost;
+    pub(super) fn record_loss(&mut self, request: ClientRequest, loss: Loss) {
+        let (worth, nodes) = (self.scenario.classes[request.class].worth, self.slots.len());
+        let lost = &mut self.tally.second(request.first, nodes).lost;
         *lost.entry(loss.name().to_owned()).or_default() += worth;
     }
 
     /// Nobody waits for it any more, or it has its answer.
-    pub(super) fn settle(&mut self, id: u64) -> Option<(Try, Option<Loss>)> {
+    pub(super) fn settle(&mut self, id: u64) -> Option<(ClientRequest, Option<Loss>)> {
         let request = self.requests.get_mut(&id).filter(|request| !request.answered)?;
         request.answered = true;
-        let (instance, asked, last) = (request.instance, request.asked, request.last);
-        if let Some(of) = self.instances.get_mut(&instance) {
-            of.in_hand -= 1;
+        let (instance, request, last) = (request.instance, request.origin, request.last);
+        if let Some(state) = self.instances.get_mut(&instance) {
+            state.open_requests -= 1;
         }
-        Some((asked, last))
+        Some((request, last))
     }
 
     pub(super) fn answer(&mut self, id: u64, answer: &Answer<u64>) {
         let kind = match answer {
-            Answer::Served(body) => Kind::Served(*body),
-            Answer::Refused { .. } => Kind::Refused,
-            Answer::Failed => Kind::Failed,
+            Answer::Served(body) => AnswerKind::Served(*body),
+            Answer::Refused { .. } => AnswerKind::Refused,
+            Answer::Failed => AnswerKind::Failed,
         };
-        self.auditor.answered(id, self.now, kind);
-        let Some((asked, last)) = self.settle(id) else { return };
-        let spec = &self.scenario.classes[asked.class];
-        if let Kind::Served(_) = kind {
-            let in_time = self.now - asked.first <= spec.aim.us();
-            let (worth, nodes) = (spec.worth, self.places.len());
+        self.auditor.request_answered(id, self.now, kind);
+        let Some((request, last)) = self.settle(id) else { return };
+        let spec = &self.scenario.classes[request.class];
+        if let AnswerKind::Served(_) = kind {
+            let in_time = self.now - request.first <= spec.aim.us();
+            let (worth, nodes) = (spec.worth, self.slots.len());
             let part = if in_time { 1.0 } else { 0.5 };
             *(if in_time { &mut self.tally.in_time } else { &mut self.tally.late }) += 1;
-            self.tally.second(asked.first, nodes).served += part * worth;
+            self.tally.second(request.first, nodes).served += part * worth;
             if !in_time {
-                let lost = &mut self.tally.second(asked.first, nodes).lost;
+                let lost = &mut self.tally.second(request.first, nodes).lost;
                 *lost.entry(Loss::Late.name().to_owned()).or_default() += worth - part * worth;
             }
             return;
         }
-        let harmless = kind == Kind::Refused || self.effects[asked.class] != Effect::Unsafe;
-        self.unserved(asked, harmless, kind == Kind::Refused, last.unwrap_or(Loss::Refused));
+        let harmless = kind == AnswerKind::Refused || self.effects[request.class] != Effect::Unsafe;
+        self.retry_or_fail(request, harmless, kind == AnswerKind::Refused, last.unwrap_or(Loss::Refused));
     }
 
     /// A try brought no answer: the caller tries again where it may, or is done.
-    pub(super) fn unserved(&mut self, asked: Try, harmless: bool, refused: bool, loss: Loss) {
+    pub(super) fn retry_or_fail(
+        &mut self,
+        request: ClientRequest,
+        harmless: bool,
+        refused: bool,
+        loss: Loss,
+    ) {
         let traffic = &self.scenario.traffic;
         let backoff = traffic.backoff.map_or(0, |b| b.us());
-        let mut most = traffic.retries;
+        let mut max_tries = traffic.retries;
         let mut wait = (backoff as f64 * self.rng.random_range(0.5..1.5)) as u64;
-        if self.chances.falls(Chance::Abuse, &mut self.rng) {
-            (most, wait) = (most + self.abuse_tries, wait / 10);
+        if self.probabilities.occurs(RandomFault::AggressiveRetry, &mut self.rng) {
+            (max_tries, wait) = (max_tries + self.extra_retries, wait / 10);
         }
-        let deadline = self.scenario.classes[asked.class].deadline.us();
-        if harmless && asked.tries < most && self.now + wait < asked.first + deadline {
-            let again = Try { tries: asked.tries + 1, ..asked };
-            return self.at(self.now + wait, Event::Again(again));
+        let deadline = self.scenario.classes[request.class].deadline.us();
+        if harmless && request.tries < max_tries && self.now + wait < request.first + deadline {
+            let again = ClientRequest { tries: request.tries + 1, ..request };
+            return self.schedule(self.now + wait, Event::Retry(again));
         }
         if refused {
             self.tally.refused += 1;
         } else {
             self.tally.failed += 1;
         }
-        self.lose(asked, loss);
+        self.record_loss(request, loss);
     }
 }
--- a/crates/fleet/src/world/instances.rs
+++ b/crates/fleet/src/world/instances.rs
@@ -4,83 +4,84 @@
 
 impl World<'_> {
     /// What an instance of a caller is told.
-    pub(super) fn site(&self, caller: u32) -> Result<InstanceSettings> {
-        self.told.site(caller as usize)
+    pub(super) fn instance_settings(&self, caller: u32) -> Result<InstanceSettings> {
+        self.settings_scenario.instance_settings(caller as usize)
     }
 
     /// A process begins for a caller, with the list as it was last held.
-    pub(super) fn start(&mut self, caller: u32, known: Listing) -> Result<()> {
-        let site = self.site(caller)?;
+    pub(super) fn start_instance(&mut self, caller: u32, listing: Listing) -> Result<()> {
+        let settings = self.instance_settings(caller)?;
         let number = self.next_instance;
         self.next_instance += 1;
         let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(u64::from(number));
-        let engine = || Engine::<u64, u64>::new(&site, seed, MOST);
-        let balancing: Box<dyn Balancing> = match self.policy {
+        let engine = || Engine::<u64, u64>::new(&settings, seed, MAX_REQUESTS);
+        let balancer: Box<dyn Balancer> = match self.policy {
             Policy::Module | Policy::Without(_) => Box::new(engine()),
-            Policy::Baseline(choice) => Box::new(Baseline::new(choice, &site, seed)),
+            Policy::Baseline(choice) => Box::new(Baseline::new(choice, &settings, seed)),
             // What one instance takes for itself shows beside others that keep to their part.
             Policy::Mutant(InjectedFault::TakesBudget) if caller > 0 => Box::new(engine()),
-            Policy::Mutant(fault) => Box::new(Mutant::new(engine(), fault, self.scenario.cold_terms())),
+            Policy::Mutant(fault) => Box::new(Mutant::new(engine(), fault, self.scenario.cold_budget())),
         };
-        let mut timing = Timing::derive(HEARTBEAT, TOLD_WITHIN, GRACE);
+        let mut timing = Timing::derive(HEARTBEAT, KNOWN_WITHIN, DRAIN_GRACE);
         if self.policy == Policy::Without(Mechanism::CallQueueing) {
             timing.staleness_bound = timing.call_timeout;
         }
         let mode = if self.scenario.fleet.list_on_request { Discovery::OnRequest } else { Discovery::Pushed };
         let at = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
-        let (follower, delivery) = Follower::new(Time(self.now), timing, mode, at, seed, known);
+        let (follower, delivery) = Follower::new(Time(self.now), timing, mode, at, seed, listing);
         let zone = self.callers[caller as usize].zone;
         let servers = FxHashMap::default();
-        let (wakes, follows) = (u64::MAX, u64::MAX);
-        let instance = Instance { caller, zone, balancing, follower, servers, wakes, follows, in_hand: 0 };
+        let (next_wake, next_follow) = (u64::MAX, u64::MAX);
+        let instance =
+            Instance { caller, zone, balancer, follower, servers, next_wake, next_follow, open_requests: 0 };
         self.instances.insert(number, instance);
         self.callers[caller as usize].instance = Some(number);
-        for (node, start) in self.service.starts() {
-            self.auditor.knew(number, node, start);
+        for (node, start) in self.service.listed_incarnations() {
+            self.auditor.initially_listed(number, node, start);
         }
-        self.tell(number, Input::ServerList(delivery));
-        self.follow(number, None);
+        self.notify(number, Input::ServerList(delivery));
+        self.drive_follower(number, None);
         Ok(())
     }
 
     /// Tells an instance, and does what it wants.
-    pub(super) fn tell(&mut self, instance: u32, input: In) {
+    pub(super) fn notify(&mut self, instance: u32, input: EngineInput) {
         let mut out = std::mem::take(&mut self.out);
-        if let Some(of) = self.instances.get_mut(&instance) {
-            of.balancing.input(Time(self.now), input, &mut out);
+        if let Some(state) = self.instances.get_mut(&instance) {
+            state.balancer.input(Time(self.now), input, &mut out);
         }
-        self.carry_out(instance, out);
+        self.execute(instance, out);
     }
 
-    pub(super) fn carry_out(&mut self, instance: u32, mut out: Vec<Out>) {
+    pub(super) fn execute(&mut self, instance: u32, mut out: Vec<EngineOutput>) {
         let mut watch = false;
         for output in out.drain(..) {
             match output {
                 Output::Answer { id, answer } => self.answer(id.0, &answer),
                 Output::Attempt { id, attempt, server, until, connect_timeout: connect, .. } => {
                     let job = Job { instance, request: id.0, attempt: attempt.0 };
-                    self.send(job, server, until.0, connect);
+                    self.send_attempt(job, server, until.0, connect);
                 }
                 Output::Cancel { id, attempt, .. } => {
                     let job = Job { instance, request: id.0, attempt: attempt.0 };
-                    self.at(self.now, Event::Back(job, Status::Cancelled));
+                    self.schedule(self.now, Event::AttemptEnds(job, Status::Cancelled));
                 }
-                Output::Probe { server, pool: asked } => {
+                Output::Probe { server, pool } => {
                     self.tally.probes += 1;
-                    let nodes = self.places.len();
+                    let nodes = self.slots.len();
                     self.tally.second(self.now, nodes).probes += 1;
                     let back = self.now + 2 * self.scenario.fleet.network.us();
-                    self.at(back, Event::Probed { instance, server, asked });
+                    self.schedule(back, Event::ProbeAnswered { instance, server, pool });
                 }
                 Output::Open { server, endpoint: Endpoint { address: SocketAddr::V4(at), .. } } => {
                     let node = (u32::from(*at.ip()) - 0x7f00_0001) as usize;
-                    if let Some(of) = self.instances.get_mut(&instance) {
-                        of.servers.insert(server, node);
+                    if let Some(state) = self.instances.get_mut(&instance) {
+                        state.servers.insert(server, node);
                     }
                 }
                 Output::Close { server } => {
-                    if let Some(of) = self.instances.get_mut(&instance) {
-                        of.servers.remove(&server);
+                    if let Some(state) = self.instances.get_mut(&instance) {
+                        state.servers.remove(&server);
                     }
                 }
                 Output::Watch => watch = true,
@@ -91,88 +92,92 @@
         }
         self.out = out;
         if watch {
-            self.follow(instance, Some(dunlincleat_directory::Input::WatchRequested));
+            self.drive_follower(instance, Some(dunlincleat_directory::Input::WatchRequested));
         }
         let now = self.now;
-        let Some(of) = self.instances.get_mut(&instance) else { return };
-        let due = of.balancing.due().map_or(u64::MAX, |t| t.0.max(now));
-        if due < of.wakes {
-            of.wakes = due;
-            self.at(due, Event::Wake(instance));
+        let Some(state) = self.instances.get_mut(&instance) else { return };
+        let due = state.balancer.due().map_or(u64::MAX, |t| t.0.max(now));
+        if due < state.next_wake {
+            state.next_wake = due;
+            self.schedule(due, Event::WakeInstance(instance));
         }
     }
 
     /// Tells the follower of an instance, or wakes it, and does what it wants.
-    pub(super) fn follow(&mut self, instance: u32, input: Option<dunlincleat_directory::Input>) {
+    pub(super) fn drive_follower(&mut self, instance: u32, input: Option<dunlincleat_directory::Input>) {
         let (now, mut out) = (Time(self.now), Vec::new());
-        let Some(of) = self.instances.get_mut(&instance) else { return };
+        let Some(state) = self.instances.get_mut(&instance) else { return };
         match input {
-            Some(input) => of.follower.input(now, input, &mut out),
-            None => of.follower.wake(now, &mut out),
+            Some(input) => state.follower.input(now, input, &mut out),
+            None => state.follower.wake(now, &mut out),
         }
         for output in out {
             match output {
                 Follow::Open { watch, kind, .. } => {
                     match self.service.call(self.now, instance, watch, kind) {
-                        Answered::Opens(line) => self.at(line.at, Event::Line(Box::new(line))),
-                        Answered::Refused(at) => {
-                            self.at(at, Event::WatchEnds(instance, watch, Cause::Refused(503)));
+                        CallOutcome::Opened(line) => {
+                            self.schedule(line.at, Event::DiscoveryLine(Box::new(line)))
                         }
-                        Answered::Nothing => {}
+                        CallOutcome::Refused(at) => {
+                            self.schedule(at, Event::WatchEnded(instance, watch, Cause::Refused(503)));
+                        }
+                        CallOutcome::NoAnswer => {}
                     }
                 }
                 Follow::Close(watch) => self.service.close(instance, watch),
-                Follow::Deliver(delivery) => self.tell(instance, Input::ServerList(delivery)),
-                Follow::Failed => self.tell(instance, Input::DiscoveryFailed),
+                Follow::Deliver(delivery) => self.notify(instance, Input::ServerList(delivery)),
+                Follow::Failed => self.notify(instance, Input::DiscoveryFailed),
                 Follow::Lost { .. } | Follow::Followed { .. } => {}
             }
         }
-        let Some(of) = self.instances.get_mut(&instance) else { return };
-        let due = of.follower.due().map_or(u64::MAX, |t| t.0.max(now.0 + 1));
-        if due < of.follows {
-            of.follows = due;
-            self.at(due, Event::Follow(instance));
+        let Some(state) = self.instances.get_mut(&instance) else { return };
+        let due = state.follower.due().map_or(u64::MAX, |t| t.0.max(now.0 + 1));
+        if due < state.next_follow {
+            state.next_follow = due;
+            self.schedule(due, Event::WakeFollower(instance));
         }
     }
 
-    pub(super) fn news(&mut self, beat: bool) {
+    pub(super) fn publish_changes(&mut self, heartbeat: bool) {
         let mut lines = std::mem::take(&mut self.lines);
-        self.service.tell(self.now, beat, &mut self.rng, &mut lines);
+        self.service.publish(self.now, heartbeat, &mut self.rng, &mut lines);
         for line in lines.drain(..) {
-            self.at(line.at, Event::Line(Box::new(line)));
+            self.schedule(line.at, Event::DiscoveryLine(Box::new(line)));
         }
         self.lines = lines;
     }
 
     /// An instance is gone, with all that it had: its connections break, its callers see that.
-    pub(super) fn instance_ends(&mut self, instance: u32) {
+    pub(super) fn end_instance(&mut self, instance: u32) {
         let Some(Instance { caller, .. }) = self.instances.remove(&instance) else { return };
         if self.callers[caller as usize].instance == Some(instance) {
             self.callers[caller as usize].instance = None;
         }
-        self.service.instance_ends(instance);
-        self.links.instance_ends(instance);
-        let mut out: Vec<Job> = self.flights.keys().filter(|job| job.instance == instance).copied().collect();
-        out.sort_unstable();
-        for job in out {
-            let Some(flight) = self.flights.remove(&job) else { continue };
-            self.auditor.ended(job, self.now);
-            let Some(node) = flight.node else { continue };
-            if flight.link.is_some() {
-                self.links.close(node as u32);
+        self.service.close_instance(instance);
+        self.connections.close_instance(instance);
+        let mut pending_jobs: Vec<Job> =
+            self.pending_attempts.keys().filter(|job| job.instance == instance).copied().collect();
+        pending_jobs.sort_unstable();
+        for job in pending_jobs {
+            let Some(pending) = self.pending_attempts.remove(&job) else { continue };
+            self.auditor.attempt_ended(job, self.now);
+            let Some(node) = pending.node else { continue };
+            if pending.connection.is_some() {
+                self.connections.close(node as u32);
             }
-            if self.places[node].starts == flight.starts {
-                self.leaves_node(job, node);
+            if self.slots[node].incarnation == pending.incarnation {
+                self.release_node(job, node);
             }
         }
-        let of = |request: &Request| request.instance == instance && !request.answered;
-        let mut left: Vec<u64> = self.requests.iter().filter(|(_, r)| of(r)).map(|(id, _)| *id).collect();
-        left.sort_unstable();
-        for id in left {
-            let Some((asked, last)) = self.settle(id) else { continue };
-            self.auditor.left(id);
-            let harmless = self.effects[asked.class] != Effect::Unsafe;
-            self.unserved(asked, harmless, false, last.unwrap_or(Loss::Away));
+        let is_open = |request: &SubmittedRequest| request.instance == instance && !request.answered;
+        let mut open: Vec<u64> =
+            self.requests.iter().filter(|(_, request)| is_open(request)).map(|(id, _)| *id).collect();
+        open.sort_unstable();
+        for id in open {
+            let Some((request, last)) = self.settle(id) else { continue };
+            self.auditor.client_left(id);
+            let harmless = self.effects[request.class] != Effect::Unsafe;
+            self.retry_or_fail(request, harmless, false, last.unwrap_or(Loss::NoInstance));
         }
     }
 }
--- a/crates/fleet/tests/days.rs
+++ b/crates/fleet/tests/days.rs
@@ -7,7 +7,7 @@
 use dunlincleat_fleet::world::{Policy, simulate};
 use std::path::Path;
 
-fn shipped() -> Vec<(String, Scenario)> {
+fn shipped_scenarios() -> Vec<(String, Scenario)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut paths: Vec<_> = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
     paths.sort();
@@ -20,12 +20,12 @@
 }
 
 fn scenario(name: &str) -> Scenario {
-    shipped().into_iter().find(|(known, _)| known == name).unwrap().1
+    shipped_scenarios().into_iter().find(|(known, _)| known == name).unwrap().1
 }
 
 #[test]
-fn every_shipped_scenario_keeps_the_rules() {
-    let all = shipped();
+fn every_shipped_scenario_passes_the_audit() {
+    let all = shipped_scenarios();
     assert!(all.len() >= 14);
     std::thread::scope(|scope| {
         for (name, scenario) in &all {
@@ -37,38 +37,38 @@
                 assert!(report.broken.is_empty(), "{name}: {:?} {:#?}", report.broken, report.cases);
                 assert!(report.wanted > 1000 && report.worth > 0.3, "{name}: {report:?}");
                 // Everyone who wanted something was told how it ended.
-                let told = report.in_time + report.late + report.refused + report.failed;
-                assert!((told - 1.0).abs() < 1e-9, "{name}: {told} of all were answered");
+                let answered = report.in_time + report.late + report.refused + report.failed;
+                assert!((answered - 1.0).abs() < 1e-9, "{name}: {answered} of all were answered");
             });
         }
     });
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes_on_any_number_of_threads() {
+fn the_same_seed_gives_identical_reports_on_any_number_of_threads() {
     let scenario = scenario("death-in-deploy");
     let bytes = |seed| serde_json::to_string(&simulate(&scenario, Policy::Module, seed).unwrap()).unwrap();
     let alone: Vec<String> = (1..4).map(bytes).collect();
     let together: Vec<String> = std::thread::scope(|scope| {
-        let days: Vec<_> = (1..4).map(|seed| scope.spawn(move || bytes(seed))).collect();
-        days.into_iter().map(|day| day.join().unwrap()).collect()
+        let runs: Vec<_> = (1..4).map(|seed| scope.spawn(move || bytes(seed))).collect();
+        runs.into_iter().map(|run| run.join().unwrap()).collect()
     });
     assert_eq!(alone, together);
     assert_ne!(alone[0], alone[1]);
 }
 
-fn breaks(report: &Report, rule: &str) -> bool {
+fn violates(report: &Report, rule: &str) -> bool {
     report.broken.contains_key(rule)
 }
 
 #[test]
-fn each_planted_fault_is_caught_by_its_rule() {
+fn each_injected_fault_is_detected_by_its_rule() {
     let deploy = scenario("rolling-deploy");
     let death = scenario("mass-death");
     let busy = scenario("burst");
     let cold = scenario("cold-hot-caller");
     for fault in InjectedFault::ALL {
-        let (day, rule) = match fault {
+        let (scenario, rule) = match fault {
             InjectedFault::SendsTwice => (&deploy, "one attempt"),
             InjectedFault::AnswersTwice | InjectedFault::LosesRequests => (&deploy, "one answer"),
             InjectedFault::IgnoresDrains => (&deploy, "drains"),
@@ -77,15 +77,15 @@
             InjectedFault::DelaysRefusals => (&busy, "not held back"),
         };
         // What a mutant floods is also shed: one day in five may show nothing.
-        let caught = |seed| breaks(&simulate(day, Policy::Mutant(fault), seed).unwrap(), rule);
-        assert!((1..=5).any(caught), "{fault:?} is not caught");
+        let detected = |seed| violates(&simulate(scenario, Policy::Mutant(fault), seed).unwrap(), rule);
+        assert!((1..=5).any(detected), "{fault:?} was not detected");
     }
 }
 
 #[test]
-fn a_scenario_at_fault_names_its_key() {
+fn errors_in_a_scenario_name_the_key() {
     let text = include_str!("../scenarios/zone-loss.toml");
-    for (from, to, said) in [
+    for (from, to, expected) in [
         ("zone = \"b\"", "zone = \"c\"", "line 45: fault[0].zone: 'c' is none of a, b"),
         ("lasts = \"20s\"", "lasts = \"20\"", "'20' is no duration"),
         ("nodes = 12", "nodez = 12", "unknown field `nodez`"),
@@ -102,6 +102,6 @@
         ("rate_per_s = 850", "rate_per_s = 0", "line 10: traffic.rate_per_s: 0 is not from 0.001 to 1000000"),
     ] {
         let error = Scenario::read(&text.replacen(from, to, 1)).unwrap_err();
-        assert!(format!("{error:#}").contains(said), "{error:#}");
+        assert!(format!("{error:#}").contains(expected), "{error:#}");
     }
 }
