--- a/crates/fleet/src/connections.rs
+++ b/crates/fleet/src/connections.rs
@@ -1,26 +1,26 @@
-//! The connections that instances hold to nodes, as things that cost: one carries one request at a time, a new one
-//! takes a round trip and work, a node holds only so many and closes those that stand idle. Pure; it owns every connection,
-//! and a connection is given back by [`Connections::release`] or [`Connections::close`], once.
+//! The connections between instances and nodes, as a limited resource: a connection carries one request at a time, opening
+//! one takes a round trip and work, and a node limits their number and closes idle ones. A pure state machine that owns
+//! every connection; one is returned exactly once, by [`Connections::release`] or [`Connections::close`].
 
 use rustc_hash::FxHashMap;
 
-/// What a node grants.
+/// The limits of each node.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Connections that a node holds at most; nothing for any number.
+    /// Open connections at most; `None` for no limit.
     pub max_per_node: Option<usize>,
-    /// Microseconds after which an idle one is closed; 0 for never.
+    /// Microseconds after which an idle connection is closed; 0 for never.
     pub idle_timeout: u64,
 }
 
-/// What an attempt gets.
+/// The connection that an attempt gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acquired {
-    /// One that was free.
+    /// An idle one.
     Reused,
     /// A new one.
     Opened,
-    /// The node holds no more.
+    /// None: the node has reached its limit.
     LimitReached,
 }
 
@@ -28,22 +28,22 @@
 #[derive(Clone, Debug)]
 pub struct Connections {
     limits: ConnectionLimits,
-    /// When each free one was last used, by instance and node, oldest first.
+    /// When each idle connection was last used, by instance and node, oldest first.
     idle: FxHashMap<(u32, u32), Vec<u64>>,
-    /// Those open at each node, free or not.
+    /// The number of open connections of each node, idle or in use.
     open: Vec<usize>,
     opened: u64,
     peak_per_node: usize,
 }
 
 impl Connections {
-    /// No connections to so many nodes.
+    /// No connections yet to this number of nodes.
     #[must_use]
     pub fn new(limits: ConnectionLimits, nodes: usize) -> Connections {
         Connections { limits, idle: FxHashMap::default(), open: vec![0; nodes], opened: 0, peak_per_node: 0 }
     }
 
-    /// A connection for an attempt.
+    /// Takes an idle connection or opens one.
     pub fn acquire(&mut self, now: u64, instance: u32, node: u32) -> Acquired {
         let (idle_timeout, at) = (self.limits.idle_timeout, node as usize);
         if let Some(idle) = self.idle.get_mut(&(instance, node)) {
@@ -52,7 +52,7 @@
                 idle.drain(..expired);
                 self.open[at] -= expired;
             }
-            // The last used first: the others may go idle.
+            // The most recently used one first, so that the others can time out.
             if idle.pop().is_some() {
                 return Acquired::Reused;
             }
@@ -66,17 +66,17 @@
         Acquired::Opened
     }
 
-    /// A connection's request has its answer: it is free again.
+    /// Makes a connection idle again after its request was answered.
     pub fn release(&mut self, now: u64, instance: u32, node: u32) {
         self.idle.entry((instance, node)).or_default().push(now);
     }
 
-    /// A connection ends with its request.
+    /// Closes a connection that is in use.
     pub fn close(&mut self, node: u32) {
         self.open[node as usize] = self.open[node as usize].saturating_sub(1);
     }
 
-    /// A node's process ends, and all that stood idle with it; those in use end with their requests.
+    /// Closes the idle connections of a node whose process ended; those in use are closed with their requests.
     pub fn close_node(&mut self, node: u32) {
         for ((_, at), idle) in &mut self.idle {
             if *at == node {
@@ -85,18 +85,18 @@
         }
     }
 
-    /// An instance ends, and its free connections with it.
+    /// Closes the idle connections of an instance that ended.
     pub fn close_instance(&mut self, instance: u32) {
         let open = &mut self.open;
-        self.idle.retain(|(of, node), idle| {
-            if *of == instance {
+        self.idle.retain(|(owner, node), idle| {
+            if *owner == instance {
                 open[*node as usize] -= idle.len();
             }
-            *of != instance
+            *owner != instance
         });
     }
 
-    /// Closes what stood idle for too long, so that it holds no place.
+    /// Closes the connections that have reached the idle timeout, so that they no longer count towards the limits.
     pub fn close_idle(&mut self, now: u64) {
         let (idle_timeout, open) = (self.limits.idle_timeout, &mut self.open);
         if idle_timeout == 0 {
@@ -109,18 +109,18 @@
         }
     }
 
-    /// Opened since the last call.
+    /// Returns and resets the number of connections opened since the last call.
     pub fn take_opened_count(&mut self) -> u64 {
         std::mem::take(&mut self.opened)
     }
 
-    /// Open ones, all together.
+    /// The number of open connections of all nodes.
     #[must_use]
     pub fn open_count(&self) -> usize {
         self.open.iter().sum()
     }
 
-    /// The most that one node ever held.
+    /// The highest number of open connections that a node ever had.
     #[must_use]
     pub fn peak_per_node(&self) -> usize {
         self.peak_per_node
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,13 +1,14 @@
-//! One node: cores, a queue, a cold ramp, and the states that faults put it in. Pure: it is told of arrivals and ends and
-//! says when the next request ends.
+//! A simulated node: cores, a queue, a slow start, and the states that faults put it in. A pure state machine: it is
+//! given the arrivals and completions of requests and returns when the next request completes.
 
+use crate::cold_start;
 use crate::scenario::Fleet;
 use std::collections::VecDeque;
 
-/// A request at a node: whose, and which attempt.
+/// An attempt of a request, as a node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Job {
-    /// The instance.
+    /// The instance that sent it.
     pub instance: u32,
     /// The request.
     pub request: u64,
@@ -15,39 +16,66 @@
     pub attempt: u32,
 }
 
-/// What state a node is in.
+/// One process of a node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct NodeProcess {
+    /// The node.
+    pub node: usize,
+    /// The number of restarts before this process.
+    pub incarnation: u32,
+}
+
+/// The state of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// It serves.
+    /// It serves requests.
     Serving,
-    /// It answers errors at once.
+    /// It answers every request with an error at once.
     Failing,
-    /// It takes requests and says nothing.
+    /// It accepts requests and never answers.
     Unresponsive,
     /// It refuses connections.
     Dead,
 }
 
-/// What becomes of a request that arrives.
+/// What happens to a request that arrives at a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It is in work, and ends then.
+    /// A core works on it.
     Started {
-        /// When it ends.
+        /// When it completes.
         ends_at: u64,
     },
-    /// It waits.
+    /// It waits in the queue.
     Queued,
-    /// Turned away unseen.
+    /// It is rejected without work: the queue is full.
     QueueFull,
-    /// An error at once.
+    /// It fails at once.
     Failed,
-    /// Nothing will come.
+    /// It is accepted and never answered.
     Ignored,
-    /// No connection.
+    /// The connection is refused.
     ConnectionRefused,
 }
 
+/// A request that left the queue and was started.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Started {
+    /// The request.
+    pub job: Job,
+    /// When it completes.
+    pub ends_at: u64,
+}
+
+/// The load that a node reports.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NodeLoad {
+    /// Requests running and queued.
+    pub in_flight: usize,
+    /// Requests queued.
+    pub queued: usize,
+}
+
 /// A node. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Node {
@@ -57,26 +85,26 @@
     warm_up: u64,
     overload_factor: f64,
     overload_window: u64,
-    /// When its process started; nothing for long ago.
+    /// When its process started; `None` if that was before the simulation.
     pub started_at: Option<u64>,
     /// Its state.
     pub state: NodeState,
-    /// Work takes so many times as long.
+    /// The factor by which work takes longer.
     pub slowdown: f64,
-    /// It stands still until then.
+    /// It makes no progress until this time.
     pub stalled_until: u64,
     running: Vec<Job>,
     queued: VecDeque<(Job, f64)>,
-    /// Work that came while it was cold: when, and how much.
+    /// Arrivals while it was cold: their times and their work.
     cold_arrivals: VecDeque<(u64, f64)>,
     cold_work: f64,
-    /// The mean work of a request; with it a fall takes more than the budget and what is put down to chance.
+    /// The mean work of a request. If it is known, overload takes more than the budget and the tolerated random variation.
     mean_work: f64,
-    /// It got more than its budget, and it fell over.
+    /// It received more than its budget.
     pub over_budget: bool,
-    /// The same.
+    /// It received more than its budget and the tolerated variation.
     pub overloaded: bool,
-    /// The most that came while it was cold, against what pushes it over.
+    /// The highest ratio of the work received while cold to the budget.
     pub peak_overload: f64,
 }
 
@@ -106,14 +134,14 @@
         }
     }
 
-    /// The same node for requests of so much mean work, in microseconds. Where that is not told, a cold node falls with the
-    /// first work beyond its budget.
+    /// Sets the mean work of a request, in microseconds. Without it a cold node is overloaded by the first work beyond its
+    /// budget.
     #[must_use]
     pub fn with_mean_work(self, mean_work: f64) -> Node {
         Node { mean_work, ..self }
     }
 
-    /// The part of its work that it can do.
+    /// The part of its full capacity that it has now.
     #[must_use]
     pub fn capacity(&self, now: u64) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
@@ -121,28 +149,30 @@
         self.initial_capacity + (1.0 - self.initial_capacity) * part.min(1.0)
     }
 
-    /// Requests in hand, and those of them that wait.
+    /// Its present load.
     #[must_use]
-    pub fn load(&self) -> (usize, usize) {
-        (self.running.len() + self.queued.len(), self.queued.len())
+    pub fn load(&self) -> NodeLoad {
+        NodeLoad { in_flight: self.running.len() + self.queued.len(), queued: self.queued.len() }
     }
 
-    /// The part of its cores that work.
+    /// The part of its cores that are busy.
     #[must_use]
     pub fn utilization(&self) -> f64 {
         self.running.len() as f64 / self.cores as f64
     }
 
-    /// It starts anew: what it had is lost.
+    /// Starts a new process. Returns the requests of the old one, which are lost.
     pub fn restart(&mut self, now: u64) -> Vec<Job> {
         self.started_at = Some(now);
         self.state = NodeState::Serving;
-        (self.slowdown, self.stalled_until) = (1.0, 0);
-        (self.over_budget, self.overloaded) = (false, false);
+        self.slowdown = 1.0;
+        self.stalled_until = 0;
+        self.over_budget = false;
+        self.overloaded = false;
         self.drop_all()
     }
 
-    /// It dies: what it had is lost.
+    /// Ends its process. Returns its requests, which are lost.
     pub fn die(&mut self) -> Vec<Job> {
         self.state = NodeState::Dead;
         self.drop_all()
@@ -156,11 +186,11 @@
     }
 
     fn completion_time(&self, now: u64, work: f64) -> u64 {
-        let takes = work * self.slowdown / self.capacity(now);
-        now.max(self.stalled_until) + (takes as u64).max(1)
+        let duration = work * self.slowdown / self.capacity(now);
+        now.max(self.stalled_until) + (duration as u64).max(1)
     }
 
-    /// A request of so much work, in microseconds on a warm core, arrives.
+    /// Takes a request; `work` is in microseconds on a core of a warm node.
     pub fn admit(&mut self, now: u64, job: Job, work: f64) -> Admission {
         match self.state {
             NodeState::Dead => return Admission::ConnectionRefused,
@@ -168,15 +198,9 @@
             NodeState::Failing => return Admission::Failed,
             NodeState::Serving => {}
         }
-        if let Some(budget) = self.cold_overload(now, work) {
+        if let Some(budget) = self.exceeded_cold_budget(now, work) {
             self.over_budget = true;
-            let mean_work = self.mean_work;
-            let tolerated = if mean_work > 0.0 {
-                mean_work * crate::cold_start::limit(budget / mean_work)
-            } else {
-                budget
-            };
-            self.overloaded = self.cold_work > tolerated;
+            self.overloaded = self.cold_work > self.tolerated_work(budget);
             if self.overloaded {
                 return Admission::ConnectionRefused;
             }
@@ -192,8 +216,15 @@
         }
     }
 
-    /// The work that a cold node bears over its time, where it has come to more.
-    fn cold_overload(&mut self, now: u64, work: f64) -> Option<f64> {
+    /// The work that overloads a node with this budget, both in microseconds.
+    fn tolerated_work(&self, budget: f64) -> f64 {
+        let mean = self.mean_work;
+        if mean > 0.0 { mean * cold_start::limit(budget / mean) } else { budget }
+    }
+
+    /// Records work that arrives at a cold node. Returns the work that the node has capacity for within the window if more
+    /// has arrived.
+    fn exceeded_cold_budget(&mut self, now: u64, work: f64) -> Option<f64> {
         let started_at = self.started_at.filter(|started_at| now < started_at + self.warm_up)?;
         self.cold_arrivals.push_back((now, work));
         self.cold_work += work;
@@ -212,8 +243,8 @@
         (now >= started_at && self.cold_work > budget).then_some(budget)
     }
 
-    /// A request ended or was given up. Gives the one that is begun in its place and when it ends.
-    pub fn finish(&mut self, now: u64, job: Job) -> Option<(Job, u64)> {
+    /// Removes a request that completed or was cancelled. Returns the queued request that is started in its place.
+    pub fn finish(&mut self, now: u64, job: Job) -> Option<Started> {
         if let Some(at) = self.queued.iter().position(|(queued, _)| *queued == job) {
             self.queued.remove(at);
             return None;
@@ -222,10 +253,10 @@
         self.running.swap_remove(at);
         let (job, work) = self.queued.pop_front()?;
         self.running.push(job);
-        Some((job, self.completion_time(now, work)))
+        Some(Started { job, ends_at: self.completion_time(now, work) })
     }
 
-    /// Whether it holds a request.
+    /// Whether a core works on a request.
     #[must_use]
     pub fn is_running(&self, job: Job) -> bool {
         self.running.contains(&job)
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -5,17 +5,17 @@
 mod instances;
 mod nodes;
 
-use crate::audit::{AnswerKind, Auditor};
+use crate::audit::{AnswerKind, Auditor, Findings};
 use crate::balancer::{Balancer, EngineInput, EngineOutput};
 use crate::baseline::{Baseline, Choice};
-use crate::cold_start::ColdBudget;
+use crate::cold_start::{Allowance, ColdBudget};
 use crate::connections::{Acquired, ConnectionLimits, Connections};
-use crate::discovery::{CallOutcome, DiscoveryService, Line, ListChange};
+use crate::discovery::{CallOutcome, DiscoveryService, Line, ListChange, ListedProcess};
 use crate::mutant::{InjectedFault, Mutant};
-use crate::node::{Admission, Job, Node, NodeState};
+use crate::node::{Admission, Job, Node, NodeLoad, NodeProcess, NodeState, Started};
 use crate::report::{Loss, Mark, Report, Second, recovery_seconds};
 use crate::scenario::{DRAIN_GRACE, Fault, Scenario, Termination};
-use crate::timeline::{Probabilities, RandomFault, Step, steps};
+use crate::timeline::{PlannedStep, Probabilities, RandomFault, Step, steps};
 use anyhow::Result;
 use dunlincleat::api::{Attempt, Discovery, Effect, RequestId, ServerId, Span, State, Status, Time};
 use dunlincleat_directory::{Cause, Entry, Follower, Listing, Output as Follow, Timing, WatchId};
@@ -104,7 +104,7 @@
     Retry(ClientRequest),
     WakeInstance(u32),
     AttemptArrives(Job),
-    WorkDone(Job, usize, u32),
+    WorkDone(Job, NodeProcess),
     AttemptEnds(Job, Status),
     AttemptTimesOut(Job),
     RequestExpires(u64),
@@ -196,14 +196,14 @@
 
 struct PendingAttempt {
     server: ServerId,
-    /// Nothing where no node has ever been there.
-    node: Option<usize>,
-    incarnation: u32,
+    /// The process that it was sent to; `None` if the server's address is unknown.
+    process: Option<NodeProcess>,
     sent: u64,
-    /// It holds a connection, and that is new.
-    connection: Option<bool>,
-    /// Its answer can't come.
+    /// How it got its connection; `None` if it has none.
+    connection: Option<Acquired>,
+    /// Its response cannot arrive.
     lost: bool,
+    /// The node was cold when it was sent.
     cold: bool,
 }
 
@@ -227,9 +227,9 @@
     service: DiscoveryService,
     cold_budget: ColdBudget,
     mean_work: f64,
-    zones_lost: Vec<bool>,
+    zone_reachable: Vec<bool>,
     /// Ways cut, from instances of a zone to nodes of one.
-    cut: Vec<Vec<bool>>,
+    path_cut: Vec<Vec<bool>>,
     rate: f64,
     traffic_factor: f64,
     zone_factors: Vec<f64>,
@@ -359,7 +359,8 @@
         let mut settings_scenario = scenario.clone();
         match policy {
             Policy::Without(Mechanism::FewServers) => {
-                (settings_scenario.prices.handshake, settings_scenario.prices.connection) = (0.0, 0.0)
+                settings_scenario.prices.handshake = 0.0;
+                settings_scenario.prices.connection = 0.0;
             }
             Policy::Without(Mechanism::Worth) => {
                 settings_scenario.classes.iter_mut().for_each(|class| class.worth = 1.0)
@@ -382,7 +383,7 @@
         let slots: Vec<NodeSlot> = (0..fleet.nodes).map(slot).collect();
         let changes = (0..slots.len()).map(|node| {
             let entry = entry(scenario, &slots, node, node as u32, State::Ready, 0);
-            ListChange { rev: 1, entry, node, incarnation: 0 }
+            ListChange { rev: 1, entry, process: NodeProcess { node, incarnation: 0 } }
         });
         let service = DiscoveryService::new(scenario.discovery_limits(), changes.collect());
         let limits = ConnectionLimits {
@@ -409,8 +410,8 @@
             service,
             cold_budget: scenario.cold_budget(),
             mean_work: scenario.mean_work(),
-            zones_lost: vec![false; zones],
-            cut: vec![vec![false; zones]; zones],
+            zone_reachable: vec![true; zones],
+            path_cut: vec![vec![false; zones]; zones],
             rate: scenario.rate(),
             traffic_factor: 1.0,
             zone_factors: vec![1.0; zones],
@@ -439,7 +440,7 @@
     }
 
     fn run(&mut self, latencies: &mut Histogram<u64>) -> Result<()> {
-        for (at, step) in steps(self.scenario, &mut self.rng) {
+        for PlannedStep { at, step } in steps(self.scenario, &mut self.rng) {
             self.schedule(SIMULATION_START_US + at, Event::Step(step));
         }
         self.schedule(SIMULATION_START_US + HEARTBEAT.0, Event::DiscoveryHeartbeat);
@@ -482,7 +483,7 @@
                 self.execute(instance, out);
             }
             Event::AttemptArrives(job) => self.attempt_arrives(job),
-            Event::WorkDone(job, node, incarnation) => self.finish_work(job, node, incarnation),
+            Event::WorkDone(job, process) => self.finish_work(job, process),
             Event::AttemptEnds(job, status) => self.finish_attempt(job, status, latencies),
             Event::AttemptTimesOut(job) => self.finish_attempt(job, Status::Timeout, latencies),
             Event::RequestExpires(id) => {
@@ -515,10 +516,10 @@
                 }
             }
             Event::DiscoveryLine(line) => {
-                let Line { instance, watch, listing, nodes, .. } = *line;
+                let Line { instance, watch, listing, processes, .. } = *line;
                 if self.service.is_open(instance, watch) && self.instances.contains_key(&instance) {
-                    for (node, incarnation, state) in nodes {
-                        self.auditor.listed(instance, node, incarnation, state != State::Ready, self.now);
+                    for ListedProcess { process, state } in processes {
+                        self.auditor.listed(instance, process, state != State::Ready, self.now);
                     }
                     self.drive_follower(instance, Some(dunlincleat_directory::Input::Line(watch, listing)));
                 }
@@ -536,15 +537,17 @@
             }
             Event::SecondElapsed => {
                 self.connections.close_idle(self.now);
-                let (opened, held) =
-                    (self.connections.take_opened_count(), self.connections.open_count() as u64);
-                let (calls, refused) = self.service.take_calls();
-                (self.tally.opened, self.tally.calls) =
-                    (self.tally.opened + opened, self.tally.calls + calls);
-                self.tally.calls_refused += refused;
+                let opened = self.connections.take_opened_count();
+                let open = self.connections.open_count() as u64;
+                let calls = self.service.take_calls();
+                self.tally.opened += opened;
+                self.tally.calls += calls.received;
+                self.tally.calls_refused += calls.refused;
                 let nodes = self.slots.len();
                 let second = self.tally.second(self.now - 1, nodes);
-                (second.opened, second.held, second.calls) = (opened, held, calls);
+                second.opened = opened;
+                second.held = open;
+                second.calls = calls.received;
                 self.schedule(self.now + 1_000_000, Event::SecondElapsed);
             }
             Event::InstanceStarts(caller) => {
@@ -569,7 +572,7 @@
             Step::Replace(node) => {
                 self.stop_node(node);
                 let uid = self.slots[node].uid;
-                self.list_change(node, uid, State::Removed, 0);
+                self.change_entry(node, uid, State::Removed, 0);
                 self.slots[node].uid += self.slots.len() as u32;
                 self.start_node(node);
             }
@@ -577,16 +580,16 @@
                 self.slots[node].state = State::Draining;
                 let uid = self.slots[node].uid;
                 let boot = self.slots[node].node.started_at.unwrap_or(0);
-                self.list_change(node, uid, State::Draining, boot);
+                self.change_entry(node, uid, State::Draining, boot);
             }
             Step::SetState(node, state) => {
                 if self.slots[node].node.state != NodeState::Dead {
                     self.slots[node].node.state = state;
                 }
             }
-            Step::Slow(node, factor) => self.slots[node].node.slowdown = factor,
-            Step::Stall(node, each) => self.slots[node].node.stalled_until = self.now + each,
-            Step::ZoneUnreachable(zone, lost) => self.zones_lost[zone] = lost,
+            Step::Slow { node, factor } => self.slots[node].node.slowdown = factor,
+            Step::Stall { node, duration } => self.slots[node].node.stalled_until = self.now + duration,
+            Step::SetZoneReachable { zone, reachable } => self.zone_reachable[zone] = reachable,
             Step::RestartZone(zone) => {
                 for node in 0..self.slots.len() {
                     if self.slots[node].zone == zone && self.slots[node].node.state != NodeState::Dead {
@@ -595,19 +598,19 @@
                     }
                 }
             }
-            Step::Cut(from, to, cut) => self.cut[from][to] = cut,
-            Step::DiscoverySilent(silent) => {
+            Step::SetPathCut { from, to, cut } => self.path_cut[from][to] = cut,
+            Step::SetDiscoverySilent(silent) => {
                 self.service.set_silent(silent);
                 if !silent {
                     self.publish_changes(false);
                 }
             }
             Step::ScaleTraffic(factor) => self.traffic_factor *= factor,
-            Step::ScaleZoneTraffic(zone, factor) => self.zone_factors[zone] *= factor,
+            Step::ScaleZoneTraffic { zone, factor } => self.zone_factors[zone] *= factor,
             Step::SetProbability(fault, probability) => self.probabilities.set(fault, probability),
             Step::SetGiveUpAfter(after) => self.give_up_after = after,
             Step::SetExtraRetries(tries) => self.extra_retries = tries,
-            Step::RestartInstance(caller, termination, back) => {
+            Step::RestartInstance { caller, termination, back_after } => {
                 let Some(instance) = self.callers[caller].instance else { return Ok(()) };
                 match termination {
                     Termination::Death => self.end_instance(instance),
@@ -616,7 +619,7 @@
                         self.schedule(self.now + self.longest() + 1_000_000, Event::InstanceStops(instance));
                     }
                 }
-                self.schedule(self.now + back, Event::InstanceStarts(caller as u32));
+                self.schedule(self.now + back_after, Event::InstanceStarts(caller as u32));
             }
             Step::ScaleAims(factor) => {
                 for class in &mut self.settings_scenario.classes {
@@ -649,7 +652,7 @@
         losses.values_mut().for_each(|worth| *worth = part_of_wanted(*worth));
         let minutes = lasts as f64 / 60e6 * self.callers.len() as f64;
         let cold_peak = self.auditor.cold_peak();
-        let (broken, cases) = self.auditor.found();
+        let Findings { counts, cases } = self.auditor.into_findings();
         let mark = |fault: &Fault| {
             let (from, to) = fault.span();
             Mark { name: fault.name().to_owned(), from_s: from as f64 / 1e6, to_s: to as f64 / 1e6 }
@@ -689,7 +692,7 @@
             losses,
             outcomes,
             worth_by_second: seconds_in_run.iter().map(|s| s.served / s.wanted.max(1e-9)).collect(),
-            broken: broken.into_iter().map(|(rule, count)| (rule.to_owned(), count)).collect(),
+            broken: counts.into_iter().map(|(rule, count)| (rule.to_owned(), count)).collect(),
             cases,
             marks: if seconds { self.scenario.faults.iter().map(mark).collect() } else { Vec::new() },
             seconds: if seconds { seconds_in_run } else { Vec::new() },
--- a/crates/fleet/src/world/instances.rs
+++ b/crates/fleet/src/world/instances.rs
@@ -36,8 +36,8 @@
             Instance { caller, zone, balancer, follower, servers, next_wake, next_follow, open_requests: 0 };
         self.instances.insert(number, instance);
         self.callers[caller as usize].instance = Some(number);
-        for (node, start) in self.service.listed_incarnations() {
-            self.auditor.initially_listed(number, node, start);
+        for process in self.service.listed_processes() {
+            self.auditor.initially_listed(number, process);
         }
         self.notify(number, Input::ServerList(delivery));
         self.drive_follower(number, None);
@@ -161,11 +161,11 @@
         for job in pending_jobs {
             let Some(pending) = self.pending_attempts.remove(&job) else { continue };
             self.auditor.attempt_ended(job, self.now);
-            let Some(node) = pending.node else { continue };
+            let Some(NodeProcess { node, incarnation }) = pending.process else { continue };
             if pending.connection.is_some() {
                 self.connections.close(node as u32);
             }
-            if self.slots[node].incarnation == pending.incarnation {
+            if self.slots[node].incarnation == incarnation {
                 self.release_node(job, node);
             }
         }
--- a/crates/fleet/tests/models.rs
+++ b/crates/fleet/tests/models.rs
@@ -1,6 +1,6 @@
 //! Nodes against queueing theory.
 
-use dunlincleat_fleet::node::{Admission, Job, Node};
+use dunlincleat_fleet::node::{Admission, Job, Node, Started};
 use dunlincleat_fleet::scenario::Scenario;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -23,7 +23,7 @@
     while waits.len() < 400_000 {
         if ends.peek().is_some_and(|Reverse((at, _))| (*at as f64) < next) {
             let Some(Reverse((at, job))) = ends.pop() else { break };
-            if let Some((job, ends_at)) = node.finish(at, job) {
+            if let Some(Started { job, ends_at }) = node.finish(at, job) {
                 waits.push((at - arrived_at[&job.request]) as f64);
                 ends.push(Reverse((ends_at, job)));
             }
--- a/crates/fleet/tests/ramp.rs
+++ b/crates/fleet/tests/ramp.rs
@@ -3,34 +3,48 @@
 
 use dunlincleat::api::Span;
 use dunlincleat_fleet::audit::Auditor;
-use dunlincleat_fleet::cold_start::{ColdBudget, limit};
+use dunlincleat_fleet::cold_start::{Allowance, ColdBudget, limit};
 use dunlincleat_fleet::mutant::InjectedFault;
-use dunlincleat_fleet::node::Job;
+use dunlincleat_fleet::node::{Job, NodeProcess};
 use dunlincleat_fleet::report::Report;
 use dunlincleat_fleet::scenario::{Fault, Scenario, Time};
 use dunlincleat_fleet::world::{Policy, simulate};
 
 const RULE: &str = "cold budget";
 const SECOND: u64 = 1_000_000;
-/// The node and the start that hand-made sends go to.
-const NODE: (usize, u32) = (3, 1);
+/// The cold process that hand-made requests are sent to.
+const COLD: NodeProcess = NodeProcess { node: 3, incarnation: 1 };
+const ALLOWANCE: Allowance = Allowance { budget: 100.0, window: SECOND };
 
-/// How often the rule is broken by `sends` to one cold node, each an instance, a time and its work over the mean, with a
-/// budget of 100 within 1 s, where the instances below `told` had been told of the start.
-fn count_violations(notified: u32, sends: impl IntoIterator<Item = (u32, u64, f64)>) -> u64 {
+/// A hand-made request to a cold node.
+#[derive(Clone, Copy)]
+struct Send {
+    instance: u32,
+    at: u64,
+    /// Its work relative to the mean.
+    calls: f64,
+}
+
+fn violations_of_rule(auditor: Auditor) -> u64 {
+    auditor.into_findings().counts.get(RULE).copied().unwrap_or(0)
+}
+
+/// How often the rule is violated by requests to one cold node with a budget of 100 within 1 s, where the instances below
+/// `notified` have been notified of the process.
+fn count_violations(notified: u32, sends: impl IntoIterator<Item = Send>) -> u64 {
     let mut auditor = Auditor::default();
     for instance in 0..notified {
-        auditor.listed(instance, NODE.0, NODE.1, false, 0);
+        auditor.listed(instance, COLD, false, 0);
     }
-    for (request, (instance, at, calls)) in (0..).zip(sends) {
-        auditor.cold_arrival(Job { instance, request, attempt: 0 }, NODE, calls, (100.0, SECOND), at);
+    for (request, Send { instance, at, calls }) in (0..).zip(sends) {
+        auditor.cold_arrival(Job { instance, request, attempt: 0 }, COLD, calls, ALLOWANCE, at);
     }
-    auditor.found().0.get(RULE).copied().unwrap_or(0)
+    violations_of_rule(auditor)
 }
 
-/// So many requests of mean work, at one instant, by 40 instances in turn.
-fn simultaneous(count: u32) -> impl Iterator<Item = (u32, u64, f64)> {
-    (0..count).map(|n| (n % 40, 7 * SECOND, 1.0))
+/// This number of requests of mean work at one instant, spread over 40 instances.
+fn simultaneous(count: u32) -> impl Iterator<Item = Send> {
+    (0..count).map(|n| Send { instance: n % 40, at: 7 * SECOND, calls: 1.0 })
 }
 
 #[test]
@@ -38,34 +52,39 @@
     for (budget, expected) in [(0.0, 2.0), (1.0, 5.0), (4.0, 10.0), (100.0, 122.0), (2500.0, 2602.0)] {
         assert_eq!(limit(budget), expected);
     }
-    // No instance sends more than four: only the sum is too much.
+    // No instance sends more than four: only the sum is above the limit.
     assert_eq!(count_violations(40, simultaneous(122)), 0);
     assert_eq!(count_violations(40, simultaneous(123)), 1);
-    // It falls once, whatever comes then.
+    // A process is overloaded once, whatever arrives afterwards.
     assert_eq!(count_violations(40, simultaneous(500)), 1);
 }
 
 #[test]
 fn requests_are_weighted_by_work_relative_to_the_mean() {
-    assert_eq!(count_violations(40, simultaneous(61).map(|(from, at, _)| (from, at, 2.0))), 0);
-    assert_eq!(count_violations(40, simultaneous(62).map(|(from, at, _)| (from, at, 2.0))), 1);
-    assert_eq!(count_violations(40, simultaneous(244).map(|(from, at, _)| (from, at, 0.5))), 0);
+    assert_eq!(count_violations(40, simultaneous(61).map(|send| Send { calls: 2.0, ..send })), 0);
+    assert_eq!(count_violations(40, simultaneous(62).map(|send| Send { calls: 2.0, ..send })), 1);
+    assert_eq!(count_violations(40, simultaneous(244).map(|send| Send { calls: 0.5, ..send })), 0);
 }
 
 #[test]
 fn budget_applies_to_a_sliding_window() {
-    // 122 in each second without end, and 123 within one of which the first falls out as the last comes.
-    let even = |n: u32| (n % 40, SECOND * u64::from(n) / 122, 1.0);
+    // 122 in every second, for 10 s.
+    let even = |n: u32| Send { instance: n % 40, at: SECOND * u64::from(n) / 122, calls: 1.0 };
     assert_eq!(count_violations(40, (0..1220).map(even)), 0);
-    let pairs = |gap: u64| (0..123_u32).map(move |n| (n % 40, if n < 62 { 0 } else { gap }, 1.0));
-    assert_eq!(count_violations(40, pairs(SECOND)), 0);
-    assert_eq!(count_violations(40, pairs(SECOND - 1)), 1);
+    // 123 in two groups: after a whole second the first group has left the window when the second one arrives.
+    let two_groups = |gap: u64| {
+        (0..123_u32).map(move |n| Send { instance: n % 40, at: if n < 62 { 0 } else { gap }, calls: 1.0 })
+    };
+    assert_eq!(count_violations(40, two_groups(SECOND)), 0);
+    assert_eq!(count_violations(40, two_groups(SECOND - 1)), 1);
 }
 
 #[test]
 fn overload_counts_only_if_over_two_thirds_came_from_notified_instances() {
-    // Of 123, 82 are two thirds exactly.
-    let mixed = |notified: u32| (0..123_u32).map(move |n| (u32::from(n >= notified), 0, 1.0));
+    // Of 123 requests, 82 are exactly two thirds.
+    let mixed = |notified: u32| {
+        (0..123_u32).map(move |n| Send { instance: u32::from(n >= notified), at: 0, calls: 1.0 })
+    };
     assert_eq!(count_violations(1, mixed(82)), 0);
     assert_eq!(count_violations(1, mixed(83)), 1);
     assert_eq!(count_violations(0, simultaneous(500)), 0);
@@ -74,15 +93,16 @@
 #[test]
 fn each_process_start_has_its_own_budget_and_the_initial_list_notifies() {
     let job = |instance, request| Job { instance, request, attempt: 0 };
-    let count = |starts: [u32; 2], nodes: [usize; 2]| {
+    let count = |incarnations: [u32; 2], nodes: [usize; 2]| {
         let mut auditor = Auditor::default();
-        for (n, (start, node)) in (0..).zip(starts.into_iter().zip(nodes)) {
-            auditor.initially_listed(9, node, start);
+        for (n, (incarnation, node)) in (0..).zip(incarnations.into_iter().zip(nodes)) {
+            let process = NodeProcess { node, incarnation };
+            auditor.initially_listed(9, process);
             for request in 0..100 {
-                auditor.cold_arrival(job(9, 1000 * n + request), (node, start), 1.0, (100.0, SECOND), 0);
+                auditor.cold_arrival(job(9, 1000 * n + request), process, 1.0, ALLOWANCE, 0);
             }
         }
-        auditor.found().0.get(RULE).copied().unwrap_or(0)
+        violations_of_rule(auditor)
     };
     assert_eq!(count([1, 1], [0, 0]), 1);
     assert_eq!(count([1, 2], [0, 0]), 0);
@@ -91,14 +111,16 @@
 
 #[test]
 fn budget_grows_linearly_over_the_warm_up() {
-    let terms =
+    let cold_budget =
         ColdBudget { initial_part: 0.25, warm_up: 8 * SECOND, window: 3 * SECOND, warm_budget: 400.0 };
-    let at = [0, 4, 8, 80].map(|age| terms.budget(age * SECOND));
+    let at = [0, 4, 8, 80].map(|age| cold_budget.budget(age * SECOND));
     assert_eq!(at, [100.0, 250.0, 400.0, 400.0]);
-    let scenario = burst_scenario(30);
-    let terms = scenario.cold_budget();
+    let cold_budget = burst_scenario(30).cold_budget();
     // 2.5 times what two cores do in 3 s, at 100 ms each.
-    assert!((terms.warm_budget - 150.0).abs() < 1e-9 && (terms.budget(0) - 45.0).abs() < 1e-9, "{terms:?}");
+    assert!(
+        (cold_budget.warm_budget - 150.0).abs() < 1e-9 && (cold_budget.budget(0) - 45.0).abs() < 1e-9,
+        "{cold_budget:?}"
+    );
 }
 
 /// The day with servers that are new and that come back, under a burst, for so many instances that together send the same:
