--- a/crates/fleet/src/audit.rs
+++ b/crates/fleet/src/audit.rs
@@ -1,5 +1,5 @@
-//! The auditor checks the rules of the balancer using only what nodes and callers observed. It knows nothing of the code
-//! under test.
+//! The auditor checks the rules of the balancer using only what nodes and callers observed. It knows nothing of the
+//! code under test.
 
 use crate::cold_start::{Allowance, ColdArrivals, ColdStartMonitor};
 use crate::node::{Job, NodeProcess};
--- a/crates/fleet/src/balancer.rs
+++ b/crates/fleet/src/balancer.rs
@@ -1,20 +1,20 @@
-//! What is under test behind one face: it is told what happened and says what it wants done.
+//! The common interface of the balancers under test: they receive events and return outputs.
 
 use dunlincleat::api::Time;
 use dunlincleat_engine::{Engine, Input, Output};
 
-/// What a request carries: its number; the answer carries it back.
+/// An event. The payload of a request is its number, and the response returns it.
 pub type EngineInput = Input<u64, u64>;
-/// What is wanted.
+/// An output.
 pub type EngineOutput = Output<u64, u64>;
 
-/// One instance's balancing.
+/// The balancer of one instance.
 pub trait Balancer {
-    /// Takes what happened.
+    /// Processes an event.
     fn input(&mut self, now: Time, input: EngineInput, out: &mut Vec<EngineOutput>);
-    /// Does what is due.
+    /// Does the work that is due.
     fn wake(&mut self, now: Time, out: &mut Vec<EngineOutput>);
-    /// When that is, if ever.
+    /// When `wake` is due next, if ever.
     fn due(&self) -> Option<Time>;
 }
 
--- a/crates/fleet/src/baseline.rs
+++ b/crates/fleet/src/baseline.rs
@@ -1,5 +1,5 @@
-//! Policies to compare against, never to serve with: they keep the rules on repeats and know nothing of load reports,
-//! cold servers or crowding.
+//! Baseline policies for comparison, not for production: they keep the rules on repeated attempts and ignore load
+//! reports, cold servers and overload.
 
 use crate::balancer::{Balancer, EngineInput, EngineOutput};
 use dunlincleat::api::{Attempt, Effect, ListKind, RequestId, ServerId, State, Status, Time};
@@ -9,29 +9,33 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// How a server is chosen.
+/// The weights of the smoothed delay and of a new, shorter one.
+const OLD_DELAY_WEIGHT: f64 = 0.9;
+const NEW_DELAY_WEIGHT: f64 = 0.1;
+
+/// How a baseline chooses a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Any.
+    /// A random one.
     Random,
-    /// One after the other.
+    /// Each in turn.
     RoundRobin,
-    /// That with the fewest of its own in hand.
+    /// The one with the fewest own requests in flight.
     LeastOutstanding,
-    /// The one with fewer of its own in hand, of two drawn.
+    /// The one with fewer own requests in flight, of two random ones.
     TwoChoices,
-    /// The least product of smoothed peak delay and own requests in hand.
+    /// The one with the smallest product of smoothed peak delay and own requests in flight.
     PeakDelay,
 }
 
 impl Choice {
-    /// The choice of this name.
+    /// The choice with this name, if there is one.
     #[must_use]
     pub fn named(name: &str) -> Option<Choice> {
         Choice::ALL.into_iter().find(|(known, _)| *known == name).map(|(_, choice)| choice)
     }
 
-    /// All by name.
+    /// All choices with their names on the command line.
     pub const ALL: [(&'static str, Choice); 5] = [
         ("random", Choice::Random),
         ("round-robin", Choice::RoundRobin),
@@ -45,7 +49,7 @@
 struct Server {
     ready: bool,
     in_flight: usize,
-    /// Smoothed delay in microseconds; it rises at once and falls slowly.
+    /// Smoothed delay in microseconds; it rises at once and decays slowly.
     delay: f64,
 }
 
@@ -56,7 +60,7 @@
     may_have_run: bool,
 }
 
-/// An instance with such a policy.
+/// An instance with a baseline policy.
 pub struct Baseline {
     choice: Choice,
     effects: Vec<Effect>,
@@ -69,7 +73,7 @@
 }
 
 impl Baseline {
-    /// An instance.
+    /// A new instance.
     #[must_use]
     pub fn new(choice: Choice, instance: &InstanceSettings, seed: u64) -> Baseline {
         Baseline {
@@ -119,7 +123,7 @@
         Some(ServerId(chosen))
     }
 
-    /// Sends a request, or gives it its final answer.
+    /// Sends the next attempt of a request, or answers it.
     fn advance(&mut self, now: Time, id: RequestId, out: &mut Vec<EngineOutput>) {
         let Some(entry) = self.requests.get(&id.0) else { return };
         let effect = self.effects.get(entry.class as usize).copied().unwrap_or(Effect::Unsafe);
@@ -153,7 +157,11 @@
                 let state = self.servers.entry(server.0).or_default();
                 state.in_flight = state.in_flight.saturating_sub(1);
                 let latency = completion.latency.as_f64();
-                state.delay = if latency > state.delay { latency } else { state.delay * 0.9 + latency * 0.1 };
+                state.delay = if latency > state.delay {
+                    latency
+                } else {
+                    state.delay * OLD_DELAY_WEIGHT + latency * NEW_DELAY_WEIGHT
+                };
                 match (completion.status, completion.body) {
                     (Status::Ok, Some(body)) => {
                         if self.requests.remove(&id.0).is_some() {
@@ -182,7 +190,7 @@
                     }
                 }
             }
-            // A day has one set of settings, and its answers come whole.
+            // Baselines ignore settings changes, and responses arrive whole in the simulation.
             Input::ResponseStarted { .. }
             | Input::Upload { .. }
             | Input::ProbeEnded { .. }
--- a/crates/fleet/src/cold_start.rs
+++ b/crates/fleet/src/cold_start.rs
@@ -70,8 +70,8 @@
         self.calls - limit(self.budget)
     }
 
-    /// Whether the instances are responsible: over two thirds of the requests came from instances that had been notified
-    /// of the process.
+    /// Whether the instances are responsible: over two thirds of the requests came from instances that had been
+    /// notified of the process.
     #[must_use]
     pub fn is_attributable(&self) -> bool {
         3.0 * self.notified > 2.0 * self.calls
@@ -107,8 +107,8 @@
         self.notified.insert((instance, process));
     }
 
-    /// Records a request of an instance at a cold node; `calls` is its work relative to the mean. Returns the arrivals of
-    /// the window if this request overloads the node and the instances are responsible for that.
+    /// Records a request of an instance at a cold node; `calls` is its work relative to the mean. Returns the arrivals
+    /// of the window if this request overloads the node and the instances are responsible for that.
     pub fn record_arrival(
         &mut self,
         instance: u32,
--- a/crates/fleet/src/connections.rs
+++ b/crates/fleet/src/connections.rs
@@ -1,6 +1,6 @@
-//! The connections between instances and nodes, as a limited resource: a connection carries one request at a time, opening
-//! one takes a round trip and work, and a node limits their number and closes idle ones. A pure state machine that owns
-//! every connection; one is returned exactly once, by [`Connections::release`] or [`Connections::close`].
+//! The connections between instances and nodes, as a limited resource: a connection carries one request at a time,
+//! opening one takes a round trip and work, and a node limits their number and closes idle ones. A pure state machine
+//! that owns every connection; one is returned exactly once, by [`Connections::release`] or [`Connections::close`].
 
 use rustc_hash::FxHashMap;
 
--- a/crates/fleet/src/connections/tests.rs
+++ b/crates/fleet/src/connections/tests.rs
@@ -4,7 +4,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Over random days no node holds more than it grants, and what is given back once is all given back in the end.
+/// No node ever has more connections than its limit, and none is left open once all are released, over random
+/// sequences.
 #[test]
 fn connections_are_released_once_and_never_exceed_the_node_limit() {
     for seed in 0..20 {
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -3,8 +3,8 @@
 //! calls and changes and returns which instance receives what, and when. It owns the open watches; one is closed by
 //! [`DiscoveryService::close`] or when its instance ends.
 //!
-//! The other side is `crates/directory`, as in the sidecar. A model that notifies the engine directly, with a random delay
-//! for each change, could not show how calls that are abandoned and repeated crowd out others.
+//! The other side is `crates/directory`, as in the sidecar. A model that notifies the engine directly, with a random
+//! delay for each change, could not show how calls that are abandoned and repeated crowd out others.
 
 use crate::node::NodeProcess;
 use crate::scenario::DiscoveryLimits;
--- a/crates/fleet/src/discovery/tests.rs
+++ b/crates/fleet/src/discovery/tests.rs
@@ -19,7 +19,8 @@
     )
 }
 
-/// Sixty that gave up and called again once kept each other out for good: a call is work also when nobody waits.
+/// Guards against calls that cost nothing once they are abandoned. Sixty instances that abandoned and repeated their
+/// calls kept each other from being answered for good, because a call takes time even if nobody waits for it.
 #[test]
 fn calls_are_served_in_order_and_abandoned_calls_still_take_time() {
     let mut service = service(10.0, 4);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,11 +1,15 @@
-//! The systems that a sidecar serves, as stand-ins in simulated time: nodes, callers, the list, the network, faults.
-//! They are driven by scenarios and drive the very engine that serves on sockets; an auditor that knows only what
-//! nodes and callers saw tells broken rules. Figures from here are simulated.
+//! A discrete-event simulation of the systems around a sidecar: nodes, callers, discovery, the network and faults.
+//! Scenarios drive the same engine that serves on sockets; an auditor that knows only what nodes and callers observed
+//! reports violated rules. All figures are simulated.
 //!
-//! [`scenario`] is read from TOML, in which [`template`] puts a seed's numbers for ranges; [`node`] is one node, [`connections`] all
-//! connections, [`discovery`] the service that lists, [`cold_start`] the budget of a node that starts, [`timeline`] the time line of faults, [`world`] the clock and all that
-//! happens, [`audit`] the rules, [`report`] what is told of a day; [`balancer`] what is under test: the engine,
-//! [`baseline`] policies for comparison, or a [`mutant`] that must be caught.
+//! - [`scenario`]: scenarios as read from TOML; [`template`] draws the values of their ranges from a seed
+//! - [`world`]: the clock and the events of a simulation
+//! - [`node`], [`connections`], [`discovery`]: the simulated nodes, connections and discovery service
+//! - [`cold_start`]: the budget of nodes that have just started
+//! - [`timeline`]: the timed steps of faults
+//! - [`balancer`]: the interface of what is under test: the engine, a [`baseline`] policy for comparison, or a
+//!   [`mutant`] that the auditor must detect
+//! - [`audit`]: the rules; [`report`]: the result of a simulation
 
 #![forbid(unsafe_code)]
 
--- a/crates/fleet/src/mutant.rs
+++ b/crates/fleet/src/mutant.rs
@@ -1,4 +1,4 @@
-//! Engines with one planted fault each: the auditor must catch them all, or it proves nothing.
+//! Engines with one injected fault each. The auditor must detect all of them, or its silence proves nothing.
 
 use crate::balancer::{Balancer, EngineInput, EngineOutput};
 use crate::cold_start::ColdBudget;
@@ -6,27 +6,27 @@
 use dunlincleat_engine::{Answer, Endpoint, Input, Output};
 use std::collections::VecDeque;
 
-/// What is wrong with it.
+/// The fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Every attempt of a hundredth request goes out twice.
+    /// Sends every attempt of each hundredth request twice.
     SendsTwice,
-    /// A hundredth request is answered twice.
+    /// Answers each hundredth request twice.
     AnswersTwice,
-    /// It never hears that a server drains.
+    /// Ignores that servers drain.
     IgnoresDrains,
-    /// It sends all to the server that started last.
+    /// Sends all requests to the server that started last.
     FloodsCold,
-    /// It sits on refusals.
+    /// Delays refusals.
     DelaysRefusals,
-    /// It never answers a hundredth request.
+    /// Never answers each hundredth request.
     LosesRequests,
-    /// It alone sends the server that started last all that the settings allow the whole fleet.
+    /// Sends the server that started last the whole budget that the settings allow all instances together.
     TakesBudget,
 }
 
 impl InjectedFault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [InjectedFault; 7] = [
         InjectedFault::SendsTwice,
         InjectedFault::AnswersTwice,
@@ -38,30 +38,36 @@
     ];
 }
 
-/// How long a mutant sits on a refusal.
+/// The faults that affect some requests do so for each request whose number is a multiple of this.
+const AFFECTED_EVERY: u64 = 100;
+/// Added to the number of an attempt that is sent twice, so that it differs from all others.
+const DUPLICATE_ATTEMPT_OFFSET: u32 = 50;
+/// How long refusals are delayed.
 const REFUSAL_DELAY: Span = Span(250_000);
 
-/// An engine with a planted fault.
+/// An engine with an injected fault.
 pub struct Mutant<B> {
     inner: B,
     fault: InjectedFault,
     delayed: Vec<(Time, EngineOutput)>,
-    /// The server that started last, where one did.
+    /// The server that started last, if any.
     newest: Option<ServerId>,
-    /// When that was, what cold servers may get, and when this instance sent it something of late.
+    /// When the server that started last did so.
     newest_started_at: Time,
+    /// The budget that the settings allow a cold server.
     cold_budget: ColdBudget,
+    /// When this instance sent to the newest server, within the window of the budget.
     own_sends: VecDeque<Time>,
 }
 
 impl<B: Balancer> Mutant<B> {
-    /// Plants a fault.
+    /// Injects a fault into a balancer.
     pub fn new(inner: B, fault: InjectedFault, cold_budget: ColdBudget) -> Mutant<B> {
         let (newest_started_at, own_sends) = (Time(0), VecDeque::new());
         Mutant { inner, fault, delayed: Vec::new(), newest: None, newest_started_at, cold_budget, own_sends }
     }
 
-    /// The server that started last, while it is cold and this instance alone has not sent it the whole budget.
+    /// Returns the server that started last while it is cold and this instance alone has not sent it the whole budget.
     fn budget_left(&mut self, now: Time) -> Option<ServerId> {
         let (newest, age) = (self.newest?, (now - self.newest_started_at).0);
         while self.own_sends.front().is_some_and(|at| (now - *at).0 >= self.cold_budget.window) {
@@ -97,7 +103,8 @@
                         state: State::Ready,
                     },
                 ) if Time(*boot_ms * 1000) > self.newest_started_at => {
-                    (self.newest, self.newest_started_at) = (Some(*server), Time(*boot_ms * 1000));
+                    self.newest = Some(*server);
+                    self.newest_started_at = Time(*boot_ms * 1000);
                     self.own_sends.clear();
                 }
                 (InjectedFault::TakesBudget, Output::Attempt { server, .. }) => {
@@ -109,15 +116,19 @@
                 (
                     InjectedFault::SendsTwice,
                     Output::Attempt { id, attempt, server, payload, until, connect_timeout },
-                ) if id.0 % 100 == 0 => {
-                    let (id, attempt, server) = (*id, Attempt(attempt.0 + 50), *server);
+                ) if id.0 % AFFECTED_EVERY == 0 => {
+                    let (id, attempt, server) = (*id, Attempt(attempt.0 + DUPLICATE_ATTEMPT_OFFSET), *server);
                     let (payload, until, connect_timeout) = (*payload, *until, *connect_timeout);
                     modified.push(Output::Attempt { id, attempt, server, payload, until, connect_timeout });
                 }
-                (InjectedFault::AnswersTwice, Output::Answer { id, answer }) if id.0 % 100 == 0 => {
+                (InjectedFault::AnswersTwice, Output::Answer { id, answer })
+                    if id.0 % AFFECTED_EVERY == 0 =>
+                {
                     modified.push(Output::Answer { id: *id, answer: answer.clone() });
                 }
-                (InjectedFault::LosesRequests, Output::Answer { id, .. }) if id.0 % 100 == 0 => continue,
+                (InjectedFault::LosesRequests, Output::Answer { id, .. }) if id.0 % AFFECTED_EVERY == 0 => {
+                    continue;
+                }
                 (InjectedFault::DelaysRefusals, Output::Answer { answer: Answer::Refused { .. }, .. }) => {
                     self.delayed.push((now + REFUSAL_DELAY, output));
                     continue;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -98,7 +98,8 @@
     /// Arrivals while it was cold: their times and their work.
     cold_arrivals: VecDeque<(u64, f64)>,
     cold_work: f64,
-    /// The mean work of a request. If it is known, overload takes more than the budget and the tolerated random variation.
+    /// The mean work of a request. If it is known, overload takes more than the budget and the tolerated random
+    /// variation.
     mean_work: f64,
     /// It received more than its budget.
     pub over_budget: bool,
@@ -134,8 +135,8 @@
         }
     }
 
-    /// Sets the mean work of a request, in microseconds. Without it a cold node is overloaded by the first work beyond its
-    /// budget.
+    /// Sets the mean work of a request, in microseconds. Without it a cold node is overloaded by the first work beyond
+    /// its budget.
     #[must_use]
     pub fn with_mean_work(self, mean_work: f64) -> Node {
         Node { mean_work, ..self }
@@ -222,8 +223,8 @@
         if mean > 0.0 { mean * cold_start::limit(budget / mean) } else { budget }
     }
 
-    /// Records work that arrives at a cold node. Returns the work that the node has capacity for within the window if more
-    /// has arrived.
+    /// Records work that arrives at a cold node. Returns the work that the node has capacity for within the window if
+    /// more has arrived.
     fn exceeded_cold_budget(&mut self, now: u64, work: f64) -> Option<f64> {
         let started_at = self.started_at.filter(|started_at| now < started_at + self.warm_up)?;
         self.cold_arrivals.push_back((now, work));
--- a/crates/fleet/src/report/tests.rs
+++ b/crates/fleet/src/report/tests.rs
@@ -9,7 +9,7 @@
     };
     let seconds = seconds_of(&[2.0, 9.0, 9.0, 1.0, 1.0, 5.0, 9.0, 5.0, 8.9, 9.0, 9.0, 9.0]);
     let at = |first: u64, over: u64| recovery_seconds(&seconds, Some((first, over)), 12_000_000);
-    // One good second between two bad ones is no recovery.
+    // One good second between two bad ones is not a recovery.
     assert_eq!(at(3_000_000, 4_500_000), Some(3.5));
     assert_eq!(at(3_000_000, 9_000_000), Some(0.0));
     assert_eq!(recovery_seconds(&seconds, None, 12_000_000), None);
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens: a fleet, its traffic and a time line of faults, read from TOML with units and checked before use.
+//! Scenarios: a fleet, its traffic and a timeline of faults, read from TOML with units and checked before use.
 
 use crate::cold_start::ColdBudget;
 use crate::template::{Template, line_of};
@@ -8,7 +8,7 @@
 use dunlincleat_settings::InstanceSettings;
 use serde::{Deserialize, Deserializer};
 
-/// A length of time written with its unit, as "80ms".
+/// A duration written with its unit, such as "80ms".
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Time(pub Span);
 
@@ -17,94 +17,94 @@
         let text = String::deserialize(from)?;
         let span = parse_duration(&text);
         span.map(Time)
-            .ok_or_else(|| serde::de::Error::custom(format!("'{text}' is no duration, as \"80ms\"")))
+            .ok_or_else(|| serde::de::Error::custom(format!("'{text}' is not a duration such as \"80ms\"")))
     }
 }
 
 impl Time {
-    /// In microseconds.
+    /// The duration in microseconds.
     #[must_use]
     pub fn us(self) -> u64 {
         self.0.0
     }
 }
 
-/// A day in the life of a fleet.
+/// A scenario: what a simulation runs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// Its name.
     pub name: String,
-    /// How long callers ask.
+    /// How long callers send requests.
     pub lasts: Time,
     /// The nodes.
     pub fleet: Fleet,
     /// The callers.
     pub traffic: Traffic,
-    /// What instances are told that things cost, in parts of the result.
+    /// The prices in the settings of instances, as parts of the result.
     #[serde(default)]
     pub prices: Prices,
     /// The classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// What goes wrong, and when.
+    /// The faults and their times.
     #[serde(rename = "fault", default)]
     pub faults: Vec<Fault>,
 }
 
-/// The nodes, all alike but for their zones.
+/// The nodes, all the same except for their zones.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// How many.
+    /// The number of nodes.
     pub nodes: usize,
-    /// Zones, in turn.
-    #[serde(default = "one_zone")]
+    /// The zones, to which nodes are assigned in turn.
+    #[serde(default = "single_zone")]
     pub zones: Vec<String>,
-    /// Requests in work at a time.
-    #[serde(default = "one")]
+    /// The number of requests that a node works on at a time.
+    #[serde(default = "default_cores")]
     pub cores: usize,
-    /// Requests that may wait; one more is turned away.
-    #[serde(default = "queue")]
+    /// The number of requests that may wait at a node; further ones are rejected.
+    #[serde(default = "default_queue")]
     pub queue: usize,
-    /// A node that starts can do this part of its work,
-    #[serde(default = "cold_from")]
+    /// The part of its full capacity that a node has when it starts.
+    #[serde(default = "default_cold_from")]
     pub cold_from: f64,
-    /// and all of it after this time.
-    #[serde(default = "cold")]
+    /// The time after which a node has its full capacity.
+    #[serde(default = "default_cold")]
     pub cold: Time,
-    /// A cold node falls over where it is sent more than this multiple of what it can do
-    #[serde(default = "falls_at")]
+    /// A cold node is overloaded if it receives more than this multiple of the work that it has capacity for.
+    #[serde(default = "default_falls_at")]
     pub falls_at: f64,
-    /// over this time.
-    #[serde(default = "falls_over")]
+    /// The window over which the work that a cold node receives is counted.
+    #[serde(default = "default_falls_over")]
     pub falls_over: Time,
-    /// How late the list tells.
-    #[serde(default = "list_late")]
+    /// The delay of discovery.
+    #[serde(default = "default_list_late")]
     pub list_late: Time,
-    /// Calls a second that the list answers; others wait in turn.
-    #[serde(default = "list_calls")]
+    /// Calls per second that discovery answers; others wait.
+    #[serde(default = "default_list_calls_per_s")]
     pub list_calls_per_s: f64,
-    /// Calls that may wait; one more is turned away.
-    #[serde(default = "list_queue")]
+    /// The number of calls that may wait; further ones are refused.
+    #[serde(default = "default_list_queue")]
     pub list_queue: usize,
-    /// Lists come only on request.
+    /// Discovery answers only on request.
     #[serde(default)]
     pub list_on_request: bool,
-    /// Connections that a node holds at most; any number where it is not told.
+    /// The maximum number of open connections of a node; unlimited if not given.
     #[serde(default)]
     pub connections: Option<usize>,
-    /// Work of a new connection at its node, beside a way there and back.
+    /// The work of a new connection at its node, in addition to a round trip.
     #[serde(default)]
     pub handshake: Option<Time>,
-    /// After how long a node closes an idle connection; never where it is not told.
+    /// The time after which a node closes an idle connection; never if not given.
     #[serde(default)]
     pub idle: Option<Time>,
-    /// Nodes report their load in answers; without, instances know of it only what they did themselves.
-    #[serde(default = "yes")]
+    /// Nodes report their load in responses. Without reports, instances know only their own requests.
+    #[serde(default = "enabled")]
     pub reports: bool,
-    /// One way from instance to node.
-    #[serde(default = "network")]
+    /// The one-way network latency between instances and nodes.
+    #[serde(default = "default_network")]
     pub network: Time,
 }
 
@@ -112,27 +112,28 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Instances, one beside each caller.
+    /// The number of instances, one for each caller.
     pub instances: usize,
-    /// First tries a second, over all; or `load` in its place.
+    /// Requests per second of all callers, not counting retries; `load` can be given instead.
     #[serde(default)]
     pub rate_per_s: Option<f64>,
-    /// First tries as a part of what all nodes can do when warm.
+    /// Requests, not counting retries, as a part of the capacity of all nodes when warm.
     #[serde(default)]
     pub load: Option<f64>,
-    /// The part of all that the first instance sends; the others share the rest evenly.
+    /// The part of the traffic that the first caller sends; the others share the rest, evenly unless `skew` is given.
     #[serde(default)]
     pub hot: f64,
-    /// How unevenly the others send: sigma of the logarithm of their shares, 0 for all alike.
+    /// How unevenly the other callers send: the sigma of the logarithm of their shares, 0 for equal shares.
     #[serde(default)]
     pub skew: f64,
-    /// Callers tell a guess at the work, off by this sigma of its logarithm; nothing where they tell none.
+    /// Callers give an estimate of the work of a request, whose error has this sigma of its logarithm; no estimate if
+    /// not given.
     #[serde(default)]
     pub hints: Option<f64>,
-    /// How often a caller tries again what was refused, or failed where it may.
+    /// How often a caller retries requests that were refused, or failed where a retry is safe.
     #[serde(default)]
     pub retries: u32,
-    /// How long it waits before.
+    /// How long a caller waits before a retry.
     #[serde(default)]
     pub backoff: Option<Time>,
 }
@@ -143,14 +144,14 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Its part of the traffic, against that of the others.
+    /// Its share of the traffic, relative to the other classes.
     pub share: f64,
-    /// The mean time on a core.
+    /// The mean service time on a core of a warm node.
     pub work: Time,
-    /// How far it spreads: sigma of the logarithm, 0 for always alike; `exponential` is told apart.
+    /// How the service time varies: the sigma of its logarithm, 0 for a constant time. `exponential` is set separately.
     #[serde(default)]
     pub spread: f64,
-    /// The time on a core is exponential.
+    /// The service time is exponentially distributed.
     #[serde(default)]
     pub exponential: bool,
     /// An answer within this time has its full worth.
@@ -159,309 +160,310 @@
     pub deadline: Time,
     /// `retryable`, `dedup` or `fragile`, as in the settings.
     pub semantics: String,
-    /// What an answer in time is worth.
-    #[serde(default = "full_worth")]
+    /// The worth of an answer in time.
+    #[serde(default = "default_worth")]
     pub worth: f64,
 }
 
-/// Prices, as parts of the result; see the settings.
+/// Prices as parts of the result, as in the settings.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prices {
-    /// Of connections opened, for each first try.
+    /// The price of opened connections, per request.
     #[serde(default)]
     pub handshake: f64,
-    /// Of open connections, for a hundred at each server.
+    /// The price of open connections, for a hundred at each server.
     #[serde(default)]
     pub connection: f64,
-    /// Of attempts that cross zones, for each first try.
+    /// The price of attempts across zones, per request.
     #[serde(default)]
     pub cross_zone: f64,
-    /// Of probes, for each first try.
-    #[serde(default = "probe_price")]
+    /// The price of probes, per request.
+    #[serde(default = "default_probe_price")]
     pub probe: f64,
 }
 
 impl Default for Prices {
     fn default() -> Prices {
-        Prices { handshake: 0.0, connection: 0.0, cross_zone: 0.0, probe: probe_price() }
+        Prices { handshake: 0.0, connection: 0.0, cross_zone: 0.0, probe: default_probe_price() }
     }
 }
 
-/// Limits of the service that tells of the servers.
+/// The limits of the discovery service.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryLimits {
-    /// How late it tells.
+    /// Its delay.
     pub delay: Time,
-    /// Calls a second.
+    /// Calls per second.
     pub calls_per_s: f64,
-    /// Calls that may wait.
+    /// The number of calls that may wait.
     pub max_queued: usize,
-    /// Lists come only on request.
+    /// Discovery answers only on request.
     pub on_request: bool,
 }
 
-/// How an instance ends before it starts again.
+/// How an instance ends before its caller gets another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Termination {
-    /// It is told to, takes nothing more and finishes what it has.
+    /// It is asked to terminate: it accepts no more requests and finishes those it has.
     Term,
-    /// At once, with all that it had.
+    /// It dies with all its requests.
     Death,
 }
 
-/// What goes wrong.
+/// A fault.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// A part of the nodes dies, unheard by the list, and comes back cold.
+    /// A part of the nodes dies without notice to discovery and restarts cold.
     Death {
-        /// When.
+        /// When it happens.
         at: Time,
-        /// Which part.
+        /// The part of the nodes.
         part: f64,
-        /// After how long they are back.
+        /// The time after which they restart.
         back: Time,
     },
-    /// All nodes are drained, taken away and replaced, some at a time.
+    /// All nodes are drained, removed and replaced in batches.
     Deploy {
         /// When it begins.
         at: Time,
-        /// Which part at a time.
+        /// The part of the nodes in each batch.
         part: f64,
-        /// How long each step takes.
+        /// The duration of each batch.
         step: Time,
     },
-    /// A part of the nodes stands still again and again.
+    /// A part of the nodes stalls repeatedly.
     Stall {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// Which part.
+        /// The part of the nodes.
         part: f64,
-        /// How long each time.
+        /// The duration of each stall.
         each: Time,
-        /// How often.
+        /// The interval between stalls.
         every: Time,
     },
     /// A part of the nodes is slower.
     Slow {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// Which part.
+        /// The part of the nodes.
         part: f64,
-        /// By what factor work takes longer.
+        /// The factor by which work takes longer.
         factor: f64,
     },
-    /// A part of the nodes answers errors at once.
+    /// A part of the nodes answers every request with an error at once.
     FailFast {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// Which part.
+        /// The part of the nodes.
         part: f64,
     },
-    /// A part of the nodes takes requests and says nothing.
+    /// A part of the nodes accepts requests and never answers.
     BlackHole {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// Which part.
+        /// The part of the nodes.
         part: f64,
     },
-    /// A zone is out of reach.
+    /// A zone is unreachable.
     ZoneLoss {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// Which zone.
+        /// The zone.
         zone: String,
-        /// Its nodes come back as new processes.
+        /// Its nodes restart as new processes at the end.
         #[serde(default)]
         cold: bool,
     },
-    /// The way from instances of one zone to nodes of another is cut: what is sent is lost, and no connection comes up.
+    /// The network path from the instances of one zone to the nodes of another is cut: requests on it are lost, and no
+    /// connection is established.
     Cut {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// The instances' zone.
+        /// The zone of the instances.
         from: String,
-        /// The nodes' zone.
+        /// The zone of the nodes.
         to: String,
     },
-    /// A part of the nodes is drained, taken away and replaced, each at a time of its own.
+    /// A part of the nodes is drained, removed and replaced, each at its own time.
     Replace {
         /// When it begins.
         at: Time,
-        /// Which part.
+        /// The part of the nodes.
         part: f64,
-        /// Within how long.
+        /// The period in which all of them are replaced.
         within: Time,
     },
-    /// Answers get lost on their way back.
+    /// Responses are lost on their way back.
     AnswersLost {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// Which part of them.
+        /// The part of the responses.
         part: f64,
     },
-    /// Connections are reset under requests.
+    /// Connections are reset during requests.
     Resets {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// Which part of the attempts.
+        /// The part of the attempts.
         part: f64,
     },
-    /// Answers can't be read.
+    /// Responses are unreadable.
     Spoilt {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// Which part of them.
+        /// The part of the responses.
         part: f64,
     },
-    /// Callers give up early.
+    /// Callers give up before their deadline.
     GiveUp {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// Which part of the requests.
+        /// The part of the requests.
         part: f64,
-        /// After how long.
+        /// The time after which they give up.
         after: Time,
     },
-    /// Callers come again at once and more often than usual.
+    /// Callers retry sooner and more often than usual.
     Abuse {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// Which part of the requests.
+        /// The part of the requests.
         part: f64,
-        /// Further tries.
+        /// The number of extra retries.
         tries: u32,
     },
-    /// A part of the instances ends and starts again, some at a time.
+    /// A part of the instances ends and restarts in batches.
     Restarts {
         /// When it begins.
         at: Time,
-        /// Which part of them in all.
+        /// The part of the instances, over all batches.
         part: f64,
-        /// In how many steps.
+        /// The number of batches.
         steps: usize,
-        /// How long each step takes.
+        /// The duration of each batch.
         step: Time,
-        /// How they end.
+        /// How the instances end.
         how: Termination,
-        /// After how long the next process serves.
+        /// The time until the next instance serves.
         back: Time,
     },
-    /// All instances are given other settings in service: the aims change.
+    /// All instances get new settings at run time: the aims change.
     Reload {
-        /// When.
+        /// When it happens.
         at: Time,
-        /// By what factor.
+        /// The factor of the change.
         factor: f64,
     },
-    /// Callers of one zone ask more.
+    /// Callers of one zone send more requests.
     Shift {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
         /// The zone.
         zone: String,
-        /// So many times as much.
+        /// The factor of the change.
         factor: f64,
     },
-    /// The list tells nothing new.
+    /// Discovery is silent.
     ListSilent {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
     },
-    /// Callers ask more.
+    /// Callers send more requests.
     Burst {
         /// When it begins.
         at: Time,
-        /// For how long.
+        /// Its duration.
         lasts: Time,
-        /// So many times as much.
+        /// The factor of the change.
         factor: f64,
     },
 }
 
-fn full_worth() -> f64 {
+fn default_worth() -> f64 {
     1.0
 }
 
-fn probe_price() -> f64 {
+fn default_probe_price() -> f64 {
     0.02
 }
 
-fn list_calls() -> f64 {
+fn default_list_calls_per_s() -> f64 {
     1000.0
 }
 
-fn list_queue() -> usize {
+fn default_list_queue() -> usize {
     10_000
 }
 
-fn one_zone() -> Vec<String> {
+fn single_zone() -> Vec<String> {
     vec!["a".to_owned()]
 }
-fn yes() -> bool {
+fn enabled() -> bool {
     true
 }
-fn one() -> usize {
+fn default_cores() -> usize {
     1
 }
-fn queue() -> usize {
+fn default_queue() -> usize {
     64
 }
-fn cold_from() -> f64 {
+fn default_cold_from() -> f64 {
     0.3
 }
-fn cold() -> Time {
+fn default_cold() -> Time {
     Time(Span(8_000_000))
 }
-fn falls_at() -> f64 {
+fn default_falls_at() -> f64 {
     2.5
 }
-fn falls_over() -> Time {
+fn default_falls_over() -> Time {
     Time(Span(3_000_000))
 }
-fn list_late() -> Time {
+fn default_list_late() -> Time {
     Time(Span(500_000))
 }
-fn network() -> Time {
+fn default_network() -> Time {
     Time(Span(200))
 }
 
-/// The grace of a drain.
+/// The grace period of a drain.
 pub const DRAIN_GRACE: Span = Span(1_000_000);
 
 impl Fault {
-    /// When it begins, and when its cause is over.
+    /// When it begins and when its cause ends, in microseconds from the start.
     #[must_use]
     pub fn span(&self) -> (u64, u64) {
-        let (at, over) = match self {
+        let (at, duration) = match self {
             Fault::Death { at, back, .. } => (at, back.us()),
             Fault::Deploy { at, part, step } => (at, (step.us() as f64 / part.max(1e-3)) as u64),
             Fault::Stall { at, lasts, .. }
@@ -482,10 +484,10 @@
             Fault::Restarts { at, steps, step, back, .. } => (at, *steps as u64 * step.us() + back.us()),
             Fault::Reload { at, .. } => (at, 0),
         };
-        (at.us(), at.us() + over)
+        (at.us(), at.us() + duration)
     }
 
-    /// Its name in a file.
+    /// Its name in scenario files and reports.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -511,7 +513,7 @@
         }
     }
 
-    /// Its part, factor and zones, each with its key, for the checks.
+    /// Its part, factor and zones, each zone with its key, for the checks.
     fn checked_values(&self) -> (Option<f64>, Option<f64>, Vec<(&'static str, &str)>) {
         match self {
             Fault::Death { part, .. }
@@ -536,14 +538,17 @@
     }
 }
 
-/// A value at fault: its key, and what is wrong and would be right.
-struct InvalidValue(String, String);
+/// An invalid value: its key, what is wrong, and what is valid.
+struct InvalidValue {
+    key: String,
+    problem: String,
+}
 
-fn invalid(key: &str, what: impl Into<String>) -> InvalidValue {
-    InvalidValue(key.to_owned(), what.into())
+fn invalid(key: &str, problem: impl Into<String>) -> InvalidValue {
+    InvalidValue { key: key.to_owned(), problem: problem.into() }
 }
 
-/// The key and value of a number outside its range.
+/// Checks that a number is within a range.
 fn within(key: &str, value: f64, range: std::ops::RangeInclusive<f64>) -> Result<(), InvalidValue> {
     if range.contains(&value) {
         return Ok(());
@@ -552,13 +557,13 @@
 }
 
 impl Scenario {
-    /// Reads and checks a scenario; of ranges the lower ends are taken.
+    /// Reads and checks a scenario. Ranges are replaced by their lower ends.
     ///
     /// # Errors
     ///
-    /// Names the key that is at fault, its line, value and what would be right.
+    /// Names the invalid key, its line and value, and what is valid.
     pub fn read(text: &str) -> Result<Scenario> {
-        Scenario::read_without_ranges(&Template::read(text).context("the scenario")?.at_bound(false))
+        Scenario::read_without_ranges(&Template::read(text).context("invalid scenario")?.at_bound(false))
     }
 
     /// Reads and checks a text without ranges.
@@ -567,12 +572,12 @@
     ///
     /// As [`Scenario::read`].
     pub fn read_without_ranges(text: &str) -> Result<Scenario> {
-        let scenario: Scenario = toml::from_str(text).context("the scenario")?;
-        scenario.check().map_err(|InvalidValue(key, what)| match line_of(text, &key) {
-            Some(line) => anyhow!("line {line}: {key}: {what}"),
-            None => anyhow!("{key}: {what}"),
+        let scenario: Scenario = toml::from_str(text).context("invalid scenario")?;
+        scenario.check().map_err(|InvalidValue { key, problem }| match line_of(text, &key) {
+            Some(line) => anyhow!("line {line}: {key}: {problem}"),
+            None => anyhow!("{key}: {problem}"),
         })?;
-        scenario.instance_settings(0).map(drop).context("the classes")?;
+        scenario.instance_settings(0).map(drop).context("invalid classes")?;
         Ok(scenario)
     }
 
@@ -590,10 +595,13 @@
             (Some(rate), None) => within("traffic.rate_per_s", rate, 1e-3..=1e6)?,
             (None, Some(load)) => within("traffic.load", load, 0.01..=10.0)?,
             (Some(_), Some(_)) => {
-                return Err(invalid("traffic.load", "beside rate_per_s; there is one of them"));
+                return Err(invalid(
+                    "traffic.load",
+                    "given together with rate_per_s; only one of them is allowed",
+                ));
             }
             (None, None) => {
-                return Err(invalid("traffic", "neither rate_per_s nor load; there is one of them"));
+                return Err(invalid("traffic", "neither rate_per_s nor load given; one of them is required"));
             }
         }
         within("traffic.hot", traffic.hot, 0.0..=0.999)?;
@@ -611,7 +619,7 @@
             within(key, price, 0.0..=1.0)?;
         }
         if classes.is_empty() {
-            return Err(invalid("class", "none; there is at least one"));
+            return Err(invalid("class", "none given; at least one is required"));
         }
         for (n, class) in classes.iter().enumerate() {
             let key = |name: &str| format!("class[{n}].{name}");
@@ -620,7 +628,7 @@
             within(&key("worth"), class.worth, 1e-3..=1e3)?;
             if class.aim.us() > class.deadline.us() {
                 let (aim, deadline) = (format_duration(class.aim.0), format_duration(class.deadline.0));
-                return Err(invalid(&key("aim"), format!("{aim} is over deadline, {deadline}")));
+                return Err(invalid(&key("aim"), format!("{aim} is longer than the deadline, {deadline}")));
             }
         }
         for (n, fault) in self.faults.iter().enumerate() {
@@ -636,7 +644,7 @@
             for (name, zone) in zones {
                 if !fleet.zones.iter().any(|known| known == zone) {
                     let known = fleet.zones.join(", ");
-                    return Err(invalid(&key(name), format!("'{zone}' is none of {known}")));
+                    return Err(invalid(&key(name), format!("'{zone}' is not one of {known}")));
                 }
             }
             if let Fault::Restarts { steps, .. } = fault {
@@ -649,11 +657,13 @@
         Ok(())
     }
 
-    /// When the last cause is over, in microseconds from the start, and when the first begins; nothing where there is none.
+    /// When the first fault begins and the last one ends, in microseconds from the start; `None` without faults.
     #[must_use]
     pub fn fault_span(&self) -> Option<(u64, u64)> {
         let spans = || self.faults.iter().map(Fault::span);
-        Some((spans().map(|(at, _)| at).min()?, spans().map(|(_, over)| over).max()?))
+        let first = spans().map(|(at, _)| at).min()?;
+        let last = spans().map(|(_, end)| end).max()?;
+        Some((first, last))
     }
 
     /// The mean work of a request, in microseconds.
@@ -663,7 +673,7 @@
         self.classes.iter().map(|c| c.share / shares * c.work.us() as f64).sum::<f64>().max(1.0)
     }
 
-    /// What a cold node may get.
+    /// The budget of a cold node.
     #[must_use]
     pub fn cold_budget(&self) -> ColdBudget {
         let Fleet { cores, cold_from, cold, falls_at, falls_over, .. } = self.fleet;
@@ -672,14 +682,14 @@
         ColdBudget { initial_part: cold_from, warm_up: cold.us(), window, warm_budget }
     }
 
-    /// First tries a second, over all.
+    /// Requests per second of all callers, not counting retries.
     #[must_use]
     pub fn rate(&self) -> f64 {
         let capacity = (self.fleet.nodes * self.fleet.cores) as f64 * 1e6 / self.mean_work();
         self.traffic.rate_per_s.unwrap_or_else(|| self.traffic.load.unwrap_or(0.0) * capacity)
     }
 
-    /// The same day with a part of the nodes and instances, each as busy as before.
+    /// The same scenario with a part of the nodes and instances, each as busy as before.
     #[must_use]
     pub fn scaled(mut self, part: f64) -> Scenario {
         let count = |n: usize| ((n as f64 * part).round() as usize).max(2);
@@ -687,7 +697,7 @@
         self.traffic.instances = count(self.traffic.instances);
         self.traffic.rate_per_s = self.traffic.rate_per_s.map(|rate| rate * part);
         self.fleet.list_calls_per_s = (self.fleet.list_calls_per_s * part).max(0.1);
-        // Each instance alone takes so many connections at a node: the limit follows their number.
+        // Every instance needs its own connections to a node, so the limit scales with the number of instances.
         self.fleet.connections = self.fleet.connections.map(|n| ((n as f64 * part).ceil() as usize).max(4));
         self
     }
@@ -707,7 +717,7 @@
     ///
     /// # Errors
     ///
-    /// A class has a semantics that is not known.
+    /// The semantics of a class is unknown.
     pub fn instance_settings(&self, me: usize) -> Result<InstanceSettings> {
         let class = |c: &Class| {
             serde_json::json!({
--- a/crates/fleet/src/template.rs
+++ b/crates/fleet/src/template.rs
@@ -1,9 +1,9 @@
-//! Stage: a scenario's text to one deployment. Every number and duration may be written as a range,
-//! `{ from = 0.5, to = 0.7 }`; a seed draws each from its range, so that seeds are different deployments.
+//! Turns the text of a scenario into one deployment. Every number and duration can be given as a range such as `{ from
+//! = 0.5, to = 0.7 }`; a seed draws each value from its range, so that each seed is a different deployment.
 //!
-//! The drawn value takes the range's place in the text, on its own line, so that faults told later still name the line
-//! that was written. Each range draws by its seed and its key alone: one more range moves no other. The way not taken is
-//! a type for ranges in every field: it would make each field two things, and both hosts of a field ask which.
+//! The drawn value replaces the range in the text, on the same line, so that later errors name the line as written.
+//! Each value is drawn from the seed and its key alone: adding a range changes no other value. A range type in every
+//! field would be the alternative: every use of a field would then have to distinguish a range from a value.
 
 use anyhow::{Context, Result, bail};
 use dunlincleat_limits::{format_duration, parse_duration};
@@ -15,7 +15,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A text with ranges.
+/// A scenario text with ranges.
 #[derive(Clone, Debug)]
 pub struct Template {
     text: String,
@@ -42,22 +42,22 @@
     ///
     /// # Errors
     ///
-    /// It is no TOML, or a range is at fault: its line, key, value and what would be right.
+    /// The text is not TOML, or a range is invalid: its line, key and value, and what is valid.
     pub fn read(text: &str) -> Result<Template> {
-        let table = DeTable::parse(text).context("it is no TOML")?;
+        let table = DeTable::parse(text).context("not valid TOML")?;
         let mut ranges = Vec::new();
         collect_table(text, "", table.get_ref(), &mut ranges)?;
         ranges.sort_by_key(|range| range.span.start);
         Ok(Template { text: text.to_owned(), ranges })
     }
 
-    /// Ranges that it has.
+    /// The number of ranges.
     #[must_use]
     pub fn ranges(&self) -> usize {
         self.ranges.len()
     }
 
-    /// The text with each range drawn by this seed.
+    /// The text with each range replaced by the value that this seed draws.
     #[must_use]
     pub fn sample(&self, seed: u64) -> String {
         self.substitute(|key, bounds| {
@@ -74,7 +74,7 @@
         })
     }
 
-    /// The text with all ranges at one end: what holds at both is checked before any day is played.
+    /// The text with all ranges replaced by their lower or upper ends. Both are checked before any simulation starts.
     #[must_use]
     pub fn at_bound(&self, upper: bool) -> String {
         self.substitute(|_, bounds| match bounds {
@@ -95,7 +95,7 @@
                 Bounds::Duration(..) => text.push_str(&format!("\"{value}\"")),
                 Bounds::Integer(..) | Bounds::Float(..) => text.push_str(&value),
             }
-            // An inline table may span lines: those after it keep their numbers.
+            // An inline table can span lines: the lines after it keep their numbers.
             text.extend(self.text[span.clone()].chars().filter(|c| *c == '\n'));
             done = span.end;
         }
@@ -104,20 +104,20 @@
     }
 }
 
-/// A float that TOML reads as one.
+/// Formats a number so that TOML reads it as a float.
 fn format_float(value: f64) -> String {
     let text = format!("{value:.6}");
     let text = text.trim_end_matches('0');
     if text.ends_with('.') { format!("{text}0") } else { text.to_owned() }
 }
 
-/// The number of the line at a place in a text, from 1.
+/// The line number of a byte offset in a text, from 1.
 #[must_use]
 pub fn line_at(text: &str, at: usize) -> usize {
     1 + text.as_bytes()[..at.min(text.len())].iter().filter(|b| **b == b'\n').count()
 }
 
-/// The line on which a key stands, as `fault[2].at` or `fleet.nodes`; that of its nearest known part else.
+/// The line number of a key such as `fault[2].at` or `fleet.nodes`, or of its longest known prefix.
 #[must_use]
 pub fn line_of(text: &str, key: &str) -> Option<usize> {
     let table = DeTable::parse(text).ok()?;
@@ -170,7 +170,7 @@
     }
 }
 
-/// `from` and `to` alone make a range; a way cut has both as zones, beside other keys.
+/// A range has exactly `from` and `to`; a `cut` fault has both as zones, beside other keys.
 fn is_range(table: &DeTable) -> bool {
     let mut keys: Vec<&str> = table.keys().map(|key| key.get_ref().as_ref()).collect();
     keys.sort_unstable();
@@ -179,7 +179,7 @@
 
 fn bounds(table: &DeTable) -> Result<Bounds> {
     let bound = |name: &str| table.get(name).map(|value| value.get_ref().clone());
-    let (Some(from), Some(to)) = (bound("from"), bound("to")) else { bail!("a range has from and to") };
+    let (Some(from), Some(to)) = (bound("from"), bound("to")) else { bail!("a range needs from and to") };
     let number = |value: &DeValue| match value {
         DeValue::Integer(n) => n.as_str().replace('_', "").parse::<f64>().ok(),
         DeValue::Float(n) => n.as_str().replace('_', "").parse::<f64>().ok(),
@@ -189,31 +189,31 @@
         (DeValue::Integer(a), DeValue::Integer(b)) => {
             let whole = |text: &str| text.replace('_', "").parse::<i64>().ok();
             let (Some(a), Some(b)) = (whole(a.as_str()), whole(b.as_str())) else {
-                bail!("{} to {}: whole numbers are written in tens", a.as_str(), b.as_str())
+                bail!("{} to {}: both ends must be decimal integers", a.as_str(), b.as_str())
             };
             Bounds::Integer(a, b)
         }
         (DeValue::String(a), DeValue::String(b)) => {
             let (Some(x), Some(y)) = (parse_duration(a), parse_duration(b)) else {
-                bail!("from '{a}' to '{b}': both ends are durations, as \"80ms\"")
+                bail!("from '{a}' to '{b}': both ends must be durations such as \"80ms\"")
             };
             Bounds::Duration(x.0, y.0)
         }
         (a, b) => match (number(a), number(b)) {
             (Some(a), Some(b)) if a.is_finite() && b.is_finite() => Bounds::Float(a, b),
             _ => bail!(
-                "a range from {} to {}: both ends are numbers, or both are durations",
+                "a range from {} to {}: both ends must be numbers, or both durations",
                 from.type_str(),
                 to.type_str()
             ),
         },
     };
     match bounds {
-        Bounds::Integer(from, to) if from > to => bail!("from {from} to {to}: from is at most to"),
-        Bounds::Float(from, to) if from > to => bail!("from {from} to {to}: from is at most to"),
+        Bounds::Integer(from, to) if from > to => bail!("from {from} to {to}: from must not exceed to"),
+        Bounds::Float(from, to) if from > to => bail!("from {from} to {to}: from must not exceed to"),
         Bounds::Duration(a, b) if a > b => {
             let text = |us| format_duration(dunlincleat::api::Span(us));
-            bail!("from {} to {}: from is at most to", text(a), text(b))
+            bail!("from {} to {}: from must not exceed to", text(a), text(b))
         }
         fine => Ok(fine),
     }
--- a/crates/fleet/src/template/tests.rs
+++ b/crates/fleet/src/template/tests.rs
@@ -4,7 +4,8 @@
 
 const TEXT: &str = "a = { from = 1, to = 90 }\nb = [{ c = { from = \"1ms\", to = \"9s\" } }]\nd = { from = 0.0,\n to = 1 }\ne = 5\n";
 
-/// A range added to a scenario once would have made every band of the gate another deployment's.
+/// Guards against a range that changes others: adding one to a scenario would otherwise change the deployments that the
+/// bands of the gate were set for.
 #[test]
 fn a_range_depends_on_seed_and_key_only_and_line_numbers_are_kept() {
     let line = |text: &str, n: usize| text.lines().nth(n).unwrap().to_owned();
--- a/crates/fleet/src/timeline.rs
+++ b/crates/fleet/src/timeline.rs
@@ -1,5 +1,5 @@
-//! The faults of a scenario as timed steps. The nodes and instances that each fault affects are drawn here, once, before the
-//! simulation starts.
+//! The faults of a scenario as timed steps. The nodes and instances that each fault affects are drawn here, once,
+//! before the simulation starts.
 
 use crate::node::NodeState;
 use crate::scenario::{DRAIN_GRACE, Fault, Scenario, Termination};
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -1,5 +1,5 @@
-//! The clock, and all that happens: requests, attempts, connections, the list, faults. One world is one thread and one seed;
-//! the same seed gives the same report to the byte.
+//! The simulation itself: a clock and a queue of events for requests, attempts, connections, discovery and faults. A
+//! simulation runs on one thread with one seed; the same seed gives the same report, byte for byte.
 
 mod callers;
 mod instances;
@@ -30,48 +30,57 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Unix time at which days begin, in microseconds.
+/// The version of the report format.
+const REPORT_VERSION: u32 = 2;
+/// The part of its worth that an answer after the aim has.
+const LATE_WORTH_PART: f64 = 0.5;
+const SECOND_US: u64 = 1_000_000;
+/// The Unix time at which simulations start, in microseconds.
 const SIMULATION_START_US: u64 = 1_800_000_000_000_000;
-/// Requests that an instance may hold.
+/// The number of requests that an instance accepts at a time.
 const MAX_REQUESTS: u32 = 10_000;
-/// The part of a caller's patience that one try gets where it will try again.
+/// The part of the deadline that a caller gives one try if it may retry.
 const TRY_TIMEOUT_PART: f64 = 0.55;
-/// How often a watch brings a sign of life, and within what time a word counts as told.
+/// The interval of heartbeats on a watch.
 const HEARTBEAT: Span = Span(2_000_000);
+/// The time within which an announcement of discovery counts as known.
 const KNOWN_WITHIN: Span = Span(6_000_000);
-/// What changes within this time is told in one line, as a release changes many servers at once.
+/// Changes within this time are published in one line, because a release changes many servers at once.
 const CHANGE_BATCH_US: u64 = 20_000;
-/// How often a caller knocks where no instance is there.
+/// The interval at which a caller tries to reach an instance while it has none.
 const RECONNECT_INTERVAL_US: u64 = 20_000;
-/// How long a connection that can't come up is waited for, where nobody says.
+/// The connect timeout where an attempt has none of its own.
 const DEFAULT_CONNECT_TIMEOUT: Span = Span(200_000);
 
-/// What is under test.
+/// The balancer under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The engine and the decision module, as they serve.
+    /// The engine and the decision module, as in the sidecar.
     Module,
-    /// A baseline.
+    /// A baseline policy.
     Baseline(Choice),
-    /// The engine with a planted fault.
+    /// The engine with an injected fault.
     Mutant(InjectedFault),
-    /// The engine without something that it has for days at size.
+    /// The engine without one of the mechanisms that it has for large fleets.
     Without(Mechanism),
 }
 
-/// What can be taken out, to see that its absence shows.
+/// A mechanism that can be disabled to show that its absence is noticed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Calls for lists keep their turn: without it each is given up after a short time and made again.
+    /// Calls to discovery wait until they are answered. Without this, each call is abandoned after a short timeout and
+    /// repeated.
     CallQueueing,
-    /// Few servers are used where connections cost: without it nobody is told that they do.
+    /// Each instance uses few servers if connections are expensive. Without this, settings give no price for
+    /// connections.
     FewServers,
-    /// What is turned away is what is worth the least: without it all are told alike.
+    /// The requests with the least worth are refused first. Without this, all classes have the same worth in the
+    /// settings.
     Worth,
 }
 
 impl Mechanism {
-    /// All of them by name.
+    /// All mechanisms with their names on the command line.
     pub const ALL: [(&'static str, Mechanism); 3] = [
         ("turns", Mechanism::CallQueueing),
         ("few-servers", Mechanism::FewServers),
@@ -100,7 +109,7 @@
 #[derive(Clone, Debug)]
 enum Event {
     NewRequest(u32),
-    /// A caller tries again, or knocks where no instance was.
+    /// A caller retries, or tries again to reach an instance.
     Retry(ClientRequest),
     WakeInstance(u32),
     AttemptArrives(Job),
@@ -108,26 +117,26 @@
     AttemptEnds(Job, Status),
     AttemptTimesOut(Job),
     RequestExpires(u64),
-    /// A caller leaves before its time.
+    /// A caller disconnects before its deadline.
     ClientLeaves(u64),
     ProbeAnswered {
         instance: u32,
         server: ServerId,
         pool: PoolId,
     },
-    /// The follower of an instance has something due.
+    /// The discovery follower of an instance has something due.
     WakeFollower(u32),
     DiscoveryLine(Box<Line>),
     WatchEnded(u32, WatchId, Cause),
-    /// Open watches bring a sign of life.
+    /// Open watches receive a heartbeat.
     DiscoveryHeartbeat,
-    /// What changed of late is told.
+    /// The latest changes of the list are published.
     PublishChanges,
-    /// A second is over.
+    /// A second of the report has passed.
     SecondElapsed,
-    /// A caller's next instance serves.
+    /// The next instance of a caller starts.
     InstanceStarts(u32),
-    /// An instance that was told to end is gone.
+    /// An instance that was asked to terminate exits.
     InstanceStops(u32),
     Step(Step),
 }
@@ -158,7 +167,7 @@
     }
 }
 
-/// A place for a node: its present process, by number of starts, and the name that it is listed under.
+/// A node: its present process and the number under which it is listed.
 struct NodeSlot {
     node: Node,
     zone: usize,
@@ -167,14 +176,14 @@
     state: State,
 }
 
-/// Who asks, through an instance of its own; nothing while that starts anew.
+/// A caller, with its own instance; `None` while that restarts.
 struct Caller {
     zone: usize,
     share: f64,
     instance: Option<u32>,
 }
 
-/// A process of the balancer. Its number is its own: the next one of the same caller has another.
+/// A process of the balancer. Its number is unique: the next instance of the same caller has another one.
 struct Instance {
     caller: u32,
     zone: usize,
@@ -190,7 +199,7 @@
     instance: u32,
     origin: ClientRequest,
     answered: bool,
-    /// What kept its last attempt from serving it.
+    /// Why its last attempt did not serve it.
     last: Option<Loss>,
 }
 
@@ -211,7 +220,7 @@
     scenario: &'s Scenario,
     policy: Policy,
     seed: u64,
-    /// What instances are told, before their number and zone.
+    /// The scenario that the settings of instances are made from, apart from their number and zone.
     settings_scenario: Scenario,
     now: u64,
     sequence: u64,
@@ -228,7 +237,7 @@
     cold_budget: ColdBudget,
     mean_work: f64,
     zone_reachable: Vec<bool>,
-    /// Ways cut, from instances of a zone to nodes of one.
+    /// Whether the path from the instances of a zone to the nodes of another is cut.
     path_cut: Vec<Vec<bool>>,
     rate: f64,
     traffic_factor: f64,
@@ -264,7 +273,7 @@
 
 impl Tally {
     fn second(&mut self, at: u64, nodes: usize) -> &mut Second {
-        let n = ((at - SIMULATION_START_US) / 1_000_000) as usize;
+        let n = ((at - SIMULATION_START_US) / SECOND_US) as usize;
         if self.seconds.len() <= n {
             self.seconds.resize_with(n + 1, || Second { arrived: vec![0; nodes], ..Second::default() });
         }
@@ -272,20 +281,20 @@
     }
 }
 
-/// Plays a day.
+/// Simulates a scenario.
 ///
 /// # Errors
 ///
-/// The scenario's classes can't be read as settings.
+/// The classes of the scenario are not valid settings.
 pub fn simulate(scenario: &Scenario, policy: Policy, seed: u64) -> Result<Report> {
     simulate_with_details(scenario, policy, seed, false)
 }
 
-/// Plays a day; the report has each second where that is wanted.
+/// Simulates a scenario; with `seconds`, the report includes each second.
 ///
 /// # Errors
 ///
-/// The scenario's classes can't be read as settings.
+/// The classes of the scenario are not valid settings.
 pub fn simulate_with_details(
     scenario: &Scenario,
     policy: Policy,
@@ -298,20 +307,20 @@
     Ok(world.report(&latencies, seconds))
 }
 
-/// The memory that instances hold.
+/// The memory used by instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceMemory {
-    /// Allocated by all of them, in bytes.
+    /// Allocated by all instances, in bytes.
     pub bytes: usize,
-    /// How many instances there are.
+    /// The number of instances.
     pub instances: usize,
 }
 
-/// Plays a day and measures the memory that its instances hold at its end, as `allocated` counts it.
+/// Simulates a scenario and measures the memory that its instances use at the end, as `allocated` counts it.
 ///
 /// # Errors
 ///
-/// The scenario's classes can't be read as settings.
+/// The classes of the scenario are not valid settings.
 pub fn instance_memory(
     scenario: &Scenario,
     policy: Policy,
@@ -327,7 +336,7 @@
     Ok(InstanceMemory { bytes: before_drop.saturating_sub(allocated()), instances: count })
 }
 
-/// Who asks how much.
+/// The callers and their shares of the traffic.
 fn callers(scenario: &Scenario, rng: &mut SmallRng) -> Vec<Caller> {
     let (traffic, zones) = (&scenario.traffic, scenario.fleet.zones.len());
     let sample = |rng: &mut SmallRng| match LogNormal::new(0.0, traffic.skew) {
@@ -352,7 +361,7 @@
 }
 
 impl<'s> World<'s> {
-    /// A day before it begins.
+    /// The state before the first event.
     fn new(scenario: &'s Scenario, policy: Policy, seed: u64) -> Result<World<'s>> {
         let effects =
             scenario.instance_settings(0)?.settings.classes.iter().map(|class| class.effect).collect();
@@ -444,10 +453,10 @@
             self.schedule(SIMULATION_START_US + at, Event::Step(step));
         }
         self.schedule(SIMULATION_START_US + HEARTBEAT.0, Event::DiscoveryHeartbeat);
-        self.schedule(SIMULATION_START_US + 1_000_000, Event::SecondElapsed);
+        self.schedule(SIMULATION_START_US + SECOND_US, Event::SecondElapsed);
         let end = SIMULATION_START_US + self.scenario.lasts.us();
-        // Nobody asks any more, and all that was asked is answered.
-        let over = end + 2 * self.longest() + 1_000_000;
+        // No new requests arrive any more, and all earlier ones are answered by then.
+        let over = end + 2 * self.longest() + SECOND_US;
         while let Some(Reverse(Scheduled { at, event, .. })) = self.events.pop() {
             if at > over {
                 break;
@@ -548,7 +557,7 @@
                 second.opened = opened;
                 second.held = open;
                 second.calls = calls.received;
-                self.schedule(self.now + 1_000_000, Event::SecondElapsed);
+                self.schedule(self.now + SECOND_US, Event::SecondElapsed);
             }
             Event::InstanceStarts(caller) => {
                 let listing = self.service.listing();
@@ -564,7 +573,7 @@
         match step {
             Step::NodeDies(node) => self.stop_node(node),
             Step::NodeReturns(node) => {
-                // It was replaced meanwhile: there is nothing to come back.
+                // If it was replaced in the meantime, there is nothing to restart.
                 if self.slots[node].node.state == NodeState::Dead {
                     self.start_node(node);
                 }
@@ -616,7 +625,7 @@
                     Termination::Death => self.end_instance(instance),
                     Termination::Term => {
                         self.callers[caller].instance = None;
-                        self.schedule(self.now + self.longest() + 1_000_000, Event::InstanceStops(instance));
+                        self.schedule(self.now + self.longest() + SECOND_US, Event::InstanceStops(instance));
                     }
                 }
                 self.schedule(self.now + back_after, Event::InstanceStarts(caller as u32));
@@ -640,8 +649,8 @@
         let Tally { wanted, in_time, late, refused, failed, attempts, probes, outcomes, .. } = self.tally;
         let lasts = self.scenario.lasts.us();
         let mut seconds_in_run = self.tally.seconds;
-        // What comes after the last request is asked belongs to no second of the day.
-        seconds_in_run.truncate(lasts.div_ceil(1_000_000) as usize);
+        // Events after the last new request belong to no second of the report.
+        seconds_in_run.truncate(lasts.div_ceil(SECOND_US) as usize);
         let part = |count: u64| count as f64 / wanted.max(1) as f64;
         let worth_wanted: f64 = seconds_in_run.iter().map(|s| s.wanted).sum();
         let part_of_wanted = |worth: f64| if worth_wanted > 0.0 { worth / worth_wanted } else { 0.0 };
@@ -658,7 +667,7 @@
             Mark { name: fault.name().to_owned(), from_s: from as f64 / 1e6, to_s: to as f64 / 1e6 }
         };
         Report {
-            v: 2,
+            v: REPORT_VERSION,
             scenario: self.scenario.name.clone(),
             policy: match self.policy {
                 Policy::Module => "module".to_owned(),
--- a/crates/fleet/src/world/callers.rs
+++ b/crates/fleet/src/world/callers.rs
@@ -1,4 +1,5 @@
-//! What callers do: they ask, try again, give up, and count what became of it. A request is settled once, by `settle`.
+//! The callers: they send requests, retry, give up, and record the outcome. A request is settled exactly once, by
+//! `settle`.
 
 use super::*;
 
@@ -19,7 +20,7 @@
             Exp::new(1.0 / mean).map(|d| d.sample(&mut self.rng))
         } else {
             let sigma = class.spread;
-            // With this mean of the logarithm the mean itself is the one wanted.
+            // With this mean of the logarithm, the mean of the distribution is the one wanted.
             LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma)
                 .map(|d| d.sample(&mut self.rng))
                 .map_err(|_| rand_distr::ExpError::LambdaTooSmall)
@@ -42,7 +43,7 @@
         self.submit(ClientRequest { caller, class, work, first: self.now, tries: 0 });
     }
 
-    /// A caller's request reaches its instance, or nobody.
+    /// Sends a request of a caller to its instance. Without an instance, the caller tries again later.
     pub(super) fn submit(&mut self, request: ClientRequest) {
         let class = &self.scenario.classes[request.class];
         let (aim, deadline) = (class.aim.us(), class.deadline.us());
@@ -82,14 +83,14 @@
         self.notify(instance, Input::Request { id: RequestId(id), info, received, payload: id });
     }
 
-    /// A request will not be served: its worth is lost, for this cause.
+    /// Records a request that will not be served: its worth is lost for this reason.
     pub(super) fn record_loss(&mut self, request: ClientRequest, loss: Loss) {
         let (worth, nodes) = (self.scenario.classes[request.class].worth, self.slots.len());
         let lost = &mut self.tally.second(request.first, nodes).lost;
         *lost.entry(loss.name().to_owned()).or_default() += worth;
     }
 
-    /// Nobody waits for it any more, or it has its answer.
+    /// Marks a request as answered or abandoned. Returns `None` if it already was.
     pub(super) fn settle(&mut self, id: u64) -> Option<(ClientRequest, Option<Loss>)> {
         let request = self.requests.get_mut(&id).filter(|request| !request.answered)?;
         request.answered = true;
@@ -112,7 +113,7 @@
         if let AnswerKind::Served(_) = kind {
             let in_time = self.now - request.first <= spec.aim.us();
             let (worth, nodes) = (spec.worth, self.slots.len());
-            let part = if in_time { 1.0 } else { 0.5 };
+            let part = if in_time { 1.0 } else { LATE_WORTH_PART };
             *(if in_time { &mut self.tally.in_time } else { &mut self.tally.late }) += 1;
             self.tally.second(request.first, nodes).served += part * worth;
             if !in_time {
@@ -125,7 +126,7 @@
         self.retry_or_fail(request, harmless, kind == AnswerKind::Refused, last.unwrap_or(Loss::Refused));
     }
 
-    /// A try brought no answer: the caller tries again where it may, or is done.
+    /// Retries a request that was not served, if the caller may and has time left; else records its outcome.
     pub(super) fn retry_or_fail(
         &mut self,
         request: ClientRequest,
--- a/crates/fleet/src/world/instances.rs
+++ b/crates/fleet/src/world/instances.rs
@@ -1,14 +1,14 @@
-//! The processes under test: they begin, are told things, have done what they want, follow discovery, and end.
+//! The instances under test: they start, receive events, have their outputs executed, follow discovery, and end.
 
 use super::*;
 
 impl World<'_> {
-    /// What an instance of a caller is told.
+    /// The settings of a caller's instance.
     pub(super) fn instance_settings(&self, caller: u32) -> Result<InstanceSettings> {
         self.settings_scenario.instance_settings(caller as usize)
     }
 
-    /// A process begins for a caller, with the list as it was last held.
+    /// Starts an instance for a caller, with the list that discovery has now.
     pub(super) fn start_instance(&mut self, caller: u32, listing: Listing) -> Result<()> {
         let settings = self.instance_settings(caller)?;
         let number = self.next_instance;
@@ -18,7 +18,7 @@
         let balancer: Box<dyn Balancer> = match self.policy {
             Policy::Module | Policy::Without(_) => Box::new(engine()),
             Policy::Baseline(choice) => Box::new(Baseline::new(choice, &settings, seed)),
-            // What one instance takes for itself shows beside others that keep to their part.
+            // Only the first instance takes the whole budget; the others keep to their part.
             Policy::Mutant(InjectedFault::TakesBudget) if caller > 0 => Box::new(engine()),
             Policy::Mutant(fault) => Box::new(Mutant::new(engine(), fault, self.scenario.cold_budget())),
         };
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Tells an instance, and does what it wants.
+    /// Passes an event to an instance and executes its outputs.
     pub(super) fn notify(&mut self, instance: u32, input: EngineInput) {
         let mut out = std::mem::take(&mut self.out);
         if let Some(state) = self.instances.get_mut(&instance) {
@@ -85,7 +85,7 @@
                     }
                 }
                 Output::Watch => watch = true,
-                // Connections come up at once here: what goes out is written.
+                // Attempts are written at once in the simulation, so there is nothing to withdraw.
                 Output::Withdraw { .. } => {}
                 Output::Open { .. } | Output::UpdateServer { .. } | Output::Log { .. } => {}
             }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Tells the follower of an instance, or wakes it, and does what it wants.
+    /// Passes an event to the discovery follower of an instance, or wakes it, and executes its outputs.
     pub(super) fn drive_follower(&mut self, instance: u32, input: Option<dunlincleat_directory::Input>) {
         let (now, mut out) = (Time(self.now), Vec::new());
         let Some(state) = self.instances.get_mut(&instance) else { return };
@@ -147,7 +147,7 @@
         self.lines = lines;
     }
 
-    /// An instance is gone, with all that it had: its connections break, its callers see that.
+    /// Ends an instance and all that it had: its connections are closed and its callers notice it.
     pub(super) fn end_instance(&mut self, instance: u32) {
         let Some(Instance { caller, .. }) = self.instances.remove(&instance) else { return };
         if self.callers[caller as usize].instance == Some(instance) {
--- a/crates/fleet/src/world/nodes.rs
+++ b/crates/fleet/src/world/nodes.rs
@@ -1,4 +1,5 @@
-//! Attempts between instances and nodes, and the processes of nodes. Every attempt ends exactly once, in `finish_attempt`.
+//! Attempts between instances and nodes, and the processes of nodes. Every attempt ends exactly once, in
+//! `finish_attempt`.
 
 use super::*;
 
--- a/crates/fleet/tests/days.rs
+++ b/crates/fleet/tests/days.rs
@@ -1,4 +1,5 @@
-//! Whole days: the shipped scenarios keep the rules, the same seed gives the same bytes, planted faults are caught.
+//! Whole scenarios: the shipped ones pass the audit, the same seed gives the same report byte for byte, and injected
+//! faults are detected.
 
 use dunlincleat::api::Span;
 use dunlincleat_fleet::mutant::InjectedFault;
@@ -36,7 +37,7 @@
                 let report = simulate(&short, Policy::Module, 3).unwrap();
                 assert!(report.broken.is_empty(), "{name}: {:?} {:#?}", report.broken, report.cases);
                 assert!(report.wanted > 1000 && report.worth > 0.3, "{name}: {report:?}");
-                // Everyone who wanted something was told how it ended.
+                // Every request has an outcome.
                 let answered = report.in_time + report.late + report.refused + report.failed;
                 assert!((answered - 1.0).abs() < 1e-9, "{name}: {answered} of all were answered");
             });
@@ -76,7 +77,7 @@
             InjectedFault::TakesBudget => (&cold, "cold budget"),
             InjectedFault::DelaysRefusals => (&busy, "not held back"),
         };
-        // What a mutant floods is also shed: one day in five may show nothing.
+        // Much of what this mutant floods is also shed, so one run in five may show nothing.
         let detected = |seed| violates(&simulate(scenario, Policy::Mutant(fault), seed).unwrap(), rule);
         assert!((1..=5).any(detected), "{fault:?} was not detected");
     }
@@ -86,19 +87,23 @@
 fn errors_in_a_scenario_name_the_key() {
     let text = include_str!("../scenarios/zone-loss.toml");
     for (from, to, expected) in [
-        ("zone = \"b\"", "zone = \"c\"", "line 45: fault[0].zone: 'c' is none of a, b"),
-        ("lasts = \"20s\"", "lasts = \"20\"", "'20' is no duration"),
+        ("zone = \"b\"", "zone = \"c\"", "line 45: fault[0].zone: 'c' is not one of a, b"),
+        ("lasts = \"20s\"", "lasts = \"20\"", "'20' is not a duration"),
         ("nodes = 12", "nodez = 12", "unknown field `nodez`"),
         ("at = \"6s\"", "at = \"60s\"", "fault[0].at: 60s is after the end, 20s"),
         ("semantics = \"fragile\"", "semantics = \"odd\"", "unknown semantics 'odd'"),
-        ("aim = \"300ms\"", "aim = \"3s\"", "class[0].aim: 3s is over deadline, 740ms"),
+        ("aim = \"300ms\"", "aim = \"3s\"", "class[0].aim: 3s is longer than the deadline, 740ms"),
         (
             "nodes = 12",
             "nodes = { from = 12, to = 9 }",
-            "line 5: fleet.nodes: from 12 to 9: from is at most to",
+            "line 5: fleet.nodes: from 12 to 9: from must not exceed to",
+        ),
+        ("nodes = 12", "nodes = { from = 12, to = \"9s\" }", "both ends must be numbers, or both durations"),
+        (
+            "aim = \"300ms\"",
+            "aim = { from = \"1s\", to = \"2\" }",
+            "both ends must be durations such as \"80ms\"",
         ),
-        ("nodes = 12", "nodes = { from = 12, to = \"9s\" }", "both ends are numbers, or both are durations"),
-        ("aim = \"300ms\"", "aim = { from = \"1s\", to = \"2\" }", "both ends are durations, as \"80ms\""),
         ("rate_per_s = 850", "rate_per_s = 0", "line 10: traffic.rate_per_s: 0 is not from 0.001 to 1000000"),
     ] {
         let error = Scenario::read(&text.replacen(from, to, 1)).unwrap_err();
--- a/crates/fleet/tests/models.rs
+++ b/crates/fleet/tests/models.rs
@@ -1,4 +1,4 @@
-//! Nodes against queueing theory.
+//! Compares simulated nodes with queueing theory.
 
 use dunlincleat_fleet::node::{Admission, Job, Node, Started};
 use dunlincleat_fleet::scenario::Scenario;
@@ -10,7 +10,7 @@
 
 const TEXT: &str = include_str!("../scenarios/calm.toml");
 
-/// The mean wait for a core, in microseconds, of Poisson arrivals at one node, and the standard error of batch means.
+/// The mean wait for a core, in microseconds, of Poisson arrivals at one node, and its standard error from batch means.
 fn simulated_wait(cores: usize, rate_per_us: f64, work: impl Fn(&mut SmallRng) -> f64) -> (f64, f64) {
     let mut fleet = Scenario::read(TEXT).unwrap().fleet;
     (fleet.cores, fleet.queue) = (cores, usize::MAX);
@@ -50,7 +50,7 @@
 }
 
 fn assert_wait((mean, error): (f64, f64), expected: f64) {
-    // Three standard errors, and a microsecond for times that are whole.
+    // Three standard errors, plus a microsecond because simulated times are integers.
     assert!(
         (mean - expected).abs() < 3.0 * error + 1.0,
         "mean wait {mean:.1} +- {error:.1}, expected {expected:.1}"
@@ -82,7 +82,7 @@
 fn mean_wait_with_lognormal_work_matches_m_g_1() {
     let sigma = 0.8_f64;
     let work = LogNormal::new(1000_f64.ln() - sigma * sigma / 2.0, sigma).unwrap();
-    // Pollaczek and Khinchine: the square of the variation is exp(sigma^2) - 1.
+    // Pollaczek-Khinchine: the squared coefficient of variation is exp(sigma^2) - 1.
     let wait = 0.6 / 0.4 * 1000.0 * (1.0 + ((sigma * sigma).exp() - 1.0)) / 2.0;
     assert_wait(simulated_wait(1, 0.0006, move |rng| work.sample(rng)), wait);
 }
--- a/crates/fleet/tests/ramp.rs
+++ b/crates/fleet/tests/ramp.rs
@@ -1,5 +1,5 @@
-//! The ramp of cold nodes holds for the fleet: what all instances send one together stays within its budget and what is put
-//! down to chance, with few instances and with hundreds.
+//! The slow-start ramp of cold nodes holds for the whole fleet: the sum of what all instances send to a cold node stays
+//! within its budget plus the tolerated random variation, for few instances and for hundreds.
 
 use dunlincleat::api::Span;
 use dunlincleat_fleet::audit::Auditor;
@@ -29,8 +29,8 @@
     auditor.into_findings().counts.get(RULE).copied().unwrap_or(0)
 }
 
-/// How often the rule is violated by requests to one cold node with a budget of 100 within 1 s, where the instances below
-/// `notified` have been notified of the process.
+/// How often the rule is violated by requests to one cold node with a budget of 100 within 1 s, where the instances
+/// below `notified` have been notified of the process.
 fn count_violations(notified: u32, sends: impl IntoIterator<Item = Send>) -> u64 {
     let mut auditor = Auditor::default();
     for instance in 0..notified {
@@ -123,16 +123,16 @@
     );
 }
 
-/// The day with servers that are new and that come back, under a burst, for so many instances that together send the same:
-/// the more they are the less each of them sends.
+/// New and returning servers under a burst, for any number of instances that together send the same traffic: the more
+/// instances, the less each of them sends.
 fn burst_scenario(instances: usize) -> Scenario {
     let mut scenario = Scenario::read(include_str!("../scenarios/cold-burst.toml")).unwrap();
     scenario.traffic.instances = instances;
     scenario
 }
 
-/// The same with half of the servers replaced within 3 s, half of them dead and back, and a sliding time of 1 s: a budget of
-/// 15 at the start, so that single requests of many instances add up.
+/// The same with half of the servers replaced within 3 s, half of them dying and returning, and a window of 1 s: a
+/// budget of 15 at the start, so that single requests of many instances add up.
 fn short_window_scenario(instances: usize) -> Scenario {
     let mut scenario = burst_scenario(instances);
     scenario.fleet.falls_over = Time(Span(SECOND));
@@ -152,8 +152,7 @@
     })
 }
 
-/// The same where answers may take 2 s and the sliding time is 1 s: what is crowded is hardly seen, and only the ramp keeps the
-/// sum small.
+/// The same with aims of 2 s and a window of 1 s: overload is hardly noticed, and only the ramp limits the sum.
 fn long_deadline_scenario(instances: usize) -> Scenario {
     let mut scenario = burst_scenario(instances);
     scenario.fleet.falls_over = Time(Span(SECOND));
@@ -163,26 +162,29 @@
     scenario
 }
 
-/// The same with a sliding time of 3 s and nodes that report no load: instances know of it only what they did themselves.
+/// The same with a window of 3 s and nodes that report no load: instances know only their own requests.
 fn scenario_without_load_reports(instances: usize) -> Scenario {
     let mut scenario = long_deadline_scenario(instances);
     (scenario.fleet.falls_over, scenario.fleet.reports) = (Time(Span(3 * SECOND)), false);
     scenario
 }
 
-/// No cold server falls, on any of these seeds, or comes near it, and the day tried it: servers started, and were sent a fair
-/// part of what they may get. Nor does any get more than its budget, with nothing put down to chance.
+/// Checks on each seed that no cold server is overloaded or comes close to it, that none receives more than its budget
+/// even without the tolerated variation, and that the scenario tests this: servers started, and were sent a fair part
+/// of their budget.
 fn assert_ramp_holds(scenario: &Scenario, seeds: std::ops::Range<u64>) {
     for Report { seed, broken, cases, cold_peak, worth, .. } in run_seeds(scenario, seeds) {
         let peak = cold_peak.unwrap();
         assert!(broken.is_empty(), "seed {seed}: {peak:?} {broken:?} {cases:#?}");
-        // Without the ramp three hundred come to between 0.54 and 0.66 of it, on days that would hold all the same.
+        // Without the ramp, three hundred instances reach between 0.54 and 0.66 of the limit, in scenarios that would
+        // pass otherwise.
         assert!((0.15..0.5).contains(&peak.fraction_of_limit()), "seed {seed}: {peak:?}");
         assert!(worth > 0.4, "seed {seed}: worth {worth}");
     }
 }
 
-/// What broke on these seeds, whoever's fault. A budget of 15 is passed by a few by chance: that alone is borne.
+/// The violations on these seeds, whichever instances are responsible. A few requests exceed a budget of 15 by chance,
+/// which alone is tolerated.
 fn violations(scenario: &Scenario, seeds: std::ops::Range<u64>) -> Vec<String> {
     let instances = scenario.traffic.instances;
     let describe = |Report { seed, broken, cold_peak, .. }: &Report| {
@@ -214,10 +216,11 @@
     assert_ramp_holds(&burst_scenario(300), 1..6);
 }
 
-/// Where hundreds of instances met full and dead servers, cold servers got up to 2.5 times what they bear. Each send earned an
-/// instance a part of a cold server's budget, and most sends there are further attempts of requests that were turned away: in
-/// the second before a fall 1,157 sends of which 519 were first attempts, and 42 requests at the fallen server, from 42
-/// instances. What servers accept is bounded by what they can do, what is sent is not; now only accepted sends earn.
+/// Guards against cold servers receiving up to 2.5 times what they have capacity for, when hundreds of instances met
+/// full and dead servers. Each send earned an instance a part of a cold server's budget, and most sends in such a case
+/// are further attempts of rejected requests: in the second before an overload there were 1,157 sends, 519 of them
+/// first attempts, and 42 requests at the overloaded server, from 42 instances. What servers accept is bounded by their
+/// capacity, what is sent is not; so only accepted sends earn budget.
 #[test]
 fn the_ramp_holds_for_hundreds_with_long_deadlines() {
     let found: Vec<String> = [
@@ -229,14 +232,15 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// The same day with a sliding time of 1 s, half of the servers replaced and half of them dead and back, without load reports.
+/// The same with half of the servers replaced, half of them dying and returning, a window of 1 s, and no load reports.
 fn short_window_without_load_reports(instances: usize) -> Scenario {
     let mut scenario = short_window_scenario(instances);
     scenario.fleet.reports = false;
     scenario
 }
 
-/// Hundreds that know no loads, with the shortest sliding time: it was red on 4 and 18 of 20 seeds, as the one before.
+/// Hundreds of instances without load reports and with the shortest window. Guards against the same fault as the test
+/// above: it made 4 and 18 of 20 seeds fail here.
 #[test]
 fn the_ramp_holds_for_hundreds_without_load_reports_where_half_die_and_half_are_replaced() {
     let found = [
@@ -247,16 +251,17 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// Servers seen idle get one request ahead of the budget from instances whose credit is above none, and of three hundred
-/// instances half a request each is ten times the budget of 15 of a second. Rare: seed 3 alone of 1 to 40.
+/// Servers that are seen idle get one request ahead of the budget from each instance whose credit is positive; with
+/// three hundred instances, half a request each is ten times the budget of 15 of a second. This is rare: of seeds 1 to
+/// 40 only seed 3 fails.
 #[test]
 fn the_ramp_holds_for_three_hundred_where_half_die_and_half_are_replaced() {
     let found = violations(&short_window_scenario(300), 1..5);
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// One instance with two fifths of the traffic keeps, alone, within the budget; with what the others send it is too much. The
-/// same days hold without the fault.
+/// An instance with two fifths of the traffic stays within the budget on its own, but not together with what the others
+/// send. The same scenario passes without the fault.
 #[test]
 fn an_instance_that_takes_the_whole_budget_is_detected() {
     let scenario = Scenario::read(include_str!("../scenarios/cold-hot-caller.toml")).unwrap();
