--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,29 +1,33 @@
-//! The systems that a sidecar serves, as stand-ins in simulated time: nodes, callers, the list, the network, faults.
-//! They are driven by scenarios and drive the very engine that serves on sockets; an auditor that knows only what
-//! nodes and callers saw tells broken rules. Figures from here are simulated.
+//! A discrete-event simulation of the systems around a sidecar: nodes, callers, discovery, the network and faults.
+//! Scenarios drive the same engine that serves on sockets; an auditor that knows only what nodes and callers observed
+//! reports violated rules. All figures are simulated.
 //!
-//! [`scenario`] is read from TOML, in which [`draw`] puts a seed's numbers for ranges; [`node`] is one node, [`links`] all
-//! connections, [`discovery`] the service that lists, [`cold`] the budget of a node that starts, [`plan`] the time line of faults, [`world`] the clock and all that
-//! happens, [`audit`] the rules, [`report`] what is told of a day; [`balancing`] what is under test: the engine,
-//! [`baseline`] policies for comparison, or a [`mutant`] that must be caught.
+//! - [`scenario`]: scenarios as read from TOML; [`template`] draws the values of their ranges from a seed
+//! - [`world`]: the clock and the events of a simulation
+//! - [`node`], [`connections`], [`discovery`]: the simulated nodes, connections and discovery service
+//! - [`cold_start`]: the budget of nodes that have just started
+//! - [`timeline`]: the timed steps of faults
+//! - [`balancer`]: the interface of what is under test: the engine, a [`baseline`] policy for comparison, or a
+//!   [`mutant`] that the auditor must detect
+//! - [`audit`]: the rules; [`report`]: the result of a simulation
 
 #![forbid(unsafe_code)]
 
 pub mod audit;
-pub mod balancing;
+pub mod balancer;
 pub mod baseline;
-pub mod cold;
+pub mod cold_start;
+pub mod connections;
 pub mod discovery;
-pub mod draw;
-pub mod links;
 pub mod mutant;
 pub mod node;
-pub mod plan;
 pub mod report;
 pub mod scenario;
+pub mod template;
+pub mod timeline;
 pub mod world;
 
-pub use draw::Template;
 pub use report::Report;
 pub use scenario::Scenario;
-pub use world::play;
+pub use template::Template;
+pub use world::simulate;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,13 +1,14 @@
-//! One node: cores, a queue, a cold ramp, and the states that faults put it in. Pure: it is told of arrivals and ends and
-//! says when the next request ends.
+//! A simulated node: cores, a queue, a slow start, and the states that faults put it in. A pure state machine: it is
+//! given the arrivals and completions of requests and returns when the next request completes.
 
+use crate::cold_start;
 use crate::scenario::Fleet;
 use std::collections::VecDeque;
 
-/// A request at a node: whose, and which attempt.
+/// An attempt of a request, as a node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Job {
-    /// The instance.
+    /// The instance that sent it.
     pub instance: u32,
     /// The request.
     pub request: u64,
@@ -15,34 +16,64 @@
     pub attempt: u32,
 }
 
-/// What state a node is in.
+/// One process of a node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct NodeProcess {
+    /// The node.
+    pub node: usize,
+    /// The number of restarts before this process.
+    pub incarnation: u32,
+}
+
+/// The state of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    /// It serves.
-    Serves,
-    /// It answers errors at once.
-    Fails,
-    /// It takes requests and says nothing.
-    Swallows,
+pub enum NodeState {
+    /// It serves requests.
+    Serving,
+    /// It answers every request with an error at once.
+    Failing,
+    /// It accepts requests and never answers.
+    Unresponsive,
     /// It refuses connections.
     Dead,
 }
 
-/// What becomes of a request that arrives.
+/// What happens to a request that arrives at a node.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Admission {
+    /// A core works on it.
+    Started {
+        /// When it completes.
+        ends_at: u64,
+    },
+    /// It waits in the queue.
+    Queued,
+    /// It is rejected without work: the queue is full.
+    QueueFull,
+    /// It fails at once.
+    Failed,
+    /// It is accepted and never answered.
+    Ignored,
+    /// The connection is refused.
+    ConnectionRefused,
+}
+
+/// A request that left the queue and was started.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
-    /// It is in work, and ends then.
-    Works(u64),
-    /// It waits.
-    Waits,
-    /// Turned away unseen.
-    Full,
-    /// An error at once.
-    Fails,
-    /// Nothing will come.
-    Swallowed,
-    /// No connection.
-    Refused,
+pub struct Started {
+    /// The request.
+    pub job: Job,
+    /// When it completes.
+    pub ends_at: u64,
+}
+
+/// The load that a node reports.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NodeLoad {
+    /// Requests running and queued.
+    pub in_flight: usize,
+    /// Requests queued.
+    pub queued: usize,
 }
 
 /// A node. Times are in microseconds.
@@ -50,31 +81,32 @@
 pub struct Node {
     cores: usize,
     queue: usize,
-    cold_from: f64,
-    cold: u64,
-    falls_at: f64,
-    falls_over: u64,
-    /// When its process started; nothing for long ago.
-    pub born: Option<u64>,
+    initial_capacity: f64,
+    warm_up: u64,
+    overload_factor: f64,
+    overload_window: u64,
+    /// When its process started; `None` if that was before the simulation.
+    pub started_at: Option<u64>,
     /// Its state.
-    pub mood: Mood,
-    /// Work takes so many times as long.
-    pub slow: f64,
-    /// It stands still until then.
-    pub still: u64,
-    busy: Vec<Job>,
-    waiting: VecDeque<(Job, f64)>,
-    /// Work that came while it was cold: when, and how much.
-    came: VecDeque<(u64, f64)>,
-    came_sum: f64,
-    /// The mean work of a request; with it a fall takes more than the budget and what is put down to chance.
-    mean: f64,
-    /// It got more than its budget, and it fell over.
+    pub state: NodeState,
+    /// The factor by which work takes longer.
+    pub slowdown: f64,
+    /// It makes no progress until this time.
+    pub stalled_until: u64,
+    running: Vec<Job>,
+    queued: VecDeque<(Job, f64)>,
+    /// Arrivals while it was cold: their times and their work.
+    cold_arrivals: VecDeque<(u64, f64)>,
+    cold_work: f64,
+    /// The mean work of a request. If it is known, overload takes more than the budget and the tolerated random
+    /// variation.
+    mean_work: f64,
+    /// It received more than its budget.
     pub over_budget: bool,
-    /// The same.
-    pub fell: bool,
-    /// The most that came while it was cold, against what pushes it over.
-    pub worst: f64,
+    /// It received more than its budget and the tolerated variation.
+    pub overloaded: bool,
+    /// The highest ratio of the work received while cold to the budget.
+    pub peak_overload: f64,
 }
 
 impl Node {
@@ -84,141 +116,150 @@
         Node {
             cores: fleet.cores,
             queue: fleet.queue,
-            cold_from: fleet.cold_from,
-            cold: fleet.cold.us(),
-            falls_at: fleet.falls_at,
-            falls_over: fleet.falls_over.us(),
-            born: None,
-            mood: Mood::Serves,
-            slow: 1.0,
-            still: 0,
-            busy: Vec::new(),
-            waiting: VecDeque::new(),
-            came: VecDeque::new(),
-            came_sum: 0.0,
-            mean: 0.0,
+            initial_capacity: fleet.cold_from,
+            warm_up: fleet.cold.us(),
+            overload_factor: fleet.falls_at,
+            overload_window: fleet.falls_over.us(),
+            started_at: None,
+            state: NodeState::Serving,
+            slowdown: 1.0,
+            stalled_until: 0,
+            running: Vec::new(),
+            queued: VecDeque::new(),
+            cold_arrivals: VecDeque::new(),
+            cold_work: 0.0,
+            mean_work: 0.0,
             over_budget: false,
-            fell: false,
-            worst: 0.0,
+            overloaded: false,
+            peak_overload: 0.0,
         }
     }
 
-    /// The same node for requests of so much mean work, in microseconds. Where that is not told, a cold node falls with the
-    /// first work beyond its budget.
+    /// Sets the mean work of a request, in microseconds. Without it a cold node is overloaded by the first work beyond
+    /// its budget.
     #[must_use]
-    pub fn of_mean_work(self, mean: f64) -> Node {
-        Node { mean, ..self }
+    pub fn with_mean_work(self, mean_work: f64) -> Node {
+        Node { mean_work, ..self }
     }
 
-    /// The part of its work that it can do.
+    /// The part of its full capacity that it has now.
     #[must_use]
-    pub fn warmth(&self, now: u64) -> f64 {
-        let Some(born) = self.born else { return 1.0 };
-        let part = now.saturating_sub(born) as f64 / self.cold.max(1) as f64;
-        self.cold_from + (1.0 - self.cold_from) * part.min(1.0)
+    pub fn capacity(&self, now: u64) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let part = now.saturating_sub(started_at) as f64 / self.warm_up.max(1) as f64;
+        self.initial_capacity + (1.0 - self.initial_capacity) * part.min(1.0)
     }
 
-    /// Requests in hand, and those of them that wait.
+    /// Its present load.
     #[must_use]
-    pub fn load(&self) -> (usize, usize) {
-        (self.busy.len() + self.waiting.len(), self.waiting.len())
+    pub fn load(&self) -> NodeLoad {
+        NodeLoad { in_flight: self.running.len() + self.queued.len(), queued: self.queued.len() }
     }
 
-    /// The part of its cores that work.
+    /// The part of its cores that are busy.
     #[must_use]
-    pub fn util(&self) -> f64 {
-        self.busy.len() as f64 / self.cores as f64
+    pub fn utilization(&self) -> f64 {
+        self.running.len() as f64 / self.cores as f64
     }
 
-    /// It starts anew: what it had is lost.
+    /// Starts a new process. Returns the requests of the old one, which are lost.
     pub fn restart(&mut self, now: u64) -> Vec<Job> {
-        self.born = Some(now);
-        self.mood = Mood::Serves;
-        (self.slow, self.still) = (1.0, 0);
-        (self.over_budget, self.fell) = (false, false);
-        self.clear()
+        self.started_at = Some(now);
+        self.state = NodeState::Serving;
+        self.slowdown = 1.0;
+        self.stalled_until = 0;
+        self.over_budget = false;
+        self.overloaded = false;
+        self.drop_all()
     }
 
-    /// It dies: what it had is lost.
+    /// Ends its process. Returns its requests, which are lost.
     pub fn die(&mut self) -> Vec<Job> {
-        self.mood = Mood::Dead;
-        self.clear()
+        self.state = NodeState::Dead;
+        self.drop_all()
     }
 
-    fn clear(&mut self) -> Vec<Job> {
-        self.came.clear();
-        self.came_sum = 0.0;
-        let waiting = self.waiting.drain(..).map(|(job, _)| job);
-        self.busy.drain(..).chain(waiting).collect()
+    fn drop_all(&mut self) -> Vec<Job> {
+        self.cold_arrivals.clear();
+        self.cold_work = 0.0;
+        let queued = self.queued.drain(..).map(|(job, _)| job);
+        self.running.drain(..).chain(queued).collect()
     }
 
-    fn ends(&self, now: u64, work: f64) -> u64 {
-        let takes = work * self.slow / self.warmth(now);
-        now.max(self.still) + (takes as u64).max(1)
+    fn completion_time(&self, now: u64, work: f64) -> u64 {
+        let duration = work * self.slowdown / self.capacity(now);
+        now.max(self.stalled_until) + (duration as u64).max(1)
     }
 
-    /// A request of so much work, in microseconds on a warm core, arrives.
-    pub fn take(&mut self, now: u64, job: Job, work: f64) -> Taken {
-        match self.mood {
-            Mood::Dead => return Taken::Refused,
-            Mood::Swallows => return Taken::Swallowed,
-            Mood::Fails => return Taken::Fails,
-            Mood::Serves => {}
+    /// Takes a request; `work` is in microseconds on a core of a warm node.
+    pub fn admit(&mut self, now: u64, job: Job, work: f64) -> Admission {
+        match self.state {
+            NodeState::Dead => return Admission::ConnectionRefused,
+            NodeState::Unresponsive => return Admission::Ignored,
+            NodeState::Failing => return Admission::Failed,
+            NodeState::Serving => {}
         }
-        if let Some(bears) = self.overrun(now, work) {
+        if let Some(budget) = self.exceeded_cold_budget(now, work) {
             self.over_budget = true;
-            let mean = self.mean;
-            let most = if mean > 0.0 { mean * crate::cold::limit(bears / mean) } else { bears };
-            self.fell = self.came_sum > most;
-            if self.fell {
-                return Taken::Refused;
+            self.overloaded = self.cold_work > self.tolerated_work(budget);
+            if self.overloaded {
+                return Admission::ConnectionRefused;
             }
         }
-        if self.busy.len() < self.cores {
-            self.busy.push(job);
-            Taken::Works(self.ends(now, work))
-        } else if self.waiting.len() < self.queue {
-            self.waiting.push_back((job, work));
-            Taken::Waits
+        if self.running.len() < self.cores {
+            self.running.push(job);
+            Admission::Started { ends_at: self.completion_time(now, work) }
+        } else if self.queued.len() < self.queue {
+            self.queued.push_back((job, work));
+            Admission::Queued
         } else {
-            Taken::Full
+            Admission::QueueFull
         }
     }
 
-    /// The work that a cold node bears over its time, where it has come to more.
-    fn overrun(&mut self, now: u64, work: f64) -> Option<f64> {
-        let born = self.born.filter(|born| now < born + self.cold)?;
-        self.came.push_back((now, work));
-        self.came_sum += work;
-        while let Some((at, work)) = self.came.front().copied().filter(|(at, _)| at + self.falls_over <= now)
+    /// The work that overloads a node with this budget, both in microseconds.
+    fn tolerated_work(&self, budget: f64) -> f64 {
+        let mean = self.mean_work;
+        if mean > 0.0 { mean * cold_start::limit(budget / mean) } else { budget }
+    }
+
+    /// Records work that arrives at a cold node. Returns the work that the node has capacity for within the window if
+    /// more has arrived.
+    fn exceeded_cold_budget(&mut self, now: u64, work: f64) -> Option<f64> {
+        let started_at = self.started_at.filter(|started_at| now < started_at + self.warm_up)?;
+        self.cold_arrivals.push_back((now, work));
+        self.cold_work += work;
+        while let Some((at, work)) =
+            self.cold_arrivals.front().copied().filter(|(at, _)| at + self.overload_window <= now)
         {
             debug_assert!(at <= now);
-            self.came.pop_front();
-            self.came_sum -= work;
+            self.cold_arrivals.pop_front();
+            self.cold_work -= work;
         }
-        let bears = self.falls_over as f64 * self.cores as f64 * self.warmth(now) * self.falls_at;
-        if now >= born {
-            self.worst = self.worst.max(self.came_sum / bears);
+        let budget =
+            self.overload_window as f64 * self.cores as f64 * self.capacity(now) * self.overload_factor;
+        if now >= started_at {
+            self.peak_overload = self.peak_overload.max(self.cold_work / budget);
         }
-        (now >= born && self.came_sum > bears).then_some(bears)
+        (now >= started_at && self.cold_work > budget).then_some(budget)
     }
 
-    /// A request ended or was given up. Gives the one that is begun in its place and when it ends.
-    pub fn done(&mut self, now: u64, job: Job) -> Option<(Job, u64)> {
-        if let Some(at) = self.waiting.iter().position(|(waiting, _)| *waiting == job) {
-            self.waiting.remove(at);
+    /// Removes a request that completed or was cancelled. Returns the queued request that is started in its place.
+    pub fn finish(&mut self, now: u64, job: Job) -> Option<Started> {
+        if let Some(at) = self.queued.iter().position(|(queued, _)| *queued == job) {
+            self.queued.remove(at);
             return None;
         }
-        let at = self.busy.iter().position(|busy| *busy == job)?;
-        self.busy.swap_remove(at);
-        let (job, work) = self.waiting.pop_front()?;
-        self.busy.push(job);
-        Some((job, self.ends(now, work)))
+        let at = self.running.iter().position(|running| *running == job)?;
+        self.running.swap_remove(at);
+        let (job, work) = self.queued.pop_front()?;
+        self.running.push(job);
+        Some(Started { job, ends_at: self.completion_time(now, work) })
     }
 
-    /// Whether it holds a request.
+    /// Whether a core works on a request.
     #[must_use]
-    pub fn works_on(&self, job: Job) -> bool {
-        self.busy.contains(&job)
+    pub fn is_running(&self, job: Job) -> bool {
+        self.running.contains(&job)
     }
 }
--- a/crates/fleet/src/world/nodes.rs
+++ b/crates/fleet/src/world/nodes.rs
@@ -1,230 +1,271 @@
-//! What happens between an instance and a node: an attempt goes out, is worked on and ends, once, by `ended`; a node's process
-//! comes and goes.
+//! Attempts between instances and nodes, and the processes of nodes. Every attempt ends exactly once, in
+//! `finish_attempt`.
 
 use super::*;
 
 impl World<'_> {
-    /// Whether an instance and a node reach each other.
-    pub(super) fn reach(&self, instance: u32, node: usize) -> bool {
-        let (zone, from) = (self.places[node].zone, self.instances.get(&instance).map_or(0, |of| of.zone));
-        !self.zones_lost[zone] && !self.cut[from][zone]
+    /// The present process of a node.
+    fn process(&self, node: usize) -> NodeProcess {
+        NodeProcess { node, incarnation: self.slots[node].incarnation }
     }
 
-    pub(super) fn send(&mut self, job: Job, server: ServerId, until: u64, connect: Option<Span>) {
+    /// The node behind a server of an instance.
+    fn node_of(&self, instance: u32, server: ServerId) -> Option<usize> {
+        self.instances.get(&instance).and_then(|state| state.servers.get(&server).copied())
+    }
+
+    /// Whether an instance and a node can reach each other.
+    fn reachable(&self, instance: u32, node: usize) -> bool {
+        let zone = self.slots[node].zone;
+        let from = self.instances.get(&instance).map_or(0, |state| state.zone);
+        self.zone_reachable[zone] && !self.path_cut[from][zone]
+    }
+
+    pub(super) fn send_attempt(
+        &mut self,
+        job: Job,
+        server: ServerId,
+        until: u64,
+        connect_timeout: Option<Span>,
+    ) {
         self.tally.attempts += 1;
-        let (now, until) = (self.now, until.max(self.now));
-        let node = self.instances.get(&job.instance).and_then(|of| of.servers.get(&server).copied());
-        let mut flight = Flight { server, node, starts: 0, sent: now, link: None, lost: false, cold: false };
-        let Some(at) = node else {
-            self.flights.insert(job, flight);
-            return self.at(now, Event::Back(job, Status::ConnectFailed));
+        let now = self.now;
+        let until = until.max(now);
+        let Some(node) = self.node_of(job.instance, server) else {
+            let pending = PendingAttempt {
+                server,
+                process: None,
+                sent: now,
+                connection: None,
+                lost: false,
+                cold: false,
+            };
+            self.pending_attempts.insert(job, pending);
+            return self.schedule(now, Event::AttemptEnds(job, Status::ConnectFailed));
         };
-        let (reached, network) = (self.reach(job.instance, at), self.scenario.fleet.network.us());
-        let place = &self.places[at];
-        flight.starts = place.starts;
-        flight.cold = place.node.warmth(now) < 1.0;
-        self.auditor.sent(job, at, flight.starts, now);
-        let got = self.links.take(now, job.instance, at as u32);
-        flight.link = match got {
-            Got::Kept => Some(false),
-            Got::New => Some(true),
-            Got::Full => None,
+        let process = self.process(node);
+        let reachable = self.reachable(job.instance, node);
+        let network = self.scenario.fleet.network.us();
+        self.auditor.attempt_sent(job, process, now);
+        let acquired = self.connections.acquire(now, job.instance, node as u32);
+        let pending = PendingAttempt {
+            server,
+            process: Some(process),
+            sent: now,
+            connection: (acquired != Acquired::LimitReached).then_some(acquired),
+            lost: !reachable,
+            cold: self.slots[node].node.capacity(now) < 1.0,
         };
-        flight.lost = !reached;
-        self.flights.insert(job, flight);
-        self.at(until, Event::Until(job));
-        match got {
-            Got::Full => self.at(now + 2 * network, Event::Back(job, Status::Rejected)),
-            // It never comes up.
-            Got::New if !reached => {
-                let failed = now + connect.unwrap_or(CONNECT).0;
-                self.at(failed.min(until), Event::Back(job, Status::ConnectFailed));
+        self.pending_attempts.insert(job, pending);
+        self.schedule(until, Event::AttemptTimesOut(job));
+        match acquired {
+            Acquired::LimitReached => {
+                self.schedule(now + 2 * network, Event::AttemptEnds(job, Status::Rejected));
+            }
+            // The connection is never established.
+            Acquired::Opened if !reachable => {
+                let failed = now + connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT).0;
+                self.schedule(failed.min(until), Event::AttemptEnds(job, Status::ConnectFailed));
             }
-            Got::Kept if !reached => {}
-            Got::Kept | Got::New => {
-                let there = network + if got == Got::New { 2 * network } else { 0 };
-                self.at(now + there, Event::Arrive(job));
-                if self.chances.falls(Chance::Reset, &mut self.rng) {
-                    self.at(now + there + network, Event::Back(job, Status::Reset));
+            Acquired::Reused if !reachable => {}
+            Acquired::Reused | Acquired::Opened => {
+                let handshake = if acquired == Acquired::Opened { 2 * network } else { 0 };
+                let arrives = now + network + handshake;
+                self.schedule(arrives, Event::AttemptArrives(job));
+                if self.probabilities.occurs(RandomFault::ConnectionReset, &mut self.rng) {
+                    self.schedule(arrives + network, Event::AttemptEnds(job, Status::Reset));
                 }
             }
         }
     }
 
-    /// An attempt ends for its instance, once; what a node still does for it stops.
-    pub(super) fn ended(&mut self, job: Job, status: Status, times: &mut Histogram<u64>) {
-        let Some(flight) = self.flights.remove(&job) else { return };
-        self.auditor.ended(job, self.now);
+    /// Ends an attempt for its instance, once. A node that still works on it stops.
+    pub(super) fn finish_attempt(&mut self, job: Job, status: Status, latencies: &mut Histogram<u64>) {
+        let Some(pending) = self.pending_attempts.remove(&job) else { return };
+        self.auditor.attempt_ended(job, self.now);
         *self.tally.outcomes.entry(outcome_key(status)).or_default() += 1;
-        let latency = self.now - flight.sent;
+        let answered = matches!(status, Status::Ok | Status::Error | Status::Rejected);
         let mut load = Vec::new();
-        if let (Some(node), Status::Ok | Status::Error | Status::Rejected) = (flight.node, status) {
-            load = self.report_of(node);
+        if let Some(process) = pending.process.filter(|_| answered) {
+            load = self.load_report(process.node);
         }
-        let same = flight.node.filter(|node| self.places[*node].starts == flight.starts);
-        if let Some(node) = same {
-            self.leaves_node(job, node);
+        let same_process = pending.process.is_some_and(|process| self.process(process.node) == process);
+        if let Some(process) = pending.process.filter(|_| same_process) {
+            self.release_node(job, process.node);
         }
-        if let (Some(_), Some(node)) = (flight.link, flight.node) {
-            let kept = same.is_some() && matches!(status, Status::Ok | Status::Error | Status::Rejected);
-            if kept && self.places[node].node.mood != Mood::Dead {
-                self.links.free(self.now, job.instance, node as u32);
+        if let (Some(_), Some(NodeProcess { node, .. })) = (pending.connection, pending.process) {
+            if same_process && answered && self.slots[node].node.state != NodeState::Dead {
+                self.connections.release(self.now, job.instance, node as u32);
             } else {
-                self.links.close(node as u32);
+                self.connections.close(node as u32);
             }
         }
-        let body = (status == Status::Ok).then_some(job.request);
         if let Some(request) = self.requests.get_mut(&job.request).filter(|request| !request.answered) {
             if status == Status::Ok {
-                times.saturating_record((self.now - request.asked.first).max(1));
+                latencies.saturating_record((self.now - request.origin.first).max(1));
             }
             request.last = match status {
                 Status::Ok | Status::Cancelled | Status::NotSent => request.last,
-                Status::Timeout if flight.lost => Some(Loss::NoSight),
-                Status::Timeout | Status::Rejected if flight.cold => Some(Loss::Cold),
+                Status::Timeout if pending.lost => Some(Loss::Unreachable),
+                Status::Timeout | Status::Rejected if pending.cold => Some(Loss::Cold),
                 Status::Timeout | Status::Rejected => Some(Loss::Queueing),
-                Status::Error | Status::Reset | Status::ConnectFailed => Some(Loss::NoSight),
+                Status::Error | Status::Reset | Status::ConnectFailed => Some(Loss::Unreachable),
             };
         }
-        let ended = Completion { status, latency: Span(latency), load, body };
-        let (id, attempt, server) = (RequestId(job.request), Attempt(job.attempt), flight.server);
-        self.tell(job.instance, Input::AttemptEnded { id, attempt, server, completion: ended });
+        let latency = Span(self.now - pending.sent);
+        let body = (status == Status::Ok).then_some(job.request);
+        let completion = Completion { status, latency, load, body };
+        let (id, attempt, server) = (RequestId(job.request), Attempt(job.attempt), pending.server);
+        self.notify(job.instance, Input::AttemptEnded { id, attempt, server, completion });
     }
 
-    /// A node is done with a request, and begins the next that waits.
-    pub(super) fn leaves_node(&mut self, job: Job, node: usize) {
-        if let Some((next, ends)) = self.places[node].node.done(self.now, job) {
-            self.auditor.began(next, self.now);
-            self.at(ends, Event::Done(next, node, self.places[node].starts));
+    /// Removes a request from a node, which then starts the next one in its queue.
+    pub(super) fn release_node(&mut self, job: Job, node: usize) {
+        if let Some(Started { job, ends_at }) = self.slots[node].node.finish(self.now, job) {
+            self.auditor.attempt_started(job, self.now);
+            self.schedule(ends_at, Event::WorkDone(job, self.process(node)));
         }
     }
 
-    pub(super) fn report_of(&self, node: usize) -> Vec<f64> {
-        let (in_hand, waiting) = self.places[node].node.load();
-        vec![in_hand as f64, waiting as f64, self.places[node].node.util()]
+    /// The load of a node as it reports it: requests in flight, requests queued, utilization.
+    fn load_report(&self, node: usize) -> Vec<f64> {
+        let NodeLoad { in_flight, queued } = self.slots[node].node.load();
+        vec![in_flight as f64, queued as f64, self.slots[node].node.utilization()]
     }
 
-    pub(super) fn done(&mut self, job: Job, node: usize, starts: u32) {
-        if self.places[node].starts != starts || !self.places[node].node.works_on(job) {
+    /// A node has completed the work of a request, unless it has restarted, dropped the request or stalled since.
+    pub(super) fn finish_work(&mut self, job: Job, process: NodeProcess) {
+        let node = process.node;
+        if self.process(node) != process || !self.slots[node].node.is_running(job) {
             return;
         }
-        let still = self.places[node].node.still;
-        if still > self.now {
-            return self.at(still, Event::Done(job, node, starts));
+        let stalled_until = self.slots[node].node.stalled_until;
+        if stalled_until > self.now {
+            return self.schedule(stalled_until, Event::WorkDone(job, process));
         }
-        self.leaves_node(job, node);
-        let lost = self.chances.falls(Chance::AnswerLost, &mut self.rng);
-        if lost || !self.reach(job.instance, node) {
-            if let Some(flight) = self.flights.get_mut(&job) {
-                flight.lost = true;
+        self.release_node(job, node);
+        let lost = self.probabilities.occurs(RandomFault::ResponseLost, &mut self.rng);
+        if lost || !self.reachable(job.instance, node) {
+            if let Some(pending) = self.pending_attempts.get_mut(&job) {
+                pending.lost = true;
             }
             return;
         }
-        let spoilt = self.chances.falls(Chance::Spoilt, &mut self.rng);
-        let status = if spoilt { Status::Error } else { Status::Ok };
-        self.at(self.now + self.scenario.fleet.network.us(), Event::Back(job, status));
+        let corrupted = self.probabilities.occurs(RandomFault::ResponseCorrupted, &mut self.rng);
+        let status = if corrupted { Status::Error } else { Status::Ok };
+        self.schedule(self.now + self.scenario.fleet.network.us(), Event::AttemptEnds(job, status));
     }
 
-    pub(super) fn probed(&mut self, instance: u32, server: ServerId, asked: PoolId) {
-        let node = self.instances.get(&instance).and_then(|of| of.servers.get(&server).copied());
-        let well = node.filter(|n| {
-            let mood = self.places[*n].node.mood;
-            matches!(mood, Mood::Serves | Mood::Fails) && self.reach(instance, *n)
+    pub(super) fn probe_answered(&mut self, instance: u32, server: ServerId, pool: PoolId) {
+        let responding = self.node_of(instance, server).filter(|node| {
+            let state = self.slots[*node].node.state;
+            matches!(state, NodeState::Serving | NodeState::Failing) && self.reachable(instance, *node)
         });
-        let still = well.is_some_and(|n| self.places[n].node.still > self.now);
-        let ended = match well.filter(|_| !still) {
+        let stalled = responding.is_some_and(|node| self.slots[node].node.stalled_until > self.now);
+        let completion = match responding.filter(|_| !stalled) {
             Some(node) => {
                 let latency = Span(2 * self.scenario.fleet.network.us());
-                Completion { status: Status::Ok, latency, load: self.report_of(node), body: None }
+                Completion { status: Status::Ok, latency, load: self.load_report(node), body: None }
             }
-            None if still => Completion::without_response(Status::Timeout),
+            None if stalled => Completion::without_response(Status::Timeout),
             None => Completion::without_response(Status::ConnectFailed),
         };
-        self.tell(instance, Input::ProbeEnded { server, pool: asked, completion: ended });
+        self.notify(instance, Input::ProbeEnded { server, pool, completion });
     }
 
-    pub(super) fn arrive(&mut self, job: Job) {
-        let Some(Flight { node: Some(node), starts, link, .. }) = self.flights.get(&job) else { return };
-        let (node, starts, new) = (*node, *starts, *link == Some(true));
+    pub(super) fn attempt_arrives(&mut self, job: Job) {
+        let Some(pending) = self.pending_attempts.get(&job) else { return };
+        let Some(process) = pending.process else { return };
+        let opened = pending.connection == Some(Acquired::Opened);
+        let node = process.node;
         let back = self.now + self.scenario.fleet.network.us();
-        // Its process has gone meanwhile, and the connection with it.
-        if starts != self.places[node].starts {
-            return self.at(back, Event::Back(job, Status::ConnectFailed));
+        // The process ended in the meantime, and the connection with it.
+        if self.process(node) != process {
+            return self.schedule(back, Event::AttemptEnds(job, Status::ConnectFailed));
         }
-        let nodes = self.places.len();
+        let nodes = self.slots.len();
         self.tally.second(self.now, nodes).arrived[node] += 1;
-        let work = self.requests.get(&job.request).map_or(1.0, |request| request.asked.work);
-        let work = work + self.scenario.fleet.handshake.filter(|_| new).map_or(0.0, |cost| cost.us() as f64);
-        let serves = self.places[node].node.mood == Mood::Serves;
-        if let Some(born) = self.places[node].node.born.filter(|_| serves) {
-            let (terms, age) = (self.cold, self.now - born);
-            if age < terms.cold {
-                let (calls, budget) = (work / self.mean_work, terms.budget(age));
-                self.auditor.came_cold(job, (node, starts), calls, (budget, terms.over), self.now);
-            }
-        }
-        let within = !self.places[node].node.over_budget;
-        let taken = self.places[node].node.take(self.now, job, work);
-        if within && self.places[node].node.over_budget {
-            self.auditor.fell(node, self.now);
+        let work = self.requests.get(&job.request).map_or(1.0, |request| request.origin.work);
+        let handshake = self.scenario.fleet.handshake.filter(|_| opened);
+        let work = work + handshake.map_or(0.0, |cost| cost.us() as f64);
+        self.audit_cold_arrival(job, process, work);
+        let was_over_budget = self.slots[node].node.over_budget;
+        let admission = self.slots[node].node.admit(self.now, job, work);
+        if !was_over_budget && self.slots[node].node.over_budget {
+            self.auditor.cold_node_overloaded(node, self.now);
         }
-        match taken {
-            Taken::Works(ends) => {
-                self.auditor.began(job, self.now);
-                self.at(ends, Event::Done(job, node, starts));
+        match admission {
+            Admission::Started { ends_at } => {
+                self.auditor.attempt_started(job, self.now);
+                self.schedule(ends_at, Event::WorkDone(job, process));
             }
-            Taken::Waits => {}
-            Taken::Swallowed => {
-                if let Some(flight) = self.flights.get_mut(&job) {
-                    flight.lost = true;
+            Admission::Queued => {}
+            Admission::Ignored => {
+                if let Some(pending) = self.pending_attempts.get_mut(&job) {
+                    pending.lost = true;
                 }
             }
-            Taken::Full => self.at(back, Event::Back(job, Status::Rejected)),
-            Taken::Fails => {
-                self.auditor.began(job, self.now);
-                self.at(back, Event::Back(job, Status::Error));
+            Admission::QueueFull => self.schedule(back, Event::AttemptEnds(job, Status::Rejected)),
+            Admission::Failed => {
+                self.auditor.attempt_started(job, self.now);
+                self.schedule(back, Event::AttemptEnds(job, Status::Error));
             }
-            Taken::Refused => {
-                self.at(back, Event::Back(job, Status::ConnectFailed));
-                if self.places[node].node.fell && self.places[node].node.mood != Mood::Dead {
-                    self.down(node);
+            Admission::ConnectionRefused => {
+                self.schedule(back, Event::AttemptEnds(job, Status::ConnectFailed));
+                if self.slots[node].node.overloaded && self.slots[node].node.state != NodeState::Dead {
+                    self.stop_node(node);
                 }
             }
         }
     }
 
-    /// A node's process ends: what it had is reset.
-    pub(super) fn down(&mut self, node: usize) {
+    /// Reports a request to the auditor if it arrives at a serving node that is cold.
+    fn audit_cold_arrival(&mut self, job: Job, process: NodeProcess, work: f64) {
+        let node = &self.slots[process.node].node;
+        if node.state != NodeState::Serving {
+            return;
+        }
+        let Some(started_at) = node.started_at else { return };
+        let age = self.now - started_at;
+        if age >= self.cold_budget.warm_up {
+            return;
+        }
+        let allowance = Allowance { budget: self.cold_budget.budget(age), window: self.cold_budget.window };
+        self.auditor.cold_arrival(job, process, work / self.mean_work, allowance, self.now);
+    }
+
+    /// Ends the process of a node; its requests are reset.
+    pub(super) fn stop_node(&mut self, node: usize) {
         let back = self.now + self.scenario.fleet.network.us();
-        self.links.node_ends(node as u32);
-        for job in self.places[node].node.die() {
-            self.at(back, Event::Back(job, Status::Reset));
+        self.connections.close_node(node as u32);
+        for job in self.slots[node].node.die() {
+            self.schedule(back, Event::AttemptEnds(job, Status::Reset));
         }
     }
 
-    /// Discovery has something to tell of a node.
-    pub(super) fn list(&mut self, node: usize, uid: u32, state: State, boot: u64) {
-        let entry = entry(self.scenario, &self.places, node, uid, state, boot);
-        self.service.change(node, self.places[node].starts, entry);
-        if !std::mem::replace(&mut self.news_due, true) {
-            self.at(self.now + TOGETHER, Event::News);
+    /// Changes the entry of a node in the list; the change is published with others shortly after.
+    pub(super) fn change_entry(&mut self, node: usize, uid: u32, state: State, boot: u64) {
+        let entry = entry(self.scenario, &self.slots, node, uid, state, boot);
+        self.service.change(self.process(node), entry);
+        if !std::mem::replace(&mut self.publish_scheduled, true) {
+            self.schedule(self.now + CHANGE_BATCH_US, Event::PublishChanges);
         }
     }
 
-    /// A node's next process begins.
-    pub(super) fn anew(&mut self, node: usize) {
+    /// Starts the next process of a node.
+    pub(super) fn start_node(&mut self, node: usize) {
         let now = self.now;
-        let place = &mut self.places[node];
-        place.starts += 1;
-        place.state = State::Ready;
-        let lost = place.node.restart(now);
+        let slot = &mut self.slots[node];
+        slot.incarnation += 1;
+        slot.state = State::Ready;
+        let lost = slot.node.restart(now);
         debug_assert!(lost.is_empty());
-        let uid = place.uid;
-        self.list(node, uid, State::Ready, now);
+        let uid = slot.uid;
+        self.change_entry(node, uid, State::Ready, now);
     }
 }
 
-/// The key of an attempt's status in reports: the name of the status, where two keep their earlier names.
+/// The key of an attempt's status in reports: the name of the status, except for two that keep earlier names.
 fn outcome_key(status: Status) -> String {
     match status {
         Status::Rejected => "Full".to_owned(),
