--- a/crates/duties/src/member.rs
+++ b/crates/duties/src/member.rs
@@ -225,13 +225,13 @@
             Input::EffectFinished { duty, fence, period, outcome } => {
                 self.on_effect_finished(now, &duty, RunningEffect { fence, period }, outcome, out);
             }
-            Input::HandOver { duty, to } => self.hand_over(now, &duty, to.as_deref(), "handed over", out),
+            Input::HandOver { duty, to } => self.hand_over(now, &duty, to.as_deref(), "handed on", out),
             Input::Shutdown => {
                 self.shutting_down = true;
                 let names: Vec<String> = self.duties.keys().cloned().collect();
                 for name in names {
                     let successor = self.successor(&name);
-                    self.hand_over(now, &name, successor.as_deref(), "the process is shutting down", out);
+                    self.hand_over(now, &name, successor.as_deref(), "told to end", out);
                 }
             }
         }
@@ -360,7 +360,7 @@
             duty.handover_retries = 0;
             duty.known_holder = None;
             duty.changed_at = now;
-            duty.reason = "a majority of the voters granted the lease";
+            duty.reason = "asked and won";
             out.push(Output::Notify(Notice::Acquired {
                 duty: name.clone(),
                 fence: grant.fence,
@@ -602,10 +602,10 @@
                     self.abandon_candidacy(now, &name, out);
                 }
                 Role::Holder { until, .. } if now >= until => {
-                    self.release(now, &name, "the lease expired before it was renewed", out);
+                    self.release(now, &name, "its lease was over before it was renewed", out);
                 }
                 Role::Holder { .. } if woken_late => {
-                    self.release(now, &name, "this process was woken too late", out);
+                    self.release(now, &name, "it was late itself", out);
                 }
                 Role::Holder { .. } => self.maintain(now, &name, out),
                 Role::Idle { .. } | Role::Candidate { .. } => {}
