--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -6,9 +6,9 @@
 mod line;
 
 use anyhow::{Context, Result};
-use dunlincleat_status::desk::{Desk, Order};
+use dunlincleat_status::duty_control::{DutyCommand, DutyControl};
 use dunlincleat_status::lifecycle::Event;
-use dunlincleat_status::{Lifecycle, Metrics, Seldom, seldom};
+use dunlincleat_status::{Lifecycle, LogLimiter, Metrics, log_limited};
 use line::{Call, Heard, hear};
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -22,7 +22,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Connections at a time; at the bound the oldest that has sent no whole call goes.
-pub const CONNECTIONS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// How long a call may take to come: shorter than callers stay that send nothing.
 const CALL: Duration = Duration::from_secs(3);
 /// How long an answer may take to be read, and what is sent behind a call to be passed over.
@@ -49,13 +49,13 @@
     listener: TcpListener,
     lifecycle: Arc<Lifecycle>,
     metrics: Arc<Metrics>,
-    desk: Arc<Desk>,
+    duty_control: Arc<DutyControl>,
 ) -> Result<()> {
-    desk.want();
+    duty_control.attach_reader();
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().context("the console")?;
     let serve = move || {
-        let console = Rc::new(Console { lifecycle, metrics, desk, wrong: Seldom::default() });
+        let console = Rc::new(Console { lifecycle, metrics, duty_control, wrong: LogLimiter::default() });
         if let Err(error) = LocalSet::new().block_on(&runtime, serve(listener, console)) {
             tracing::error!("the console ended: {error:#}");
         }
@@ -67,9 +67,9 @@
 struct Console {
     lifecycle: Arc<Lifecycle>,
     metrics: Arc<Metrics>,
-    desk: Arc<Desk>,
+    duty_control: Arc<DutyControl>,
     /// The line of the log for wrong calls.
-    wrong: Seldom,
+    wrong: LogLimiter,
 }
 
 /// A connection: whether its call has come, and what ends it.
@@ -91,7 +91,7 @@
             }
         };
         callers.retain(|caller| !caller.task.is_finished());
-        if callers.len() >= CONNECTIONS {
+        if callers.len() >= MAX_CONNECTIONS {
             let silent = callers.iter().position(|caller| !caller.called.get());
             if let Some(caller) = callers.remove(silent.unwrap_or(0)) {
                 caller.task.abort();
@@ -118,7 +118,7 @@
         Heard::Partial => return Ok(()),
         Heard::Wrong(why) => {
             let line = format!("console: {why}");
-            seldom!(console.wrong, info, line);
+            log_limited!(console.wrong, info, line);
             format!("NO {why}\n")
         }
     };
@@ -156,21 +156,21 @@
     fn answer(&self, call: Call) -> String {
         let order = |event: Event| {
             tracing::info!("console: told {}", if event == Event::Active { "active" } else { "standby" });
-            self.lifecycle.tell(event)
+            self.lifecycle.apply(event)
         };
         match call {
             Call::Status => {
                 let stage = self.lifecycle.stage();
-                format!("{} {stage}\n", if stage.ready() { "YES" } else { "NO" })
+                format!("{} {stage}\n", if stage.is_ready() { "YES" } else { "NO" })
             }
             Call::Stats => self.metrics.render() + "END\n",
-            Call::Duties => self.desk.shown() + "\nEND\n",
+            Call::Duties => self.duty_control.status() + "\nEND\n",
             Call::Hand(duty, to) => {
                 tracing::info!(
                     "console: told to hand {duty} to {}",
                     to.as_deref().unwrap_or("whoever comes")
                 );
-                let taken = self.desk.order(Order::Hand { duty, to });
+                let taken = self.duty_control.submit(DutyCommand::HandOver { duty, to });
                 if taken { "YES\n".to_owned() } else { "NO there is no fleet\n".to_owned() }
             }
             Call::Standby => {
@@ -179,7 +179,7 @@
             }
             Call::Active => {
                 let stage = order(Event::Active);
-                format!("{} {stage}\n", if stage.ends() { "NO" } else { "YES" })
+                format!("{} {stage}\n", if stage.is_shutting_down() { "NO" } else { "YES" })
             }
         }
     }
--- a/crates/dutyshell/src/lib.rs
+++ b/crates/dutyshell/src/lib.rs
@@ -21,8 +21,8 @@
 use dunlincleat_http::message::{Errand, Request, class_of};
 use dunlincleat_limits::Fleet;
 use dunlincleat_limits::fleet::Call;
-use dunlincleat_status::desk::{Desk, Order};
-use dunlincleat_status::{Seldom, seldom};
+use dunlincleat_status::duty_control::{DutyCommand, DutyControl};
+use dunlincleat_status::{LogLimiter, log_limited};
 use rustix::time::{ClockId, clock_gettime};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -62,11 +62,11 @@
     name: String,
     engine: Handle,
     in_force: watch::Receiver<Rc<InForce>>,
-    desk: Arc<Desk>,
-    orders: mpsc::UnboundedReceiver<Order>,
+    duty_control: Arc<DutyControl>,
+    orders: mpsc::UnboundedReceiver<DutyCommand>,
     next_request_id: u64,
     /// Limits the rate of log lines about rejected datagrams.
-    rejected_log: Seldom,
+    rejected_log: LogLimiter,
     /// The latest end of a shutdown that was ordered.
     shutdown_deadline: Option<Instant>,
     effects_in_flight: usize,
@@ -85,8 +85,8 @@
         name: &str,
         engine: Handle,
         in_force: watch::Receiver<Rc<InForce>>,
-        desk: Arc<Desk>,
-        orders: mpsc::UnboundedReceiver<Order>,
+        duty_control: Arc<DutyControl>,
+        orders: mpsc::UnboundedReceiver<DutyCommand>,
     ) -> Result<DutyDriver> {
         let socket = bind(fleet.listen).with_context(|| format!("fleet.listen: '{}'", fleet.listen))?;
         let member = new_member(&fleet, name);
@@ -105,10 +105,10 @@
             name: name.to_owned(),
             engine,
             in_force,
-            desk,
+            duty_control,
             orders,
             next_request_id: FIRST_REQUEST_ID,
-            rejected_log: Seldom::default(),
+            rejected_log: LogLimiter::default(),
             shutdown_deadline: None,
             effects_in_flight: 0,
             finished_sender,
@@ -136,8 +136,8 @@
                     self.handle(input, None);
                 }
                 order = self.orders.recv() => match order {
-                    Some(Order::Hand { duty, to }) => self.handle(Input::HandOver { duty, to }, None),
-                    Some(Order::End) | None => {
+                    Some(DutyCommand::HandOver { duty, to }) => self.handle(Input::HandOver { duty, to }, None),
+                    Some(DutyCommand::Shutdown) | None => {
                         self.shutdown_deadline = Some(Instant::now() + SHUTDOWN_GRACE);
                     }
                 },
@@ -163,7 +163,7 @@
             }
             None => {
                 let line = format!("fleet: rejected a malformed or foreign datagram from {sender}");
-                seldom!(self.rejected_log, warn, line);
+                log_limited!(self.rejected_log, warn, line);
             }
         }
     }
@@ -234,7 +234,7 @@
 
     /// Publishes the state of the duties for operators, if any console reads it.
     fn publish_status(&self) {
-        if !self.desk.wanted() {
+        if !self.duty_control.has_reader() {
             return;
         }
         let line = |status: DutyStatus<'_>| {
@@ -254,7 +254,7 @@
             .to_string()
         };
         let lines: Vec<String> = self.member.duty_statuses(now()).map(line).collect();
-        self.desk.show(lines.join("\n"));
+        self.duty_control.publish_status(lines.join("\n"));
     }
 }
 
--- a/crates/engine/src/shell.rs
+++ b/crates/engine/src/shell.rs
@@ -250,7 +250,7 @@
                     None => return,
                 },
                 () = sleep_until(next_sample), if self.gauges.sample_avoided => {
-                    self.gauges.metrics.skipped.set(self.engine.avoided(self.clock.now()));
+                    self.gauges.metrics.skipped_servers.set(self.engine.avoided(self.clock.now()));
                     next_sample = Instant::now() + AVOIDED_SAMPLE_INTERVAL;
                 }
                 () = sleep_until(next_summary) => {
@@ -319,7 +319,7 @@
         let listed = matches!(input, Input::ServerList(_));
         self.engine.input(self.clock.now(), input, &mut self.outputs);
         if listed {
-            self.gauges.metrics.known.set(self.engine.listed_servers());
+            self.gauges.metrics.known_servers.set(self.engine.listed_servers());
         }
         self.carry_out();
     }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// The descriptor is not open, or is no listening TCP socket.
-pub fn take(number: RawFd) -> Result<TcpListener> {
+pub fn take_listener(number: RawFd) -> Result<TcpListener> {
     let link = std::fs::read_link(format!("/proc/self/fd/{number}")).ok().with_context(|| {
         format!("{number} is no open descriptor; right would be that of a listening TCP socket")
     })?;
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// It listens elsewhere.
-pub fn listens_at(listener: &TcpListener, listen: SocketAddr) -> Result<()> {
+pub fn check_address(listener: &TcpListener, listen: SocketAddr) -> Result<()> {
     let at = listener.local_addr()?;
     if at.port() != listen.port() || !(at.ip() == listen.ip() || at.ip().is_unspecified()) {
         bail!("it listens at {at}; right would be {listen}");
--- a/crates/handover/src/presence.rs
+++ b/crates/handover/src/presence.rs
@@ -25,7 +25,7 @@
     /// # Errors
     ///
     /// The folder can't be written, or all places are taken.
-    pub fn take(folder: &Path, name: &str) -> Result<Presence> {
+    pub fn acquire(folder: &Path, name: &str) -> Result<Presence> {
         // A name may hold what no file's name may.
         let name: String = name.bytes().map(|byte| format!("{byte:02x}")).take(64).collect();
         let paths: Vec<PathBuf> =
@@ -51,7 +51,7 @@
 
     /// Whether another process holds a place. What can't be read counts as nobody.
     #[must_use]
-    pub fn accompanied(&self) -> bool {
+    pub fn has_peer(&self) -> bool {
         let held = |path: &PathBuf| {
             let file = File::open(path).ok()?;
             Some(matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)))
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -16,8 +16,8 @@
 use dunlincleat_limits::RuleSet;
 use dunlincleat_settings::InstanceSettings;
 use dunlincleat_status::lifecycle;
-use dunlincleat_status::metrics::{Ends, InProgress};
-use dunlincleat_status::{Lifecycle, Metrics, Seldom, Stage, seldom};
+use dunlincleat_status::metrics::{ClassOutcomes, InProgress};
+use dunlincleat_status::{Lifecycle, LogLimiter, Metrics, Stage, log_limited};
 use futures_util::StreamExt;
 use futures_util::stream;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -68,7 +68,7 @@
     /// The operator's limits, where there are any.
     pub rules: Option<Arc<RuleSet>>,
     /// The counts of each class, by its number.
-    ends: Vec<Arc<Ends>>,
+    ends: Vec<Arc<ClassOutcomes>>,
 }
 
 impl InForce {
@@ -112,14 +112,14 @@
     next: Cell<u64>,
     stage: watch::Receiver<Stage>,
     /// Lines of the log for requests refused at a bound, and for malformed ones.
-    full: Seldom,
-    malformed: Seldom,
+    full: LogLimiter,
+    malformed: LogLimiter,
 }
 
-/// Accepts and serves until the stage is `Closing` and every connection has ended.
+/// Accepts and serves until the stage is `ListenerClosed` and every connection has ended.
 pub async fn serve(listener: Listener, told: Told, engine: Handle, lifecycle: Arc<Lifecycle>) -> Result<()> {
     let Told { in_force, own, metrics } = told;
-    let mut stage = lifecycle.follow();
+    let mut stage = lifecycle.subscribe();
     let most = own.client_connections + OVER;
     let (listener, shared) = match listener {
         Listener::Own(listen) => {
@@ -128,7 +128,7 @@
         Listener::Shared(listener) => (TcpListener::from_std(listener).context("EDGE_INHERITED_FD")?, true),
     };
     // What comes to a shared listener waits for the other process too: this one's part ends at once.
-    let over = move |stage: &Stage| *stage >= Stage::Closing || shared && stage.ends();
+    let over = move |stage: &Stage| *stage >= Stage::ListenerClosed || shared && stage.is_shutting_down();
     let connections = Arc::new(Semaphore::new(most));
     let requests = Arc::new(Semaphore::new(own.requests));
     let clients = Rc::new(Clients {
@@ -147,8 +147,8 @@
         ids: RefCell::default(),
         next: Cell::new(0),
         stage: stage.clone(),
-        full: Seldom::default(),
-        malformed: Seldom::default(),
+        full: LogLimiter::default(),
+        malformed: LogLimiter::default(),
     });
     let handler = front.clone();
     // No limit of the server's own may end a request: the module's deadlines do, and `ClientState` has those
@@ -170,7 +170,7 @@
     let service = Rc::new(service);
     let sweeper = actix_rt::spawn(sweep(clients.clone(), connections.clone(), lifecycle.clone()));
     let at = listener.local_addr()?;
-    lifecycle.tell(lifecycle::Event::Ready);
+    lifecycle.apply(lifecycle::Event::Ready);
     tracing::info!("listening on {at}");
     loop {
         // Not given up at the end: what waits to be accepted then has a place as soon as another is answered.
@@ -222,7 +222,7 @@
                 match end {
                     Err(DispatchError::Parse(error)) => {
                         let line = format!("request not taken: it can't be read: {error}");
-                        seldom!(front.malformed, info, line);
+                        log_limited!(front.malformed, info, line);
                     }
                     Err(error) => tracing::debug!("connection of a client ended: {error}"),
                     Ok(()) => {}
@@ -240,7 +240,7 @@
     match cut {
         Cut::Left => {}
         Cut::TooSlow => {
-            seldom!(front.malformed, info, "request not taken: it did not come whole in its time");
+            log_limited!(front.malformed, info, "request not taken: it did not come whole in its time");
             let _ = timeout(FAREWELL, farewell(&stream)).await;
         }
     }
@@ -307,14 +307,14 @@
     // Under the settings that it came under: its class may be dropped meanwhile.
     let ends = front.ends(request.path());
     let mut response = if request.method() == Method::GET && request.path() == HEALTH {
-        if front.stage.borrow().ready() {
+        if front.stage.borrow().is_ready() {
             Response::with_body(StatusCode::OK, BoxBody::new("ok\n"))
         } else {
             Response::with_body(StatusCode::SERVICE_UNAVAILABLE, BoxBody::new("no\n"))
         }
     } else if over {
-        seldom!(front.full, warn, Crowd(&front.clients));
-        ends.dropped.count();
+        log_limited!(front.full, warn, Crowd(&front.clients));
+        ends.refused.increment();
         encode(Answer::Refused { retry_after: None })
     } else {
         match front.take(&mut request, state.as_ref()).await {
@@ -322,18 +322,18 @@
                 match &answer {
                     // Counted when it has come to its end.
                     Answer::Served(Body { parts: Parts::Passing { .. }, .. }) => passes_on = true,
-                    Answer::Served(_) => ends.passed.count(),
-                    Answer::Refused { .. } => ends.dropped.count(),
-                    Answer::Failed => ends.failed.count(),
+                    Answer::Served(_) => ends.served.increment(),
+                    Answer::Refused { .. } => ends.refused.increment(),
+                    Answer::Failed => ends.failed.increment(),
                 }
                 encode(answer)
             }
             Err(malformed) => {
                 if malformed.taken {
-                    ends.failed.count();
+                    ends.failed.increment();
                 }
                 let line = format!("request not taken: {} ({})", malformed.what, malformed.status.as_u16());
-                seldom!(front.malformed, info, line);
+                log_limited!(front.malformed, info, line);
                 turned_away = true;
                 malformed.encode()
             }
@@ -341,14 +341,15 @@
     };
     // Where places run short, an answer ends its connection: hundreds of clients a second that ask once and keep
     // theirs once held all places for the 2 s for which an idle one must be kept.
-    let close = turned_away || over || front.clients.crowded() || front.stage.borrow().sends_away();
+    let close =
+        turned_away || over || front.clients.crowded() || front.stage.borrow().closes_after_response();
     if close {
         // It ends once the answer is written; nothing else may end it before.
         response.head_mut().set_connection_type(actix_http::ConnectionType::Close);
     }
     let then = if close { Phase::Draining } else { Phase::Idle };
     if passes_on {
-        let counted = front.metrics.taken();
+        let counted = front.metrics.request_started();
         let finish = Finish { state, then, ends, whole: false, _counted: counted };
         return Ok(response.map_body(|_, body| BoxBody::new(PassedOn { body, finish })));
     }
@@ -397,15 +398,15 @@
 struct Finish {
     state: Option<Rc<ClientState>>,
     then: Phase,
-    ends: Arc<Ends>,
+    ends: Arc<ClassOutcomes>,
     whole: bool,
     _counted: InProgress,
 }
 
 impl Drop for Finish {
     fn drop(&mut self) {
-        let count = if self.whole { &self.ends.passed } else { &self.ends.failed };
-        count.count();
+        let count = if self.whole { &self.ends.served } else { &self.ends.failed };
+        count.increment();
         if let Some(state) = &self.state {
             state.enter(self.then);
         }
@@ -415,7 +416,7 @@
 impl Front {
     /// Where the final answer to a request of the class that its path names is counted; one that names none is
     /// counted nowhere.
-    fn ends(&self, path: &str) -> Arc<Ends> {
+    fn ends(&self, path: &str) -> Arc<ClassOutcomes> {
         let in_force = self.in_force.borrow();
         let class = class_of(path, &in_force.site).and_then(|class| in_force.ends.get(class));
         class.cloned().unwrap_or_default()
@@ -434,7 +435,7 @@
         let mut payload = request.take_payload();
         let (body, whole) = read_body(&mut payload, self.own.body_bytes).await?;
         let Ok(permit) = self.requests.clone().try_acquire_owned() else {
-            seldom!(self.full, warn, "request refused: the bound on requests in hand is reached");
+            log_limited!(self.full, warn, "request refused: the bound on requests in hand is reached");
             return Ok(Answer::Refused { retry_after: None });
         };
         // A copy of a request in hand, whoever sends it, would be a second run of it.
@@ -455,7 +456,7 @@
             engine,
             answered: false,
             _permit: permit,
-            _counted: self.metrics.taken(),
+            _counted: self.metrics.request_started(),
         };
         // Up to the bound a body is held, so that it can be sent again; of a longer one the rest goes to one server as it
         // comes.
@@ -475,7 +476,7 @@
             biased;
             answer = answer => answer,
             // The process ends: a failure promises nothing, and nothing is owed an answer any more.
-            _ = stage.wait_for(|stage| *stage == Stage::Last) => return Ok(Answer::Failed),
+            _ = stage.wait_for(|stage| *stage == Stage::Aborting) => return Ok(Answer::Failed),
         };
         taken.answered = true;
         Ok(answer.unwrap_or_else(|_| {
@@ -608,8 +609,10 @@
     fn due(&self, own: &Own, stage: Stage) -> Option<Instant> {
         let time = match self.phase.get() {
             // Sent away, and nothing has told it so: no answer was due.
-            Phase::Idle if matches!(stage, Stage::Emptying | Stage::Parting) => Duration::ZERO,
-            Phase::Silent if stage == Stage::Emptying => SILENT,
+            Phase::Idle if matches!(stage, Stage::StandbyClosingIdle | Stage::ShutdownClosingIdle) => {
+                Duration::ZERO
+            }
+            Phase::Silent if stage == Stage::StandbyClosingIdle => SILENT,
             // All that can be read of it is answered.
             Phase::Idle | Phase::Reading if self.flooded.get() => Duration::ZERO,
             Phase::Silent | Phase::Reading => own.client_request,
@@ -785,7 +788,7 @@
         // not lost.
         let closing = state.closing.get().is_some();
         match state.phase.get() {
-            Phase::Silent | Phase::Idle if closing || *this.stage.borrow() >= Stage::Closing => {
+            Phase::Silent | Phase::Idle if closing || *this.stage.borrow() >= Stage::ListenerClosed => {
                 Poll::Ready(Ok(()))
             }
             // What crosses from here on finds an answer on its way.
--- a/crates/http/src/line.rs
+++ b/crates/http/src/line.rs
@@ -10,7 +10,7 @@
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
 use awc::http::Uri;
 use dunlincleat::api::Status;
-use dunlincleat_status::{Metrics, Seldom, seldom};
+use dunlincleat_status::{LogLimiter, Metrics, log_limited};
 use futures_util::future::LocalBoxFuture;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -169,7 +169,7 @@
     /// Closes the connection that has been idle for longest, to whichever server: whether there was one.
     pub close_idle: Rc<dyn Fn() -> bool>,
     /// The line of the log for attempts that found no place among those.
-    pub full: Rc<Seldom>,
+    pub full: Rc<LogLimiter>,
     /// Counts attempts that were written whole.
     pub metrics: Arc<Metrics>,
 }
@@ -249,7 +249,7 @@
             let endpoint = authority(&uri).ok_or(ConnectError::Unresolved)?;
             let permit = dial.means.place().await.ok_or_else(|| {
                 let line = format!("no connection to {endpoint}: the bound on server connections is reached");
-                seldom!(dial.means.full, warn, line);
+                log_limited!(dial.means.full, warn, line);
                 ConnectError::Io(io::Error::other(Unsent("the bound on server connections is reached")))
             })?;
             let stream = TcpStream::connect(endpoint).await.map_err(ConnectError::Io)?;
@@ -389,7 +389,7 @@
                     self.wire.sent.set(self.wire.sent.get() + n);
                     if let Some(mut written) = self.wire.written.get() {
                         if written.more(&buf[..n], self.wire.last.get()) {
-                            self.metrics.tries.count();
+                            self.metrics.attempts.increment();
                         }
                         self.wire.written.set(Some(written));
                     }
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -15,7 +15,7 @@
 use dunlincleat::api::{Attempt, RequestId, ServerId, Span, State, Status};
 use dunlincleat_engine::shell::Transports;
 use dunlincleat_engine::{Endpoint, PoolId};
-use dunlincleat_status::{Metrics, Seldom, seldom};
+use dunlincleat_status::{LogLimiter, Metrics, log_limited};
 use futures_util::StreamExt;
 use futures_util::future::{AbortHandle, Abortable, Aborted, LocalBoxFuture};
 use futures_util::stream::{self, FuturesUnordered};
@@ -82,7 +82,7 @@
     /// The idle connections to all servers.
     idle: AllIdle,
     /// The line of the log for answers that are of no use.
-    spoilt: Rc<Seldom>,
+    spoilt: Rc<LogLimiter>,
     engine: Handle,
 }
 
@@ -599,7 +599,7 @@
 fn judged(status: Status, endpoint: SocketAddr, wire: &Wire, common: &Common) -> Status {
     let Some(why) = wire.spoilt() else { return status };
     let line = format!("answer of {endpoint} is of no use: {why}");
-    seldom!(common.spoilt, warn, line);
+    log_limited!(common.spoilt, warn, line);
     Status::Error
 }
 
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -23,7 +23,7 @@
 /// The bytes that the names of services may have in all: they go into the head of a call of discovery.
 const SERVICE_BYTES: usize = 16 << 10;
 /// The same for the console: its connections, its listener, its poller and a signal to it.
-const CONSOLE_KEPT: usize = dunlincleat_console::CONNECTIONS + 8;
+const CONSOLE_KEPT: usize = dunlincleat_console::MAX_CONNECTIONS + 8;
 
 /// All that the sidecar is told.
 pub struct Config {
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -22,8 +22,8 @@
 use dunlincleat_http::peer::Peers;
 use dunlincleat_limits::{Checked, Fleet, RuleSet, Severity};
 use dunlincleat_settings::{ClassNumbering, InstanceSettings};
-use dunlincleat_status::desk::{Desk, Order};
-use dunlincleat_status::lifecycle::{Event, Machine, Times};
+use dunlincleat_status::duty_control::{DutyCommand, DutyControl};
+use dunlincleat_status::lifecycle::{Event, StageMachine, StageTiming};
 use dunlincleat_status::{Lifecycle, Metrics};
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -48,7 +48,7 @@
 /// What it was told is at fault, its address is in use, or its decisions ended.
 pub fn serve(limits: Option<&Path>) -> Result<()> {
     // Before any other descriptor is opened: its number is what it is told by.
-    let inherited = config::inherited()?.map(dunlincleat_handover::take);
+    let inherited = config::inherited()?.map(dunlincleat_handover::take_listener);
     let inherited = inherited.transpose().context("EDGE_INHERITED_FD")?;
     actix_rt::System::new().block_on(run(limits, inherited))
 }
@@ -78,12 +78,12 @@
         None => front::Listener::Own(config.listen),
     };
     let metrics = Arc::new(Metrics::default());
-    let desk = Arc::new(Desk::default());
-    let times = Times { notice: NOTICE, accept: config.accept_after_term };
-    let lifecycle = Arc::new(Lifecycle::new(Machine::new(std::time::Instant::now(), times)));
+    let duty_control = Arc::new(DutyControl::default());
+    let timing = StageTiming { standby_notice: NOTICE, accept_after_shutdown: config.accept_after_term };
+    let lifecycle = Arc::new(Lifecycle::new(StageMachine::new(std::time::Instant::now(), timing)));
     if let Some(console) = console {
         tracing::info!("console at {}", console.local_addr()?);
-        dunlincleat_console::start(console, lifecycle.clone(), metrics.clone(), desk.clone())?;
+        dunlincleat_console::start(console, lifecycle.clone(), metrics.clone(), duty_control.clone())?;
     }
     let (engine, mail) = mailbox();
     let (caller, calls) = list::mailbox();
@@ -116,7 +116,7 @@
     let (in_force, followed) = watch::channel(Rc::new(InForce::new(site, rules, &metrics)));
     let fleet = in_force.borrow().rules.as_ref().and_then(|rules| rules.fleet().cloned());
     let duties = fleet
-        .map(|fleet| stand_for(fleet, &config.name, engine.clone(), followed.clone(), &desk))
+        .map(|fleet| stand_for(fleet, &config.name, engine.clone(), followed.clone(), &duty_control))
         .transpose()?;
     let told = front::Told { in_force: followed, own: own.clone(), metrics: metrics.clone() };
     let succession = ClassNumbering::default();
@@ -140,14 +140,14 @@
         "told to end: serving on for {:?}, then answering what was taken",
         config.accept_after_term
     );
-    lifecycle.tell(Event::End);
+    lifecycle.apply(Event::Shutdown);
     // What it holds alone is handed on first, while it serves on.
-    duties.iter().for_each(|duties| drop(duties.send(Order::End)));
+    duties.iter().for_each(|duties| drop(duties.send(DutyCommand::Shutdown)));
     let end = told + config.end_after_term;
     let ended = match timeout_at(end - LAST.min(config.end_after_term / 2), &mut front).await {
         Ok(ended) => Ok(ended),
         Err(_) => {
-            lifecycle.tell(Event::Last);
+            lifecycle.apply(Event::Abort);
             timeout_at(end, front).await
         }
     };
@@ -165,12 +165,12 @@
     name: &str,
     engine: dunlincleat_http::Handle,
     in_force: watch::Receiver<Rc<InForce>>,
-    desk: &Arc<Desk>,
-) -> Result<mpsc::UnboundedSender<Order>> {
+    duty_control: &Arc<DutyControl>,
+) -> Result<mpsc::UnboundedSender<DutyCommand>> {
     let (send, orders) = mpsc::unbounded_channel();
-    let shell = DutyDriver::open(fleet, name, engine, in_force, desk.clone(), orders)?;
+    let shell = DutyDriver::open(fleet, name, engine, in_force, duty_control.clone(), orders)?;
     let by_console = send.clone();
-    desk.follow(move |order| drop(by_console.send(order)));
+    duty_control.set_receiver(move |order| drop(by_console.send(order)));
     actix_rt::spawn(shell.run());
     Ok(send)
 }
@@ -178,9 +178,9 @@
 /// Takes up the listening socket that the platform holds: from here on other processes of this sidecar may run, which are
 /// one with it by its limits.
 fn shared(listener: TcpListener, config: &Config) -> Result<front::Listener> {
-    dunlincleat_handover::listens_at(&listener, config.listen).context("EDGE_INHERITED_FD")?;
+    dunlincleat_handover::check_address(&listener, config.listen).context("EDGE_INHERITED_FD")?;
     tracing::info!("the listening socket is the platform's, held by every process of this sidecar");
-    match dunlincleat_handover::Presence::take(&std::env::temp_dir(), &config.name) {
+    match dunlincleat_handover::Presence::acquire(&std::env::temp_dir(), &config.name) {
         Ok(presence) => drop(actix_rt::spawn(beside_another(presence, config.own.clone()))),
         Err(error) => tracing::warn!("another process of this sidecar will not be seen: {error:#}"),
     }
@@ -193,7 +193,7 @@
 /// Keeps to half of the bounds for as long as another process of this sidecar runs.
 async fn beside_another(presence: dunlincleat_handover::Presence, own: Rc<Own>) {
     loop {
-        let other = presence.accompanied();
+        let other = presence.has_peer();
         if own.halved.replace(other) != other {
             let (clients, servers) = (own.clients_now(), own.servers_now());
             let is = if other { "runs" } else { "runs no more" };
@@ -221,9 +221,9 @@
     /// Takes up a new configuration, whole or not at all. Requests, connections and what the module has learnt stay.
     fn reload(&mut self, config: &mut Config) {
         match self.take_up(config) {
-            Ok(()) => self.metrics.loads.count(),
+            Ok(()) => self.metrics.reloads.increment(),
             Err(error) => {
-                self.metrics.load_errors.count();
+                self.metrics.reload_errors.increment();
                 tracing::error!("SIGHUP: going on with the old configuration: {error:#}");
             }
         }
--- a/crates/status/src/desk.rs
+++ b/crates/status/src/duty_control.rs
@@ -5,65 +5,65 @@
 
 /// What operators order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum DutyCommand {
     /// Let a duty go, to another member where one is named.
-    Hand {
+    HandOver {
         /// The duty.
         duty: String,
         /// The next holder.
         to: Option<String>,
     },
     /// The process ends.
-    End,
+    Shutdown,
 }
 
-type Send = Box<dyn Fn(Order) + std::marker::Send>;
+type Send = Box<dyn Fn(DutyCommand) + std::marker::Send>;
 
 /// The desk.
 #[derive(Default)]
-pub struct Desk {
-    shown: Mutex<String>,
-    wanted: AtomicBool,
+pub struct DutyControl {
+    status: Mutex<String>,
+    has_reader: AtomicBool,
     send: Mutex<Option<Send>>,
 }
 
-impl std::fmt::Debug for Desk {
+impl std::fmt::Debug for DutyControl {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Desk")
+        f.write_str("DutyControl")
     }
 }
 
-impl Desk {
+impl DutyControl {
     /// There is a console: what is shown is read.
-    pub fn want(&self) {
-        self.wanted.store(true, Ordering::Relaxed);
+    pub fn attach_reader(&self) {
+        self.has_reader.store(true, Ordering::Relaxed);
     }
 
     /// Whether anybody reads it.
     #[must_use]
-    pub fn wanted(&self) -> bool {
-        self.wanted.load(Ordering::Relaxed)
+    pub fn has_reader(&self) -> bool {
+        self.has_reader.load(Ordering::Relaxed)
     }
 
     /// Where orders go.
-    pub fn follow(&self, send: impl Fn(Order) + std::marker::Send + 'static) {
+    pub fn set_receiver(&self, send: impl Fn(DutyCommand) + std::marker::Send + 'static) {
         *self.send.lock().unwrap_or_else(PoisonError::into_inner) = Some(Box::new(send));
     }
 
     /// Shows this, one line a duty.
-    pub fn show(&self, lines: String) {
-        *self.shown.lock().unwrap_or_else(PoisonError::into_inner) = lines;
+    pub fn publish_status(&self, lines: String) {
+        *self.status.lock().unwrap_or_else(PoisonError::into_inner) = lines;
     }
 
     /// What is shown.
     #[must_use]
-    pub fn shown(&self) -> String {
-        self.shown.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    pub fn status(&self) -> String {
+        self.status.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Gives an order; false where nobody takes any.
-    pub fn order(&self, order: Order) -> bool {
+    pub fn submit(&self, command: DutyCommand) -> bool {
         let send = self.send.lock().unwrap_or_else(PoisonError::into_inner);
-        send.as_ref().map(|send| send(order)).is_some()
+        send.as_ref().map(|send| send(command)).is_some()
     }
 }
--- a/crates/status/src/lib.rs
+++ b/crates/status/src/lib.rs
@@ -1,14 +1,14 @@
 //! What a sidecar tells of itself. [`lifecycle`] owns the stage of the process, [`metrics`] every figure; both are read
-//! from any thread, and nothing there waits. [`seldom`] keeps lines of the log rare; [`desk`] stands between
+//! from any thread, and nothing there waits. [`log_limiter`] keeps lines of the log rare; [`duty_control`] stands between
 //! console and duties.
 
 #![forbid(unsafe_code)]
 
-pub mod desk;
+pub mod duty_control;
 pub mod lifecycle;
+pub mod log_limiter;
 pub mod metrics;
-pub mod seldom;
 
 pub use lifecycle::{Lifecycle, Stage};
+pub use log_limiter::LogLimiter;
 pub use metrics::Metrics;
-pub use seldom::Seldom;
--- a/crates/status/src/lifecycle.rs
+++ b/crates/status/src/lifecycle.rs
@@ -17,34 +17,34 @@
     /// Sent away its clients: still serving, but each answer ends its connection.
     Standby,
     /// The same, and idle connections are closed.
-    Emptying,
+    StandbyClosingIdle,
     /// Told to end: serving still, but each answer ends its connection.
-    Leaving,
+    ShuttingDown,
     /// The same, and idle connections are closed: a request that crosses that comes again, on a new one.
-    Parting,
+    ShutdownClosingIdle,
     /// No new connections, and idle ones are closed.
-    Closing,
+    ListenerClosed,
     /// The process is about to end: what is still in hand is answered now.
-    Last,
+    Aborting,
 }
 
 impl Stage {
     /// Whether clients are to come: the one answer to that, for `status`, `/healthz` and the front.
     #[must_use]
-    pub fn ready(self) -> bool {
+    pub fn is_ready(self) -> bool {
         self == Stage::Active
     }
 
     /// Each answer ends its connection.
     #[must_use]
-    pub fn sends_away(self) -> bool {
+    pub fn closes_after_response(self) -> bool {
         self > Stage::Active
     }
 
     /// It was told to end.
     #[must_use]
-    pub fn ends(self) -> bool {
-        self >= Stage::Leaving
+    pub fn is_shutting_down(self) -> bool {
+        self >= Stage::ShuttingDown
     }
 }
 
@@ -53,8 +53,10 @@
         f.write_str(match self {
             Stage::Starting => "starting",
             Stage::Active => "active",
-            Stage::Standby | Stage::Emptying => "standby",
-            Stage::Leaving | Stage::Parting | Stage::Closing | Stage::Last => "ending",
+            Stage::Standby | Stage::StandbyClosingIdle => "standby",
+            Stage::ShuttingDown | Stage::ShutdownClosingIdle | Stage::ListenerClosed | Stage::Aborting => {
+                "ending"
+            }
         })
     }
 }
@@ -69,80 +71,88 @@
     /// Back to work.
     Active,
     /// End.
-    End,
+    Shutdown,
     /// The time to end is all but over.
-    Last,
+    Abort,
     /// Time has passed.
-    Time,
+    Tick,
 }
 
-/// The times of the machine.
+/// The timing of the machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct StageTiming {
     /// From the order to stand by until idle connections are closed: the front has seen the no by then.
-    pub notice: Duration,
+    pub standby_notice: Duration,
     /// From the order to end until nothing new is accepted.
-    pub accept: Duration,
+    pub accept_after_shutdown: Duration,
 }
 
-impl Times {
+impl StageTiming {
     /// From the order to end until idle connections are closed. What is left of `accept` is for the requests that cross
     /// that; closed with the listener, such a request found nowhere to come again.
-    fn part(self) -> Duration {
-        self.accept * 2 / 3
+    fn close_idle_after(self) -> Duration {
+        self.accept_after_shutdown * 2 / 3
     }
 }
 
 /// The machine. Orders may be repeated; whatever comes once it ends changes nothing any more.
 #[derive(Debug)]
-pub struct Machine {
+pub struct StageMachine {
     stage: Stage,
     since: Instant,
-    times: Times,
+    timing: StageTiming,
     /// The order to stand by came before it was ready.
-    stand_by: bool,
+    standby_requested: bool,
 }
 
-impl Machine {
+impl StageMachine {
     /// One that starts now.
     #[must_use]
-    pub fn new(now: Instant, times: Times) -> Machine {
-        Machine { stage: Stage::Starting, since: now, times, stand_by: false }
+    pub fn new(now: Instant, timing: StageTiming) -> StageMachine {
+        StageMachine { stage: Stage::Starting, since: now, timing, standby_requested: false }
     }
 
-    /// When [`Event::Time`] moves it next, if ever.
+    /// When [`Event::Tick`] moves it next, if ever.
     #[must_use]
-    pub fn due(&self) -> Option<Instant> {
+    pub fn next_transition(&self) -> Option<Instant> {
         match self.stage {
-            Stage::Standby => Some(self.since + self.times.notice),
-            Stage::Leaving => Some(self.since + self.times.part()),
-            Stage::Parting => Some(self.since + self.times.accept),
-            Stage::Starting | Stage::Active | Stage::Emptying | Stage::Closing | Stage::Last => None,
+            Stage::Standby => Some(self.since + self.timing.standby_notice),
+            Stage::ShuttingDown => Some(self.since + self.timing.close_idle_after()),
+            Stage::ShutdownClosingIdle => Some(self.since + self.timing.accept_after_shutdown),
+            Stage::Starting
+            | Stage::Active
+            | Stage::StandbyClosingIdle
+            | Stage::ListenerClosed
+            | Stage::Aborting => None,
         }
     }
 
     /// Takes what happened; gives the stage from here on.
-    pub fn on(&mut self, now: Instant, event: Event) -> Stage {
+    pub fn apply(&mut self, now: Instant, event: Event) -> Stage {
         let next = match (event, self.stage) {
-            (Event::Ready, Stage::Starting) if self.stand_by => Stage::Standby,
+            (Event::Ready, Stage::Starting) if self.standby_requested => Stage::Standby,
             (Event::Ready, Stage::Starting) => Stage::Active,
             (Event::Standby | Event::Active, Stage::Starting) => {
-                self.stand_by = event == Event::Standby;
+                self.standby_requested = event == Event::Standby;
                 Stage::Starting
             }
             (Event::Standby, Stage::Active) => Stage::Standby,
-            (Event::Active, Stage::Standby | Stage::Emptying) => Stage::Active,
-            (Event::End, stage) if !stage.ends() => Stage::Leaving,
-            (Event::Last, stage) if stage.ends() => Stage::Last,
-            (Event::Time, Stage::Standby) if self.due() <= Some(now) => Stage::Emptying,
-            (Event::Time, Stage::Leaving | Stage::Parting) if self.since + self.times.accept <= now => {
-                Stage::Closing
+            (Event::Active, Stage::Standby | Stage::StandbyClosingIdle) => Stage::Active,
+            (Event::Shutdown, stage) if !stage.is_shutting_down() => Stage::ShuttingDown,
+            (Event::Abort, stage) if stage.is_shutting_down() => Stage::Aborting,
+            (Event::Tick, Stage::Standby) if self.next_transition() <= Some(now) => Stage::StandbyClosingIdle,
+            (Event::Tick, Stage::ShuttingDown | Stage::ShutdownClosingIdle)
+                if self.since + self.timing.accept_after_shutdown <= now =>
+            {
+                Stage::ListenerClosed
+            }
+            (Event::Tick, Stage::ShuttingDown) if self.next_transition() <= Some(now) => {
+                Stage::ShutdownClosingIdle
             }
-            (Event::Time, Stage::Leaving) if self.due() <= Some(now) => Stage::Parting,
             (_, stage) => stage,
         };
         // The time to accept counts from the order to end.
-        if next != self.stage && next != Stage::Parting {
+        if next != self.stage && next != Stage::ShutdownClosingIdle {
             self.since = now;
         }
         self.stage = next;
@@ -154,26 +164,26 @@
 /// without it.
 #[derive(Debug)]
 pub struct Lifecycle {
-    machine: Mutex<Machine>,
+    machine: Mutex<StageMachine>,
     stage: watch::Sender<Stage>,
 }
 
 impl Lifecycle {
     /// The handle on a machine.
     #[must_use]
-    pub fn new(machine: Machine) -> Lifecycle {
+    pub fn new(machine: StageMachine) -> Lifecycle {
         let stage = watch::Sender::new(machine.stage);
         Lifecycle { machine: Mutex::new(machine), stage }
     }
 
-    fn machine(&self) -> MutexGuard<'_, Machine> {
+    fn machine(&self) -> MutexGuard<'_, StageMachine> {
         self.machine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Tells the machine; when this returns, all who read the stage read the new one.
-    pub fn tell(&self, event: Event) -> Stage {
+    pub fn apply(&self, event: Event) -> Stage {
         let mut machine = self.machine();
-        let stage = machine.on(Instant::now(), event);
+        let stage = machine.apply(Instant::now(), event);
         self.stage.send_if_modified(|told| std::mem::replace(told, stage) != stage);
         stage
     }
@@ -186,18 +196,18 @@
 
     /// The stage, followed.
     #[must_use]
-    pub fn follow(&self) -> watch::Receiver<Stage> {
+    pub fn subscribe(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
     }
 
     /// Moves the machine on as time passes. Does not end.
     pub async fn run(&self) {
-        let mut stage = self.follow();
+        let mut stage = self.subscribe();
         loop {
-            let due = self.machine().due();
+            let due = self.machine().next_transition();
             tokio::select! {
                 () = sleep_until(due.unwrap_or_else(Instant::now).into()), if due.is_some() => {
-                    self.tell(Event::Time);
+                    self.apply(Event::Tick);
                 }
                 changed = stage.changed() => if changed.is_err() {
                     return;
--- a/crates/status/src/metrics.rs
+++ b/crates/status/src/metrics.rs
@@ -11,7 +11,7 @@
 
 impl Counter {
     /// One more.
-    pub fn count(&self) {
+    pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -41,11 +41,11 @@
 
 /// How the requests of one class ended.
 #[derive(Debug, Default)]
-pub struct Ends {
+pub struct ClassOutcomes {
     /// Served.
-    pub passed: Counter,
+    pub served: Counter,
     /// Refused, by the rules or at a bound.
-    pub dropped: Counter,
+    pub refused: Counter,
     /// Failed.
     pub failed: Counter,
 }
@@ -54,18 +54,18 @@
 #[derive(Debug, Default)]
 pub struct Metrics {
     /// By the name of the class; one that was dropped stays, as counts never fall.
-    classes: Mutex<BTreeMap<String, Arc<Ends>>>,
+    classes: Mutex<BTreeMap<String, Arc<ClassOutcomes>>>,
     /// Attempts written whole to servers.
-    pub tries: Counter,
+    pub attempts: Counter,
     in_progress: AtomicI64,
     /// Servers in the list.
-    pub known: Gauge,
+    pub known_servers: Gauge,
     /// Listed servers that get nothing new now.
-    pub skipped: Gauge,
+    pub skipped_servers: Gauge,
     /// Files taken at SIGHUP.
-    pub loads: Counter,
+    pub reloads: Counter,
     /// Files turned down at SIGHUP.
-    pub load_errors: Counter,
+    pub reload_errors: Counter,
 }
 
 /// A request that was taken and has not ended, counted for as long as this lives.
@@ -81,14 +81,14 @@
 impl Metrics {
     /// The counts of a class, the same ones for the same name.
     #[must_use]
-    pub fn class(&self, name: &str) -> Arc<Ends> {
+    pub fn class(&self, name: &str) -> Arc<ClassOutcomes> {
         let mut classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
         classes.entry(name.to_owned()).or_default().clone()
     }
 
     /// A request was taken.
     #[must_use]
-    pub fn taken(self: &Arc<Metrics>) -> InProgress {
+    pub fn request_started(self: &Arc<Metrics>) -> InProgress {
         self.in_progress.fetch_add(1, Ordering::Relaxed);
         InProgress(self.clone())
     }
@@ -105,18 +105,18 @@
                 None => writeln!(text, "svc_{name} {value}"),
             };
         };
-        type Pick = fn(&Ends) -> &Counter;
+        type Pick = fn(&ClassOutcomes) -> &Counter;
         let ends: [(&str, Pick); 3] =
-            [("passed", |e| &e.passed), ("dropped", |e| &e.dropped), ("bad_gateway", |e| &e.failed)];
+            [("passed", |e| &e.served), ("dropped", |e| &e.refused), ("bad_gateway", |e| &e.failed)];
         for (name, pick) in ends {
             classes.iter().for_each(|(class, ends)| line(name, Some(class), pick(ends).get().to_string()));
         }
-        line("upstream_tries", None, self.tries.get().to_string());
+        line("upstream_tries", None, self.attempts.get().to_string());
         line("in_progress", None, self.in_progress.load(Ordering::Relaxed).max(0).to_string());
-        line("known_endpoints", None, self.known.get().to_string());
-        line("skipped_endpoints", None, self.skipped.get().to_string());
-        line("loads", None, self.loads.get().to_string());
-        line("load_errors", None, self.load_errors.get().to_string());
+        line("known_endpoints", None, self.known_servers.get().to_string());
+        line("skipped_endpoints", None, self.skipped_servers.get().to_string());
+        line("loads", None, self.reloads.get().to_string());
+        line("load_errors", None, self.reload_errors.get().to_string());
         text
     }
 }
--- a/crates/status/src/metrics/tests.rs
+++ b/crates/status/src/metrics/tests.rs
@@ -5,12 +5,12 @@
 #[test]
 fn each_figure_stands_on_a_line_of_its_own() {
     let metrics = Arc::new(Metrics::default());
-    metrics.class("b").passed.count();
-    metrics.class("a\"\n").dropped.count();
-    metrics.class("b").passed.count();
-    let one = metrics.taken();
-    drop(metrics.taken());
-    metrics.known.set(14);
+    metrics.class("b").served.increment();
+    metrics.class("a\"\n").refused.increment();
+    metrics.class("b").served.increment();
+    let one = metrics.request_started();
+    drop(metrics.request_started());
+    metrics.known_servers.set(14);
     let text = metrics.render();
     for line in [
         "svc_passed{category=\"b\"} 2",
