--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -9,7 +9,7 @@
 use dunlincleat_status::duty_control::{DutyCommand, DutyControl};
 use dunlincleat_status::lifecycle::Event;
 use dunlincleat_status::{Lifecycle, LogLimiter, Metrics, log_limited};
-use line::{Call, Heard, hear};
+use line::{Call, ParsedCall, parse};
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
@@ -24,10 +24,10 @@
 /// Connections at a time; at the bound the oldest that has sent no whole call goes.
 pub const MAX_CONNECTIONS: usize = 16;
 /// How long a call may take to come: shorter than callers stay that send nothing.
-const CALL: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long an answer may take to be read, and what is sent behind a call to be passed over.
-const ANSWER: Duration = Duration::from_secs(1);
-const BEHIND: Duration = Duration::from_millis(200);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Opens the console's listener.
 ///
@@ -55,7 +55,8 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().context("the console")?;
     let serve = move || {
-        let console = Rc::new(Console { lifecycle, metrics, duty_control, wrong: LogLimiter::default() });
+        let console =
+            Rc::new(Console { lifecycle, metrics, duty_control, invalid_calls: LogLimiter::default() });
         if let Err(error) = LocalSet::new().block_on(&runtime, serve(listener, console)) {
             tracing::error!("the console ended: {error:#}");
         }
@@ -68,19 +69,19 @@
     lifecycle: Arc<Lifecycle>,
     metrics: Arc<Metrics>,
     duty_control: Arc<DutyControl>,
-    /// The line of the log for wrong calls.
-    wrong: LogLimiter,
+    /// The line of the log for invalid calls.
+    invalid_calls: LogLimiter,
 }
 
-/// A connection: whether its call has come, and what ends it.
-struct Caller {
-    called: Rc<Cell<bool>>,
+/// A connection: whether its call was received, and what ends it.
+struct Connection {
+    call_received: Rc<Cell<bool>>,
     task: AbortHandle,
 }
 
 async fn serve(listener: TcpListener, console: Rc<Console>) -> Result<()> {
     let listener = tokio::net::TcpListener::from_std(listener)?;
-    let mut callers: VecDeque<Caller> = VecDeque::new();
+    let mut connections: VecDeque<Connection> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -90,45 +91,50 @@
                 continue;
             }
         };
-        callers.retain(|caller| !caller.task.is_finished());
-        if callers.len() >= MAX_CONNECTIONS {
-            let silent = callers.iter().position(|caller| !caller.called.get());
-            if let Some(caller) = callers.remove(silent.unwrap_or(0)) {
-                caller.task.abort();
+        connections.retain(|connection| !connection.task.is_finished());
+        if connections.len() >= MAX_CONNECTIONS {
+            let waiting = connections.iter().position(|connection| !connection.call_received.get());
+            if let Some(connection) = connections.remove(waiting.unwrap_or(0)) {
+                connection.task.abort();
             }
         }
-        let called = Rc::new(Cell::new(false));
-        let (console, heard) = (console.clone(), called.clone());
+        let call_received = Rc::new(Cell::new(false));
+        let (console, received) = (console.clone(), call_received.clone());
         let task = spawn_local(async move {
-            if let Err(error) = call(stream, &console, &heard).await {
+            if let Err(error) = handle_connection(stream, &console, &received).await {
                 tracing::debug!("console: {error}");
             }
         });
-        callers.push_back(Caller { called, task: task.abort_handle() });
+        connections.push_back(Connection { call_received, task: task.abort_handle() });
     }
 }
 
 /// One call and its answer.
-async fn call(mut stream: TcpStream, console: &Console, called: &Cell<bool>) -> std::io::Result<()> {
-    let heard =
-        timeout(CALL, read(&mut stream)).await.unwrap_or(Ok(Heard::Wrong("the call did not end in time")))?;
-    called.set(true);
-    let answer = match heard {
-        Heard::Call(call) => console.answer(call),
-        Heard::Partial => return Ok(()),
-        Heard::Wrong(why) => {
-            let line = format!("console: {why}");
-            log_limited!(console.wrong, info, line);
-            format!("NO {why}\n")
+async fn handle_connection(
+    mut stream: TcpStream,
+    console: &Console,
+    call_received: &Cell<bool>,
+) -> std::io::Result<()> {
+    let parsed = timeout(CALL_TIMEOUT, read_call(&mut stream))
+        .await
+        .unwrap_or(Ok(ParsedCall::Invalid("the call did not end in time")))?;
+    call_received.set(true);
+    let reply = match parsed {
+        ParsedCall::Complete(call) => console.reply(call),
+        ParsedCall::Incomplete => return Ok(()),
+        ParsedCall::Invalid(reason) => {
+            let line = format!("console: {reason}");
+            log_limited!(console.invalid_calls, info, line);
+            format!("NO {reason}\n")
         }
     };
-    let _ = timeout(ANSWER, async {
-        stream.write_all(answer.as_bytes()).await?;
+    let _ = timeout(REPLY_TIMEOUT, async {
+        stream.write_all(reply.as_bytes()).await?;
         stream.shutdown().await
     })
     .await;
     // What was sent behind the call and not read would have the system take the answer back.
-    let _ = timeout(BEHIND, async {
+    let _ = timeout(DISCARD_TIMEOUT, async {
         while stream.read(&mut [0; 512]).await? > 0 {}
         std::io::Result::Ok(())
     })
@@ -136,25 +142,25 @@
     Ok(())
 }
 
-/// Reads until a call is whole or wrong; partial where the caller left before that.
-async fn read(stream: &mut TcpStream) -> std::io::Result<Heard> {
-    let (mut bytes, mut len) = ([0; line::MOST], 0);
+/// Reads until a call is whole or invalid; incomplete where the caller left before that.
+async fn read_call(stream: &mut TcpStream) -> std::io::Result<ParsedCall> {
+    let (mut bytes, mut len) = ([0; line::MAX_CALL_BYTES], 0);
     loop {
-        let come = stream.read(&mut bytes[len..]).await?;
-        len += come;
-        let heard = hear(&bytes[..len]);
-        if come == 0 && heard == Heard::Partial && len > 0 {
-            return Ok(Heard::Wrong("the call has no line end"));
+        let received = stream.read(&mut bytes[len..]).await?;
+        len += received;
+        let parsed = parse(&bytes[..len]);
+        if received == 0 && parsed == ParsedCall::Incomplete && len > 0 {
+            return Ok(ParsedCall::Invalid("the call has no line end"));
         }
-        if come == 0 || heard != Heard::Partial {
-            return Ok(heard);
+        if received == 0 || parsed != ParsedCall::Incomplete {
+            return Ok(parsed);
         }
     }
 }
 
 impl Console {
-    fn answer(&self, call: Call) -> String {
-        let order = |event: Event| {
+    fn reply(&self, call: Call) -> String {
+        let apply = |event: Event| {
             tracing::info!("console: told {}", if event == Event::Active { "active" } else { "standby" });
             self.lifecycle.apply(event)
         };
@@ -165,20 +171,20 @@
             }
             Call::Stats => self.metrics.render() + "END\n",
             Call::Duties => self.duty_control.status() + "\nEND\n",
-            Call::Hand(duty, to) => {
+            Call::HandOver { duty, successor } => {
                 tracing::info!(
                     "console: told to hand {duty} to {}",
-                    to.as_deref().unwrap_or("whoever comes")
+                    successor.as_deref().unwrap_or("whoever comes")
                 );
-                let taken = self.duty_control.submit(DutyCommand::HandOver { duty, to });
-                if taken { "YES\n".to_owned() } else { "NO there is no fleet\n".to_owned() }
+                let accepted = self.duty_control.submit(DutyCommand::HandOver { duty, to: successor });
+                if accepted { "YES\n".to_owned() } else { "NO there is no fleet\n".to_owned() }
             }
             Call::Standby => {
-                let stage = order(Event::Standby);
+                let stage = apply(Event::Standby);
                 format!("YES {stage}\n")
             }
             Call::Active => {
-                let stage = order(Event::Active);
+                let stage = apply(Event::Active);
                 format!("{} {stage}\n", if stage.is_shutting_down() { "NO" } else { "YES" })
             }
         }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -17,25 +17,25 @@
 /// # Errors
 ///
 /// The descriptor is not open, or is no listening TCP socket.
-pub fn take_listener(number: RawFd) -> Result<TcpListener> {
-    let link = std::fs::read_link(format!("/proc/self/fd/{number}")).ok().with_context(|| {
-        format!("{number} is no open descriptor; right would be that of a listening TCP socket")
+pub fn take_listener(fd: RawFd) -> Result<TcpListener> {
+    let target = std::fs::read_link(format!("/proc/self/fd/{fd}")).ok().with_context(|| {
+        format!("{fd} is no open descriptor; right would be that of a listening TCP socket")
     })?;
-    if !link.to_string_lossy().starts_with("socket:") {
-        bail!("{number} is {}; right would be a listening TCP socket", link.display());
+    if !target.to_string_lossy().starts_with("socket:") {
+        bail!("{fd} is {}; right would be a listening TCP socket", target.display());
     }
-    if number <= 2 {
-        bail!("{number} is a standard stream; right would be a listening TCP socket");
+    if fd <= 2 {
+        bail!("{fd} is a standard stream; right would be a listening TCP socket");
     }
     // SAFETY: it is open, as was just seen, it is no standard stream, and nothing else in this process owns it: the
     // caller takes it once, before other descriptors are opened.
     #[allow(unsafe_code)]
-    let owned = unsafe { OwnedFd::from_raw_fd(number) };
+    let owned = unsafe { OwnedFd::from_raw_fd(fd) };
     let socket = Socket::from(owned);
-    let listens = socket.is_listener().context("its kind can't be read")?;
-    let at = socket.local_addr().context("its address can't be read")?.as_socket();
-    if !listens || at.is_none() || socket.r#type().is_ok_and(|t| t != socket2::Type::STREAM) {
-        bail!("{number} is no listening TCP socket");
+    let is_listener = socket.is_listener().context("its kind can't be read")?;
+    let address = socket.local_addr().context("its address can't be read")?.as_socket();
+    if !is_listener || address.is_none() || socket.r#type().is_ok_and(|kind| kind != socket2::Type::STREAM) {
+        bail!("{fd} is no listening TCP socket");
     }
     socket.set_cloexec(true).context("close-on-exec")?;
     socket.set_nonblocking(true).context("non-blocking")?;
@@ -48,9 +48,9 @@
 ///
 /// It listens elsewhere.
 pub fn check_address(listener: &TcpListener, listen: SocketAddr) -> Result<()> {
-    let at = listener.local_addr()?;
-    if at.port() != listen.port() || !(at.ip() == listen.ip() || at.ip().is_unspecified()) {
-        bail!("it listens at {at}; right would be {listen}");
+    let address = listener.local_addr()?;
+    if address.port() != listen.port() || !(address.ip() == listen.ip() || address.ip().is_unspecified()) {
+        bail!("it listens at {address}; right would be {listen}");
     }
     Ok(())
 }
--- a/crates/handover/src/presence.rs
+++ b/crates/handover/src/presence.rs
@@ -6,16 +6,16 @@
 use std::path::{Path, PathBuf};
 
 /// Processes of one sidecar at a time; two in the ordinary course of an upgrade.
-const SLOTS: usize = 4;
+const MAX_PROCESSES: usize = 4;
 
 /// This process's presence, for as long as it lives.
 #[derive(Debug)]
 pub struct Presence {
-    _own: File,
-    others: Vec<PathBuf>,
+    _lock: File,
+    other_paths: Vec<PathBuf>,
 }
 
-fn open(path: &Path) -> std::io::Result<File> {
+fn open_lock_file(path: &Path) -> std::io::Result<File> {
     OpenOptions::new().write(true).create(true).truncate(false).open(path)
 }
 
@@ -27,17 +27,17 @@
     /// The folder can't be written, or all places are taken.
     pub fn acquire(folder: &Path, name: &str) -> Result<Presence> {
         // A name may hold what no file's name may.
-        let name: String = name.bytes().map(|byte| format!("{byte:02x}")).take(64).collect();
+        let encoded: String = name.bytes().map(|byte| format!("{byte:02x}")).take(64).collect();
         let paths: Vec<PathBuf> =
-            (0..SLOTS).map(|slot| folder.join(format!("dunlincleat-1-{name}-{slot}"))).collect();
+            (0..MAX_PROCESSES).map(|slot| folder.join(format!("dunlincleat-1-{encoded}-{slot}"))).collect();
         for (slot, path) in paths.iter().enumerate() {
-            let own = open(path).with_context(|| format!("'{}'", path.display()))?;
-            match own.try_lock() {
+            let lock = open_lock_file(path).with_context(|| format!("'{}'", path.display()))?;
+            match lock.try_lock() {
                 Ok(()) => {
-                    let others = paths.iter().enumerate().filter(|(n, _)| *n != slot);
+                    let others = paths.iter().enumerate().filter(|(other, _)| *other != slot);
                     return Ok(Presence {
-                        _own: own,
-                        others: others.map(|(_, path)| path.clone()).collect(),
+                        _lock: lock,
+                        other_paths: others.map(|(_, path)| path.clone()).collect(),
                     });
                 }
                 Err(TryLockError::WouldBlock) => {}
@@ -46,17 +46,17 @@
                 }
             }
         }
-        bail!("{SLOTS} processes of this sidecar run already");
+        bail!("{MAX_PROCESSES} processes of this sidecar run already");
     }
 
     /// Whether another process holds a place. What can't be read counts as nobody.
     #[must_use]
     pub fn has_peer(&self) -> bool {
-        let held = |path: &PathBuf| {
+        let is_locked = |path: &PathBuf| {
             let file = File::open(path).ok()?;
             Some(matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)))
         };
-        self.others.iter().any(|path| held(path).unwrap_or(false))
+        self.other_paths.iter().any(|path| is_locked(path).unwrap_or(false))
     }
 }
 
--- a/crates/status/src/duty_control.rs
+++ b/crates/status/src/duty_control.rs
@@ -17,14 +17,14 @@
     Shutdown,
 }
 
-type Send = Box<dyn Fn(DutyCommand) + std::marker::Send>;
+type CommandSender = Box<dyn Fn(DutyCommand) + Send>;
 
 /// The desk.
 #[derive(Default)]
 pub struct DutyControl {
     status: Mutex<String>,
     has_reader: AtomicBool,
-    send: Mutex<Option<Send>>,
+    sender: Mutex<Option<CommandSender>>,
 }
 
 impl std::fmt::Debug for DutyControl {
@@ -46,8 +46,8 @@
     }
 
     /// Where orders go.
-    pub fn set_receiver(&self, send: impl Fn(DutyCommand) + std::marker::Send + 'static) {
-        *self.send.lock().unwrap_or_else(PoisonError::into_inner) = Some(Box::new(send));
+    pub fn set_receiver(&self, send: impl Fn(DutyCommand) + Send + 'static) {
+        *self.sender.lock().unwrap_or_else(PoisonError::into_inner) = Some(Box::new(send));
     }
 
     /// Shows this, one line a duty.
@@ -63,7 +63,7 @@
 
     /// Gives an order; false where nobody takes any.
     pub fn submit(&self, command: DutyCommand) -> bool {
-        let send = self.send.lock().unwrap_or_else(PoisonError::into_inner);
-        send.as_ref().map(|send| send(command)).is_some()
+        let sender = self.sender.lock().unwrap_or_else(PoisonError::into_inner);
+        sender.as_ref().map(|send| send(command)).is_some()
     }
 }
--- a/crates/status/src/lifecycle.rs
+++ b/crates/status/src/lifecycle.rs
@@ -99,7 +99,7 @@
 #[derive(Debug)]
 pub struct StageMachine {
     stage: Stage,
-    since: Instant,
+    entered_at: Instant,
     timing: StageTiming,
     /// The order to stand by came before it was ready.
     standby_requested: bool,
@@ -109,16 +109,16 @@
     /// One that starts now.
     #[must_use]
     pub fn new(now: Instant, timing: StageTiming) -> StageMachine {
-        StageMachine { stage: Stage::Starting, since: now, timing, standby_requested: false }
+        StageMachine { stage: Stage::Starting, entered_at: now, timing, standby_requested: false }
     }
 
     /// When [`Event::Tick`] moves it next, if ever.
     #[must_use]
     pub fn next_transition(&self) -> Option<Instant> {
         match self.stage {
-            Stage::Standby => Some(self.since + self.timing.standby_notice),
-            Stage::ShuttingDown => Some(self.since + self.timing.close_idle_after()),
-            Stage::ShutdownClosingIdle => Some(self.since + self.timing.accept_after_shutdown),
+            Stage::Standby => Some(self.entered_at + self.timing.standby_notice),
+            Stage::ShuttingDown => Some(self.entered_at + self.timing.close_idle_after()),
+            Stage::ShutdownClosingIdle => Some(self.entered_at + self.timing.accept_after_shutdown),
             Stage::Starting
             | Stage::Active
             | Stage::StandbyClosingIdle
@@ -142,7 +142,7 @@
             (Event::Abort, stage) if stage.is_shutting_down() => Stage::Aborting,
             (Event::Tick, Stage::Standby) if self.next_transition() <= Some(now) => Stage::StandbyClosingIdle,
             (Event::Tick, Stage::ShuttingDown | Stage::ShutdownClosingIdle)
-                if self.since + self.timing.accept_after_shutdown <= now =>
+                if self.entered_at + self.timing.accept_after_shutdown <= now =>
             {
                 Stage::ListenerClosed
             }
@@ -153,7 +153,7 @@
         };
         // The time to accept counts from the order to end.
         if next != self.stage && next != Stage::ShutdownClosingIdle {
-            self.since = now;
+            self.entered_at = now;
         }
         self.stage = next;
         next
@@ -184,7 +184,7 @@
     pub fn apply(&self, event: Event) -> Stage {
         let mut machine = self.machine();
         let stage = machine.apply(Instant::now(), event);
-        self.stage.send_if_modified(|told| std::mem::replace(told, stage) != stage);
+        self.stage.send_if_modified(|current| std::mem::replace(current, stage) != stage);
         stage
     }
 
@@ -204,9 +204,9 @@
     pub async fn run(&self) {
         let mut stage = self.subscribe();
         loop {
-            let due = self.machine().next_transition();
+            let next_transition = self.machine().next_transition();
             tokio::select! {
-                () = sleep_until(due.unwrap_or_else(Instant::now).into()), if due.is_some() => {
+                () = sleep_until(next_transition.unwrap_or_else(Instant::now).into()), if next_transition.is_some() => {
                     self.apply(Event::Tick);
                 }
                 changed = stage.changed() => if changed.is_err() {
--- a/crates/status/src/lifecycle/tests.rs
+++ b/crates/status/src/lifecycle/tests.rs
@@ -11,12 +11,12 @@
 proptest! {
     /// Guards against a drain that an order in the wrong moment undoes or leaves half done.
     #[test]
-    fn whatever_the_order_of_events_the_stage_follows_the_last_order(
+    fn stage_follows_the_latest_command_in_any_order_of_events(
         steps in prop::collection::vec((0_u8..6, 0_u64..900), 0..40)
     ) {
         let mut now = Instant::now();
         let mut machine = StageMachine::new(now, TIMING);
-        let (mut ready, mut away, mut ended): (bool, Option<Instant>, Option<Instant>) = (false, None, None);
+        let (mut ready, mut standby_since, mut shutdown_since): (bool, Option<Instant>, Option<Instant>) = (false, None, None);
         for (kind, gap) in steps {
             now += Duration::from_millis(gap);
             let events =
@@ -27,16 +27,16 @@
             let stage = machine.apply(now, event);
             match event {
                 Event::Ready => ready = true,
-                Event::Standby if ended.is_none() => away = away.or(Some(now)),
-                Event::Active if ended.is_none() => away = None,
-                Event::Shutdown => ended = ended.or(Some(now)),
+                Event::Standby if shutdown_since.is_none() => standby_since = standby_since.or(Some(now)),
+                Event::Active if shutdown_since.is_none() => standby_since = None,
+                Event::Shutdown => shutdown_since = shutdown_since.or(Some(now)),
                 Event::Standby | Event::Active | Event::Abort | Event::Tick => {}
             }
-            if ended.is_some() {
+            if shutdown_since.is_some() {
                 prop_assert!(stage.is_shutting_down() && stage.closes_after_response());
             } else {
-                prop_assert_eq!(stage.is_ready(), ready && away.is_none());
-                prop_assert_eq!(stage.closes_after_response(), ready && away.is_some());
+                prop_assert_eq!(stage.is_ready(), ready && standby_since.is_none());
+                prop_assert_eq!(stage.closes_after_response(), ready && standby_since.is_some());
             }
             prop_assert_eq!(machine.apply(now, event), stage, "an order twice is one");
         }
--- a/crates/status/src/log_limiter.rs
+++ b/crates/status/src/log_limiter.rs
@@ -7,20 +7,20 @@
 /// the log goes to, and the process would stand still until somebody reads it.
 #[derive(Default)]
 pub struct LogLimiter {
-    last: Cell<Option<Instant>>,
-    times: Cell<u64>,
+    last_written: Cell<Option<Instant>>,
+    occurrences: Cell<u64>,
 }
 
 impl LogLimiter {
-    const PAUSE: Duration = Duration::from_secs(1);
+    const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
     /// How often the line was due since it was last written, where it is to be written now; else it is counted.
     pub fn admit(&self) -> Option<u64> {
-        self.times.set(self.times.get() + 1);
-        let due = self.last.get().is_none_or(|last| last.elapsed() >= LogLimiter::PAUSE);
+        self.occurrences.set(self.occurrences.get() + 1);
+        let due = self.last_written.get().is_none_or(|last| last.elapsed() >= LogLimiter::MIN_INTERVAL);
         due.then(|| {
-            self.last.set(Some(Instant::now()));
-            self.times.replace(0)
+            self.last_written.set(Some(Instant::now()));
+            self.occurrences.replace(0)
         })
     }
 }
--- a/crates/status/src/metrics.rs
+++ b/crates/status/src/metrics.rs
@@ -101,15 +101,20 @@
         let mut line = |name: &str, class: Option<&str>, value: String| {
             // A write to a string does not fail.
             let _ = match class {
-                Some(class) => writeln!(text, "svc_{name}{{category=\"{}\"}} {value}", escaped(class)),
+                Some(class) => writeln!(text, "svc_{name}{{category=\"{}\"}} {value}", escape_label(class)),
                 None => writeln!(text, "svc_{name} {value}"),
             };
         };
-        type Pick = fn(&ClassOutcomes) -> &Counter;
-        let ends: [(&str, Pick); 3] =
-            [("passed", |e| &e.served), ("dropped", |e| &e.refused), ("bad_gateway", |e| &e.failed)];
-        for (name, pick) in ends {
-            classes.iter().for_each(|(class, ends)| line(name, Some(class), pick(ends).get().to_string()));
+        type SelectCounter = fn(&ClassOutcomes) -> &Counter;
+        let outcomes: [(&str, SelectCounter); 3] = [
+            ("passed", |outcomes| &outcomes.served),
+            ("dropped", |outcomes| &outcomes.refused),
+            ("bad_gateway", |outcomes| &outcomes.failed),
+        ];
+        for (name, select) in outcomes {
+            classes
+                .iter()
+                .for_each(|(class, outcomes)| line(name, Some(class), select(outcomes).get().to_string()));
         }
         line("upstream_tries", None, self.attempts.get().to_string());
         line("in_progress", None, self.in_progress.load(Ordering::Relaxed).max(0).to_string());
@@ -122,7 +127,7 @@
 }
 
 /// A label's value: what would end it is escaped.
-fn escaped(value: &str) -> String {
+fn escape_label(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
--- a/crates/status/src/metrics/tests.rs
+++ b/crates/status/src/metrics/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 #[test]
-fn each_figure_stands_on_a_line_of_its_own() {
+fn each_metric_is_rendered_on_its_own_line_with_escaped_labels() {
     let metrics = Arc::new(Metrics::default());
     metrics.class("b").served.increment();
     metrics.class("a\"\n").refused.increment();
     metrics.class("b").served.increment();
-    let one = metrics.request_started();
+    let request = metrics.request_started();
     drop(metrics.request_started());
     metrics.known_servers.set(14);
     let text = metrics.render();
@@ -22,8 +22,8 @@
         "svc_known_endpoints 14",
         "svc_loads 0",
     ] {
-        assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
+        assert!(text.lines().any(|rendered| rendered == line), "{line} is not in\n{text}");
     }
-    drop(one);
+    drop(request);
     assert!(metrics.render().contains("svc_in_progress 0\n"));
 }
