--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -15,10 +15,14 @@
 use rustc_hash::FxHashMap;
 use std::io::{BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
-use wire::{Parts, shortened};
+use wire::{Fields, truncated};
 
 /// The wire numbers its lists from 0 to 15.
-const LISTS: usize = 16;
+const LIST_COUNT: usize = 16;
+
+/// Bits of `attrs`.
+const HINT_VALID: u64 = 1;
+const REPEATED: u64 = 2;
 
 /// An entry of a list, before any instance has numbered its endpoint.
 struct Entry {
@@ -29,26 +33,62 @@
 /// One instance: its decisions and its own numbering of endpoints, which the wire may name for ever.
 struct Instance {
     balancer: Balancer,
-    places: ServerTable,
-    classes: u32,
+    servers: ServerTable,
+    class_count: u32,
 }
 
 impl Instance {
-    fn known(&self, endpoint: &str) -> Result<ServerId> {
-        let id = self.places.id_of(endpoint);
-        id.with_context(|| format!("endpoint '{}' is on no list of this instance", shortened(endpoint)))
+    fn server_id(&self, endpoint: &str) -> Result<ServerId> {
+        let id = self.servers.id_of(endpoint);
+        id.with_context(|| format!("endpoint '{}' is on no list of this instance", truncated(endpoint)))
+    }
+}
+
+/// A list of which entries are still to come.
+#[derive(Clone, Copy)]
+struct IncompleteList {
+    list: usize,
+    remaining: usize,
+}
+
+/// The messages that are an event of one instance.
+#[derive(Clone, Copy)]
+enum EventMessage {
+    Members,
+    Request,
+    ClientLeft,
+    AttemptFinished,
+    Timer,
+    ProbeFinished,
+    Peer,
+    ResponseStarted,
+}
+
+impl EventMessage {
+    fn from_name(name: &str) -> Option<EventMessage> {
+        Some(match name {
+            "REGISTRY" => EventMessage::Members,
+            "INBOUND" => EventMessage::Request,
+            "WITHDRAWN" => EventMessage::ClientLeft,
+            "RESPONSE" => EventMessage::AttemptFinished,
+            "TICK_DUE" => EventMessage::Timer,
+            "PROBE_DONE" => EventMessage::ProbeFinished,
+            "DATAGRAM" => EventMessage::Peer,
+            "ACK_FIRST" => EventMessage::ResponseStarted,
+            _ => return None,
+        })
     }
 }
 
 /// The instances of this process and the reply in the making.
 #[derive(Default)]
 pub struct Host {
-    lists: [Vec<Entry>; LISTS],
+    lists: [Vec<Entry>; LIST_COUNT],
     instances: FxHashMap<u64, Instance>,
     now: Time,
     batch: Option<u64>,
-    /// The list whose entries are being read, and how many are still to come.
-    filling: Option<(usize, usize)>,
+    /// The list whose entries are being read.
+    incomplete_list: Option<IncompleteList>,
     reply: Vec<u8>,
     actions: Vec<Action>,
     members: Vec<Member>,
@@ -59,17 +99,20 @@
     /// Answers batches until the input ends.
     pub fn run(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<()> {
         let mut line = Vec::new();
-        let mut number = 0_u64;
+        let mut line_number = 0_u64;
         loop {
             line.clear();
             if input.read_until(b'\n', &mut line)? == 0 {
                 break;
             }
-            number += 1;
-            let bare = line.strip_suffix(b"\n").unwrap_or(&line);
-            let text = std::str::from_utf8(bare).with_context(|| format!("line {number} is not UTF-8"))?;
-            let done = self.line(text).with_context(|| format!("line {number}: '{}'", shortened(text)))?;
-            if done {
+            line_number += 1;
+            let text = line.strip_suffix(b"\n").unwrap_or(&line);
+            let text =
+                std::str::from_utf8(text).with_context(|| format!("line {line_number} is not UTF-8"))?;
+            let batch_ended = self
+                .process_line(text)
+                .with_context(|| format!("line {line_number}: '{}'", truncated(text)))?;
+            if batch_ended {
                 output.write_all(&self.reply)?;
                 output.flush()?;
                 self.reply.clear();
@@ -82,218 +125,258 @@
     }
 
     /// Takes one line; true where it ended a batch and the reply is ready.
-    fn line(&mut self, line: &str) -> Result<bool> {
-        let mut parts = Parts::new(line);
-        let word = parts.text("the message name")?;
-        if let Some((list, left)) = self.filling {
-            if word != "ENTRY" {
-                bail!("{left} entries are missing before '{word}'");
-            }
-            let entry = read_entry(&mut parts)?;
-            self.lists[list].push(entry);
-            self.filling = (left > 1).then_some((list, left - 1));
+    fn process_line(&mut self, line: &str) -> Result<bool> {
+        let mut fields = Fields::new(line);
+        let message = fields.text("the message name")?;
+        if let Some(incomplete) = self.incomplete_list {
+            self.process_entry(incomplete, message, &mut fields)?;
             return Ok(false);
         }
         let Some(batch) = self.batch else {
-            if word != "FRAME" {
-                bail!("'{}' outside a batch", shortened(word));
-            }
-            let now = Time(parts.value("the clock")?);
-            if now < self.now {
-                bail!("the clock went back");
-            }
-            self.now = now;
-            self.batch = Some(parts.value("the number of the batch")?);
+            self.start_batch(message, &mut fields)?;
             return Ok(false);
         };
-        match word {
+        match message {
             "END" => {
                 writeln!(self.reply, "YIELD {batch}")?;
                 self.batch = None;
                 return Ok(true);
             }
-            "DIRECTORY" => {
-                let list: usize = parts.value("the list")?;
-                let count: usize = parts.value("the number of entries")?;
-                let Some(entries) = self.lists.get_mut(list) else { bail!("no list has the number {list}") };
-                entries.clear();
-                self.filling = (count > 0).then_some((list, count));
-            }
-            "ENLIST" => {
-                let i = parts.value("the instance")?;
-                let seed = parts.value("entropy")?;
-                let settings = dunlincleat_settings::read(parts.remainder("env")?)?.settings;
-                let classes = settings.classes.len() as u32;
-                let balancer = Balancer::new(settings, seed);
-                let instance = Instance { balancer, places: ServerTable::default(), classes };
-                self.instances.insert(i, instance);
-            }
+            "DIRECTORY" => self.start_list(&mut fields)?,
+            "ENLIST" => self.start_instance(&mut fields)?,
             "SHUTDOWN" => {
-                let i: u64 = parts.value("the instance")?;
-                self.instances.remove(&i).with_context(|| format!("instance {i} was never started"))?;
+                let instance_id: u64 = fields.value("the instance")?;
+                self.instances
+                    .remove(&instance_id)
+                    .with_context(|| format!("instance {instance_id} was never started"))?;
             }
-            _ => self.instance_event(word, &mut parts)?,
+            _ => self.process_event(message, &mut fields)?,
         }
         Ok(false)
     }
 
-    fn instance_event(&mut self, word: &str, parts: &mut Parts<'_>) -> Result<()> {
-        if !matches!(
-            word,
-            "REGISTRY"
-                | "INBOUND"
-                | "WITHDRAWN"
-                | "RESPONSE"
-                | "TICK_DUE"
-                | "PROBE_DONE"
-                | "DATAGRAM"
-                | "ACK_FIRST"
-        ) {
-            bail!("unknown message '{}'", shortened(word));
+    fn process_entry(
+        &mut self,
+        incomplete: IncompleteList,
+        message: &str,
+        fields: &mut Fields<'_>,
+    ) -> Result<()> {
+        let IncompleteList { list, remaining } = incomplete;
+        if message != "ENTRY" {
+            bail!("{remaining} entries are missing before '{message}'");
+        }
+        let entry = read_entry(fields)?;
+        self.lists[list].push(entry);
+        self.incomplete_list = (remaining > 1).then_some(IncompleteList { list, remaining: remaining - 1 });
+        Ok(())
+    }
+
+    fn start_batch(&mut self, message: &str, fields: &mut Fields<'_>) -> Result<()> {
+        if message != "FRAME" {
+            bail!("'{}' outside a batch", truncated(message));
+        }
+        let now = Time(fields.value("the clock")?);
+        if now < self.now {
+            bail!("the clock went back");
         }
-        let i: u64 = parts.value("the instance")?;
-        let Some(instance) = self.instances.get_mut(&i) else { bail!("instance {i} was never started") };
+        self.now = now;
+        self.batch = Some(fields.value("the number of the batch")?);
+        Ok(())
+    }
+
+    fn start_list(&mut self, fields: &mut Fields<'_>) -> Result<()> {
+        let list: usize = fields.value("the list")?;
+        let count: usize = fields.value("the number of entries")?;
+        let Some(entries) = self.lists.get_mut(list) else { bail!("no list has the number {list}") };
+        entries.clear();
+        self.incomplete_list = (count > 0).then_some(IncompleteList { list, remaining: count });
+        Ok(())
+    }
+
+    fn start_instance(&mut self, fields: &mut Fields<'_>) -> Result<()> {
+        let instance_id = fields.value("the instance")?;
+        let seed = fields.value("entropy")?;
+        let settings = dunlincleat_settings::read(fields.remainder("env")?)?.settings;
+        let class_count = settings.classes.len() as u32;
+        let balancer = Balancer::new(settings, seed);
+        let instance = Instance { balancer, servers: ServerTable::default(), class_count };
+        self.instances.insert(instance_id, instance);
+        Ok(())
+    }
+
+    fn process_event(&mut self, message: &str, fields: &mut Fields<'_>) -> Result<()> {
+        let Some(kind) = EventMessage::from_name(message) else {
+            bail!("unknown message '{}'", truncated(message));
+        };
+        let instance_id: u64 = fields.value("the instance")?;
+        let Some(instance) = self.instances.get_mut(&instance_id) else {
+            bail!("instance {instance_id} was never started");
+        };
         let data;
-        let event = match word {
-            "REGISTRY" => {
-                let list: Option<usize> = parts.maybe("the list")?;
-                parts.maybe::<u64>("epoch")?;
-                let kind = match parts.text("scope")? {
-                    "D" => ListKind::Changes,
-                    "F" => ListKind::Full,
-                    "C" => ListKind::Cached,
-                    "X" => ListKind::Failed,
-                    other => bail!("unknown scope '{}'", shortened(other)),
-                };
-                self.members.clear();
-                if kind != ListKind::Failed {
-                    let entries = list.and_then(|l| self.lists.get(l)).context("no such list")?;
-                    for entry in entries {
-                        let server = instance.places.id_or_assign(&entry.endpoint);
-                        self.members.push(Member { server, ..entry.member });
-                    }
-                }
-                Event::Members { kind, entries: &self.members }
-            }
-            "INBOUND" => {
-                let id = RequestId(parts.value("xid")?);
-                let left = parts.span("patience_left")?;
-                let key = parts.maybe::<String>("object")?.map(|key| dunlincleat_settings::global_id(&key));
-                let hint = parts.maybe::<u64>("work")?.map(Span);
-                let class: u32 = parts.value("lane")?;
-                let bits = parts.maybe::<u64>("attrs")?.unwrap_or(0);
-                let tenant = parts.maybe("client_group")?.unwrap_or(0);
-                if class >= instance.classes {
-                    bail!("lane {class} is in no settings");
-                }
-                let hint = hint.filter(|_| bits & 1 != 0);
-                Event::Request { id, left, class, tenant, hint, key, repeat: bits & 2 != 0 }
-            }
-            "WITHDRAWN" => Event::ClientLeft { id: RequestId(parts.value("xid")?) },
-            "RESPONSE" => {
-                let id = RequestId(parts.value("xid")?);
-                let status = parts.status("verdict")?;
-                let closed = parts.flag("settled")?;
-                let attempt = Attempt(parts.value("shot")?);
-                let latency = parts.span("latency")?;
-                let server = instance.known(parts.text("endpoint")?)?;
-                parts.load("pressure", &mut self.load)?;
-                let again = true;
-                Event::AttemptFinished {
-                    id,
-                    attempt,
-                    status,
-                    request_closed: closed,
-                    retry_allowed: again,
-                    latency,
-                    server,
-                    load: &self.load,
-                }
-            }
-            "PROBE_DONE" => {
-                let latency = parts.span("latency")?;
-                let status = parts.status("verdict")?;
-                let server = instance.known(parts.text("endpoint")?)?;
-                parts.load("pressure", &mut self.load)?;
-                Event::ProbeFinished { server, status, latency, load: &self.load }
-            }
-            "TICK_DUE" => Event::Timer { token: Token(parts.value("handle")?) },
-            "DATAGRAM" => {
-                let from = parts.value("from")?;
-                let body = parts.maybe::<String>("body")?.unwrap_or_default();
+        let event = match kind {
+            EventMessage::Members => read_members(fields, instance, &self.lists, &mut self.members)?,
+            EventMessage::Request => read_request(fields, instance.class_count)?,
+            EventMessage::ClientLeft => Event::ClientLeft { id: RequestId(fields.value("xid")?) },
+            EventMessage::AttemptFinished => read_attempt_finished(fields, instance, &mut self.load)?,
+            EventMessage::Timer => Event::Timer { token: Token(fields.value("handle")?) },
+            EventMessage::ProbeFinished => read_probe_finished(fields, instance, &mut self.load)?,
+            EventMessage::Peer => {
+                let from = fields.value("from")?;
+                let body = fields.optional::<String>("body")?.unwrap_or_default();
                 data = STANDARD.decode(body).context("body is not base64")?;
                 Event::Peer { from, data: &data }
             }
-            _ => {
-                let id = RequestId(parts.value("xid")?);
-                instance.known(parts.text("endpoint")?)?;
-                parts.span("latency")?;
-                Event::ResponseStarted { id, attempt: Attempt(parts.value("shot")?) }
+            EventMessage::ResponseStarted => {
+                let id = RequestId(fields.value("xid")?);
+                instance.server_id(fields.text("endpoint")?)?;
+                fields.duration("latency")?;
+                Event::ResponseStarted { id, attempt: Attempt(fields.value("shot")?) }
             }
         };
         self.actions.clear();
-        let (now, actions) = (self.now, &mut self.actions);
+        let now = self.now;
+        let actions = &mut self.actions;
         let outcome = catch_unwind(AssertUnwindSafe(|| instance.balancer.on_event(now, event, actions)));
         if let Err(panic) = outcome {
-            let words = panic.downcast_ref::<String>().map(String::as_str);
-            let words = words.or(panic.downcast_ref::<&str>().copied()).unwrap_or("the module panicked");
-            writeln!(self.reply, "INTERNAL_ERROR {i} {}", words.replace('\n', " "))?;
+            let text = panic.downcast_ref::<String>().map(String::as_str);
+            let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("the module panicked");
+            writeln!(self.reply, "INTERNAL_ERROR {instance_id} {}", text.replace('\n', " "))?;
             return Ok(());
         }
         for action in &self.actions {
-            write_action(&mut self.reply, i, instance, action)?;
+            write_action(&mut self.reply, instance_id, instance, action)?;
         }
         Ok(())
     }
 }
 
-fn read_entry(parts: &mut Parts<'_>) -> Result<Entry> {
-    let born = parts.time("born")?;
-    let endpoint: Box<str> = parts.text("endpoint")?.into();
+fn read_members<'a>(
+    fields: &mut Fields<'_>,
+    instance: &mut Instance,
+    lists: &[Vec<Entry>; LIST_COUNT],
+    members: &'a mut Vec<Member>,
+) -> Result<Event<'a>> {
+    let list: Option<usize> = fields.optional("the list")?;
+    fields.optional::<u64>("epoch")?;
+    let kind = match fields.text("scope")? {
+        "D" => ListKind::Changes,
+        "F" => ListKind::Full,
+        "C" => ListKind::Cached,
+        "X" => ListKind::Failed,
+        other => bail!("unknown scope '{}'", truncated(other)),
+    };
+    members.clear();
+    if kind != ListKind::Failed {
+        let entries = list.and_then(|list| lists.get(list)).context("no such list")?;
+        for entry in entries {
+            let server = instance.servers.id_or_assign(&entry.endpoint);
+            members.push(Member { server, ..entry.member });
+        }
+    }
+    Ok(Event::Members { kind, entries: members })
+}
+
+fn read_request(fields: &mut Fields<'_>, class_count: u32) -> Result<Event<'static>> {
+    let id = RequestId(fields.value("xid")?);
+    let left = fields.duration("patience_left")?;
+    let key = fields.optional::<String>("object")?.map(|key| dunlincleat_settings::global_id(&key));
+    let hint = fields.optional::<u64>("work")?.map(Span);
+    let class: u32 = fields.value("lane")?;
+    let attributes = fields.optional::<u64>("attrs")?.unwrap_or(0);
+    let tenant = fields.optional("client_group")?.unwrap_or(0);
+    if class >= class_count {
+        bail!("lane {class} is in no settings");
+    }
+    let hint = hint.filter(|_| attributes & HINT_VALID != 0);
+    let repeat = attributes & REPEATED != 0;
+    Ok(Event::Request { id, left, class, tenant, hint, key, repeat })
+}
+
+fn read_attempt_finished<'a>(
+    fields: &mut Fields<'_>,
+    instance: &Instance,
+    load: &'a mut Vec<f64>,
+) -> Result<Event<'a>> {
+    let id = RequestId(fields.value("xid")?);
+    let status = fields.status("verdict")?;
+    let request_closed = fields.boolean("settled")?;
+    let attempt = Attempt(fields.value("shot")?);
+    let latency = fields.duration("latency")?;
+    let server = instance.server_id(fields.text("endpoint")?)?;
+    fields.load_report("pressure", load)?;
+    Ok(Event::AttemptFinished {
+        id,
+        attempt,
+        status,
+        request_closed,
+        retry_allowed: true,
+        latency,
+        server,
+        load,
+    })
+}
+
+fn read_probe_finished<'a>(
+    fields: &mut Fields<'_>,
+    instance: &Instance,
+    load: &'a mut Vec<f64>,
+) -> Result<Event<'a>> {
+    let latency = fields.duration("latency")?;
+    let status = fields.status("verdict")?;
+    let server = instance.server_id(fields.text("endpoint")?)?;
+    fields.load_report("pressure", load)?;
+    Ok(Event::ProbeFinished { server, status, latency, load })
+}
+
+fn read_entry(fields: &mut Fields<'_>) -> Result<Entry> {
+    let started_at = fields.time("born")?;
+    let endpoint: Box<str> = fields.text("endpoint")?.into();
     let member = Member {
         server: ServerId(0),
-        started_at: born,
-        weight: parts.maybe("scale")?.unwrap_or(0.0),
-        zone: parts.maybe("zone")?.unwrap_or(0),
+        started_at,
+        weight: fields.optional("scale")?.unwrap_or(0.0),
+        zone: fields.optional("zone")?.unwrap_or(0),
         cell: {
-            parts.maybe::<u32>("sku")?;
-            parts.maybe("stripe")?.unwrap_or(0)
+            fields.optional::<u32>("sku")?;
+            fields.optional("stripe")?.unwrap_or(0)
         },
-        state: match parts.text("mode")? {
+        state: match fields.text("mode")? {
             "SERVING" => State::Ready,
             "DRAINING" => State::Draining,
             "DELETED" => State::Removed,
-            other => bail!("unknown mode '{}'", shortened(other)),
+            other => bail!("unknown mode '{}'", truncated(other)),
         },
         global_id: dunlincleat_settings::global_id(&endpoint),
     };
     Ok(Entry { endpoint, member })
 }
 
-fn write_action(out: &mut Vec<u8>, i: u64, instance: &Instance, action: &Action) -> Result<()> {
-    let name = |server: &ServerId| -> Result<&str> {
-        let place = instance.places.get(*server).context("the module named an unknown server")?;
-        Ok(&place.uid)
+fn write_action(out: &mut Vec<u8>, instance_id: u64, instance: &Instance, action: &Action) -> Result<()> {
+    let endpoint = |server: &ServerId| -> Result<&str> {
+        let known = instance.servers.get(*server).context("the module named an unknown server")?;
+        Ok(&known.uid)
     };
     match action {
         Action::Send { id, server, until } => {
-            let until = until.map_or(0, |t| t.0);
-            writeln!(out, "DISPATCH {i} {} {} {until}", id.0, name(server)?)?;
+            let until = until.map_or(0, |until| until.0);
+            writeln!(out, "DISPATCH {instance_id} {} {} {until}", id.0, endpoint(server)?)?;
         }
         Action::Refuse { id, retry_after } => {
-            writeln!(out, "SHED {i} {} {}", id.0, retry_after.map_or(0, |s| s.0))?;
+            writeln!(out, "SHED {instance_id} {} {}", id.0, retry_after.map_or(0, |delay| delay.0))?;
         }
-        Action::Fail { id } => writeln!(out, "RESPOND_ERROR {i} {}", id.0)?,
-        Action::Cancel { id, attempt } => writeln!(out, "ABANDON {i} {} {}", id.0, attempt.0)?,
-        Action::Probe { server } => writeln!(out, "INSPECT {i} {}", name(server)?)?,
-        Action::Timer { token, delay } => writeln!(out, "DEFER {i} {} {}", token.0, delay.0)?,
-        Action::WatchServers => writeln!(out, "TRACK {i} 1")?,
+        Action::Fail { id } => writeln!(out, "RESPOND_ERROR {instance_id} {}", id.0)?,
+        Action::Cancel { id, attempt } => writeln!(out, "ABANDON {instance_id} {} {}", id.0, attempt.0)?,
+        Action::Probe { server } => writeln!(out, "INSPECT {instance_id} {}", endpoint(server)?)?,
+        Action::Timer { token, delay } => writeln!(out, "DEFER {instance_id} {} {}", token.0, delay.0)?,
+        Action::WatchServers => writeln!(out, "TRACK {instance_id} 1")?,
         Action::SendToPeers { peer, data } => {
             let peer = peer.map_or(-1, i64::from);
-            writeln!(out, "BROADCAST_TO {i} {peer} {}", STANDARD.encode(data))?;
+            writeln!(out, "BROADCAST_TO {instance_id} {peer} {}", STANDARD.encode(data))?;
+        }
+        Action::Log { server: Some(server), text } => {
+            writeln!(out, "SAY_LOG {instance_id} {}: {text}", endpoint(server)?)?
         }
-        Action::Log { server: Some(server), text } => writeln!(out, "SAY_LOG {i} {}: {text}", name(server)?)?,
-        Action::Log { server: None, text } => writeln!(out, "SAY_LOG {i} {text}")?,
+        Action::Log { server: None, text } => writeln!(out, "SAY_LOG {instance_id} {text}")?,
     }
     Ok(())
 }
