--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' console: a listener on a thread of its own, so that nothing that the serving thread does delays an
-//! answer. It reads the figures and the stage, and gives orders by the lifecycle's handle; it knows no HTTP.
+//! The operators' console: a listener on a thread of its own, so that nothing on the serving thread delays a reply. It
+//! reads the metrics and the stage, and sends commands through the handles on lifecycle and duties; it knows no HTTP.
 
 #![forbid(unsafe_code)]
 
@@ -21,26 +21,27 @@
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Connections at a time; at the bound the oldest that has sent no whole call goes.
+/// Maximum number of open connections; at the limit, the oldest without a complete call is closed.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How long a call may take to come: shorter than callers stay that send nothing.
+/// Time limit for receiving a call: shorter than clients that send nothing stay connected.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long an answer may take to be read, and what is sent behind a call to be passed over.
+/// Time limit for writing a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for reading and discarding what a client sends after its call.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Opens the console's listener.
+/// Binds the console's listener.
 ///
 /// # Errors
 ///
-/// The address can't be listened on.
+/// The address can't be bound.
 pub fn bind(at: SocketAddr) -> Result<TcpListener> {
     let listener = TcpListener::bind(at).with_context(|| format!("'{at}' can't be listened on"))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Serves calls on a thread of its own, until the process ends.
+/// Serves calls on a thread of its own until the process exits.
 ///
 /// # Errors
 ///
@@ -53,15 +54,15 @@
 ) -> Result<()> {
     duty_control.attach_reader();
     let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().context("the console")?;
+        tokio::runtime::Builder::new_current_thread().enable_all().build().context("console runtime")?;
     let serve = move || {
         let console =
             Rc::new(Console { lifecycle, metrics, duty_control, invalid_calls: LogLimiter::default() });
         if let Err(error) = LocalSet::new().block_on(&runtime, serve(listener, console)) {
-            tracing::error!("the console ended: {error:#}");
+            tracing::error!("console stopped: {error:#}");
         }
     };
-    std::thread::Builder::new().name("console".to_owned()).spawn(serve).context("the console's thread")?;
+    std::thread::Builder::new().name("console".to_owned()).spawn(serve).context("console thread")?;
     Ok(())
 }
 
@@ -69,11 +70,11 @@
     lifecycle: Arc<Lifecycle>,
     metrics: Arc<Metrics>,
     duty_control: Arc<DutyControl>,
-    /// The line of the log for invalid calls.
+    /// Limits the log line for invalid calls.
     invalid_calls: LogLimiter,
 }
 
-/// A connection: whether its call was received, and what ends it.
+/// An open connection.
 struct Connection {
     call_received: Rc<Cell<bool>>,
     task: AbortHandle,
@@ -86,7 +87,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::error!("console: no connection accepted: {error}");
+                tracing::error!("console: cannot accept a connection: {error}");
                 sleep(Duration::from_millis(20)).await;
                 continue;
             }
@@ -109,7 +110,7 @@
     }
 }
 
-/// One call and its answer.
+/// Reads one call and writes its reply.
 async fn handle_connection(
     mut stream: TcpStream,
     console: &Console,
@@ -133,7 +134,7 @@
         stream.shutdown().await
     })
     .await;
-    // What was sent behind the call and not read would have the system take the answer back.
+    // Closing a socket with unread data resets it, and the client could lose the reply.
     let _ = timeout(DISCARD_TIMEOUT, async {
         while stream.read(&mut [0; 512]).await? > 0 {}
         std::io::Result::Ok(())
@@ -142,7 +143,7 @@
     Ok(())
 }
 
-/// Reads until a call is whole or invalid; incomplete where the caller left before that.
+/// Reads until a call is complete or invalid; incomplete if the client disconnected before.
 async fn read_call(stream: &mut TcpStream) -> std::io::Result<ParsedCall> {
     let (mut bytes, mut len) = ([0; line::MAX_CALL_BYTES], 0);
     loop {
@@ -161,7 +162,7 @@
 impl Console {
     fn reply(&self, call: Call) -> String {
         let apply = |event: Event| {
-            tracing::info!("console: told {}", if event == Event::Active { "active" } else { "standby" });
+            tracing::info!("console: received {}", if event == Event::Active { "active" } else { "standby" });
             self.lifecycle.apply(event)
         };
         match call {
@@ -173,8 +174,8 @@
             Call::Duties => self.duty_control.status() + "\nEND\n",
             Call::HandOver { duty, successor } => {
                 tracing::info!(
-                    "console: told to hand {duty} to {}",
-                    successor.as_deref().unwrap_or("whoever comes")
+                    "console: received hand: duty {duty} to {}",
+                    successor.as_deref().unwrap_or("any member")
                 );
                 let accepted = self.duty_control.submit(DutyCommand::HandOver { duty, to: successor });
                 if accepted { "YES\n".to_owned() } else { "NO there is no fleet\n".to_owned() }
--- a/crates/console/src/line.rs
+++ b/crates/console/src/line.rs
@@ -1,22 +1,22 @@
-//! The grammar of the console: one line a call. Pure.
+//! The grammar of the console: one line per call. Pure.
 
-/// The longest call, its line end included, in bytes.
+/// Maximum length of a call in bytes, line end included.
 pub const MAX_CALL_BYTES: usize = 256;
 
-/// What operators call for.
+/// The calls of the console.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process is ready to serve.
+    /// Report whether this process is ready to serve.
     Status,
-    /// The figures.
+    /// Report the metrics.
     Stats,
-    /// Send clients away.
+    /// Send clients elsewhere.
     Standby,
-    /// Back to work.
+    /// Serve again.
     Active,
-    /// What is known of the duties.
+    /// Report the status of the duties.
     Duties,
-    /// Let a duty go, to a member where one is named.
+    /// Release a duty, to another member if one is named.
     HandOver {
         /// The duty.
         duty: String,
@@ -25,18 +25,18 @@
     },
 }
 
-/// What has come of a call so far.
+/// The result of parsing the bytes received so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ParsedCall {
-    /// Its line has not ended.
+    /// The line is not complete.
     Incomplete,
-    /// A call.
+    /// A valid call.
     Complete(Call),
-    /// None; why.
+    /// No valid call, with the reason.
     Invalid(&'static str),
 }
 
-/// Reads what has come. CR LF and LF end a line; what comes behind it is passed over.
+/// Parses the bytes received so far. CR LF and LF end a line; what follows the line is ignored.
 #[must_use]
 pub fn parse(bytes: &[u8]) -> ParsedCall {
     let Some(end) = bytes.iter().take(MAX_CALL_BYTES).position(|b| *b == b'\n') else {
--- a/crates/console/src/line/tests.rs
+++ b/crates/console/src/line/tests.rs
@@ -22,7 +22,7 @@
 }
 
 proptest! {
-    /// Whatever comes, more of it changes nothing once the line has ended, and a line is never waited for in vain.
+    /// Bytes after the line end never change the result, and a call of the maximum length is never left incomplete.
     #[test]
     fn a_call_is_parsed_at_its_line_end_or_maximum_length(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let parsed = parse(&bytes);
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,4 +1,4 @@
-//! What processes of one sidecar share: the listener that the platform opened, and who else of them runs.
+//! Sharing between processes of one sidecar: the listener that the platform opened, and detection of other processes.
 
 mod presence;
 
@@ -9,14 +9,14 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 
-/// Takes the listening socket at this descriptor. Dropped, it closes this process's copy alone: the socket listens on
-/// as long as another process holds one.
+/// Takes ownership of an inherited listening socket. Dropping the listener closes only this process's descriptor: the
+/// socket keeps listening as long as another process has one.
 ///
-/// To be called once, before any other descriptor is opened.
+/// Must be called once, before any other descriptor is opened.
 ///
 /// # Errors
 ///
-/// The descriptor is not open, or is no listening TCP socket.
+/// The descriptor is not open or not a listening TCP socket.
 pub fn take_listener(fd: RawFd) -> Result<TcpListener> {
     let target = std::fs::read_link(format!("/proc/self/fd/{fd}")).ok().with_context(|| {
         format!("{fd} is no open descriptor; right would be that of a listening TCP socket")
@@ -27,8 +27,8 @@
     if fd <= 2 {
         bail!("{fd} is a standard stream; right would be a listening TCP socket");
     }
-    // SAFETY: it is open, as was just seen, it is no standard stream, and nothing else in this process owns it: the
-    // caller takes it once, before other descriptors are opened.
+    // SAFETY: the descriptor was just checked to be open and is no standard stream. Nothing else in this process owns
+    // it, as the caller takes it once, before other descriptors are opened.
     #[allow(unsafe_code)]
     let owned = unsafe { OwnedFd::from_raw_fd(fd) };
     let socket = Socket::from(owned);
@@ -42,11 +42,11 @@
     Ok(socket.into())
 }
 
-/// Whether a listener that was taken is the one that clients of `listen` reach.
+/// Checks that clients which connect to `listen` reach this listener.
 ///
 /// # Errors
 ///
-/// It listens elsewhere.
+/// The listener is bound to another address.
 pub fn check_address(listener: &TcpListener, listen: SocketAddr) -> Result<()> {
     let address = listener.local_addr()?;
     if address.port() != listen.port() || !(address.ip() == listen.ip() || address.ip().is_unspecified()) {
--- a/crates/handover/src/presence.rs
+++ b/crates/handover/src/presence.rs
@@ -1,14 +1,14 @@
-//! Whether another process of the same sidecar runs: each holds an advisory lock on a file of its own, which the system
-//! gives back whatever ends the process, so that a dead holder is never taken for one that lives.
+//! Detects whether another process of the same sidecar is running. Each process holds an advisory lock on a file of its
+//! own; the operating system releases it however the process terminates, so a dead process never counts as running.
 
 use anyhow::{Context, Result, bail};
 use std::fs::{File, OpenOptions, TryLockError};
 use std::path::{Path, PathBuf};
 
-/// Processes of one sidecar at a time; two in the ordinary course of an upgrade.
+/// Maximum number of concurrent processes of one sidecar; an upgrade needs two.
 const MAX_PROCESSES: usize = 4;
 
-/// This process's presence, for as long as it lives.
+/// Marks this process as running until it is dropped.
 #[derive(Debug)]
 pub struct Presence {
     _lock: File,
@@ -20,13 +20,13 @@
 }
 
 impl Presence {
-    /// Takes a place among the processes of the sidecar of this name, in a folder that they share. The files are empty.
+    /// Acquires a slot among the processes of the sidecar of this name, as a lock on an empty file in a shared folder.
     ///
     /// # Errors
     ///
-    /// The folder can't be written, or all places are taken.
+    /// The folder is not writable, or all slots are in use.
     pub fn acquire(folder: &Path, name: &str) -> Result<Presence> {
-        // A name may hold what no file's name may.
+        // A sidecar's name may contain characters that a file name must not.
         let encoded: String = name.bytes().map(|byte| format!("{byte:02x}")).take(64).collect();
         let paths: Vec<PathBuf> =
             (0..MAX_PROCESSES).map(|slot| folder.join(format!("dunlincleat-1-{encoded}-{slot}"))).collect();
@@ -46,10 +46,10 @@
                 }
             }
         }
-        bail!("{MAX_PROCESSES} processes of this sidecar run already");
+        bail!("{MAX_PROCESSES} processes of this sidecar are already running");
     }
 
-    /// Whether another process holds a place. What can't be read counts as nobody.
+    /// Whether another process holds a slot. A file that can't be read counts as a free slot.
     #[must_use]
     pub fn has_peer(&self) -> bool {
         let is_locked = |path: &PathBuf| {
--- a/crates/handover/src/presence/tests.rs
+++ b/crates/handover/src/presence/tests.rs
@@ -12,7 +12,7 @@
     let second = acquire("n/0")?;
     assert!(first.has_peer() && second.has_peer() && !unrelated.has_peer());
     drop(first);
-    assert!(!second.has_peer(), "what the dead left behind is nobody");
+    assert!(!second.has_peer(), "the file that a terminated process left is ignored");
     let third = acquire("n/0")?;
     assert!(second.has_peer() && third.has_peer());
     let _more = (acquire("n/0")?, acquire("n/0")?);
--- a/crates/handover/src/tests.rs
+++ b/crates/handover/src/tests.rs
@@ -12,12 +12,12 @@
     let inherited = take_listener(listener.into_raw_fd())?;
     check_address(&inherited, address)?;
     let _client = TcpStream::connect(address)?;
-    // The connection may still be on its way to the queue.
+    // The connection may not have reached the accept queue yet.
     while inherited.accept().is_err() {
         std::thread::yield_now();
     }
     drop(inherited);
-    assert!(TcpStream::connect(address).is_ok(), "the other copy listens on");
+    assert!(TcpStream::connect(address).is_ok(), "the other copy still listens");
     drop(copy);
     assert!(TcpStream::connect(address).is_err());
     Ok(())
@@ -34,7 +34,10 @@
     );
     assert!(rejection(UdpSocket::bind("127.0.0.1:0")?.into_raw_fd()).contains("is no listening TCP socket"));
     let bound = Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
-    assert!(rejection(bound.into_raw_fd()).contains("is no listening TCP socket"), "it does not listen");
+    assert!(
+        rejection(bound.into_raw_fd()).contains("is no listening TCP socket"),
+        "the socket is bound but not listening"
+    );
     let elsewhere = TcpListener::bind("127.0.0.1:0")?;
     let error = check_address(&elsewhere, "127.0.0.1:9".parse()?).unwrap_err().to_string();
     assert!(error.contains("right would be 127.0.0.1:9"));
--- a/crates/status/src/duty_control.rs
+++ b/crates/status/src/duty_control.rs
@@ -1,25 +1,25 @@
-//! Between the operators' console and the duties: what is shown of them, and what is ordered. Nothing waits here.
+//! Connects the operators' console with the duties: publishes their status and forwards commands. Nothing blocks here.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// What operators order.
+/// Commands for the duties of this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DutyCommand {
-    /// Let a duty go, to another member where one is named.
+    /// Release a duty, to another member if one is named.
     HandOver {
         /// The duty.
         duty: String,
-        /// The next holder.
+        /// The member that is to hold it next.
         to: Option<String>,
     },
-    /// The process ends.
+    /// The process is shutting down: release all duties.
     Shutdown,
 }
 
 type CommandSender = Box<dyn Fn(DutyCommand) + Send>;
 
-/// The desk.
+/// The shared state between console and duties.
 #[derive(Default)]
 pub struct DutyControl {
     status: Mutex<String>,
@@ -34,34 +34,34 @@
 }
 
 impl DutyControl {
-    /// There is a console: what is shown is read.
+    /// Marks that a console reads the published status.
     pub fn attach_reader(&self) {
         self.has_reader.store(true, Ordering::Relaxed);
     }
 
-    /// Whether anybody reads it.
+    /// Whether a console reads the published status.
     #[must_use]
     pub fn has_reader(&self) -> bool {
         self.has_reader.load(Ordering::Relaxed)
     }
 
-    /// Where orders go.
+    /// Sets the receiver of commands.
     pub fn set_receiver(&self, send: impl Fn(DutyCommand) + Send + 'static) {
         *self.sender.lock().unwrap_or_else(PoisonError::into_inner) = Some(Box::new(send));
     }
 
-    /// Shows this, one line a duty.
+    /// Publishes the status of the duties, one line per duty.
     pub fn publish_status(&self, lines: String) {
         *self.status.lock().unwrap_or_else(PoisonError::into_inner) = lines;
     }
 
-    /// What is shown.
+    /// The status published last.
     #[must_use]
     pub fn status(&self) -> String {
         self.status.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Gives an order; false where nobody takes any.
+    /// Sends a command; returns false if no receiver is set.
     pub fn submit(&self, command: DutyCommand) -> bool {
         let sender = self.sender.lock().unwrap_or_else(PoisonError::into_inner);
         sender.as_ref().map(|send| send(command)).is_some()
--- a/crates/status/src/lib.rs
+++ b/crates/status/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a sidecar tells of itself. [`lifecycle`] owns the stage of the process, [`metrics`] every figure; both are read
-//! from any thread, and nothing there waits. [`log_limiter`] keeps lines of the log rare; [`duty_control`] stands between
-//! console and duties.
+//! Operational state of a sidecar process. [`lifecycle`] owns the stage of the process and [`metrics`] every metric; both
+//! can be read from any thread without blocking. [`log_limiter`] limits the rate of log lines; [`duty_control`] connects
+//! the operators' console with the duties.
 
 #![forbid(unsafe_code)]
 
--- a/crates/status/src/lifecycle.rs
+++ b/crates/status/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The stage of the process: a pure machine `(now, event) -> stage`, and the one handle on it that the console, the
-//! front and the signals share.
+//! The stage of the process: a pure state machine `(now, event) -> stage`, and the handle on it that the console, the
+//! HTTP front and the signal handlers share.
 
 use std::fmt::{self, Display, Formatter};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,41 +7,42 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-/// How far the process is in its life.
+/// The lifecycle stage of the process, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     /// Not ready to serve yet.
     Starting,
     /// Serving.
     Active,
-    /// Sent away its clients: still serving, but each answer ends its connection.
+    /// Standby, clients are to go elsewhere: still serving, but each response closes its connection.
     Standby,
-    /// The same, and idle connections are closed.
+    /// Standby, and idle connections are closed too.
     StandbyClosingIdle,
-    /// Told to end: serving still, but each answer ends its connection.
+    /// Shutting down: still accepting and serving, but each response closes its connection.
     ShuttingDown,
-    /// The same, and idle connections are closed: a request that crosses that comes again, on a new one.
+    /// Shutting down, and idle connections are closed too. A client whose request crosses the close can retry on a new
+    /// connection, as the listener is still open.
     ShutdownClosingIdle,
-    /// No new connections, and idle ones are closed.
+    /// Shutting down: no new connections are accepted, and idle ones are closed.
     ListenerClosed,
-    /// The process is about to end: what is still in hand is answered now.
+    /// The process is about to exit: requests still in flight are answered now.
     Aborting,
 }
 
 impl Stage {
-    /// Whether clients are to come: the one answer to that, for `status`, `/healthz` and the front.
+    /// Whether clients should connect. `status`, `/healthz` and the HTTP front all use this answer.
     #[must_use]
     pub fn is_ready(self) -> bool {
         self == Stage::Active
     }
 
-    /// Each answer ends its connection.
+    /// Whether each response closes its connection.
     #[must_use]
     pub fn closes_after_response(self) -> bool {
         self > Stage::Active
     }
 
-    /// It was told to end.
+    /// Whether the process has been told to shut down.
     #[must_use]
     pub fn is_shutting_down(self) -> bool {
         self >= Stage::ShuttingDown
@@ -61,58 +62,59 @@
     }
 }
 
-/// What moves the stage.
+/// Inputs of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// All that serving needs is there.
+    /// Everything needed to serve is available.
     Ready,
-    /// Send clients away.
+    /// Operator command: send clients elsewhere.
     Standby,
-    /// Back to work.
+    /// Operator command: serve again.
     Active,
-    /// End.
+    /// Shut down.
     Shutdown,
-    /// The time to end is all but over.
+    /// The time allowed for the shutdown has almost elapsed.
     Abort,
-    /// Time has passed.
+    /// Time has passed: apply a transition that is due.
     Tick,
 }
 
-/// The timing of the machine.
+/// The delays of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub struct StageTiming {
-    /// From the order to stand by until idle connections are closed: the front has seen the no by then.
+    /// From the standby command until idle connections are closed: whoever polls the health check has seen it fail
+    /// by then.
     pub standby_notice: Duration,
-    /// From the order to end until nothing new is accepted.
+    /// From the shutdown command until the listener is closed.
     pub accept_after_shutdown: Duration,
 }
 
 impl StageTiming {
-    /// From the order to end until idle connections are closed. What is left of `accept` is for the requests that cross
-    /// that; closed with the listener, such a request found nowhere to come again.
+    /// From the shutdown command until idle connections are closed. The rest of `accept_after_shutdown` lets clients
+    /// retry a request that crossed the close; with the listener closed at the same moment, they had nowhere to retry.
     fn close_idle_after(self) -> Duration {
         self.accept_after_shutdown * 2 / 3
     }
 }
 
-/// The machine. Orders may be repeated; whatever comes once it ends changes nothing any more.
+/// The state machine of the stage. Commands are idempotent, and operator commands during shutdown have no effect.
 #[derive(Debug)]
 pub struct StageMachine {
     stage: Stage,
     entered_at: Instant,
     timing: StageTiming,
-    /// The order to stand by came before it was ready.
+    /// Standby was requested before the process was ready.
     standby_requested: bool,
 }
 
 impl StageMachine {
-    /// One that starts now.
+    /// Creates a state machine in [`Stage::Starting`].
     #[must_use]
     pub fn new(now: Instant, timing: StageTiming) -> StageMachine {
         StageMachine { stage: Stage::Starting, entered_at: now, timing, standby_requested: false }
     }
 
-    /// When [`Event::Tick`] moves it next, if ever.
+    /// When [`Event::Tick`] causes the next transition, if any is scheduled.
     #[must_use]
     pub fn next_transition(&self) -> Option<Instant> {
         match self.stage {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Takes what happened; gives the stage from here on.
+    /// Applies an event and returns the resulting stage.
     pub fn apply(&mut self, now: Instant, event: Event) -> Stage {
         let next = match (event, self.stage) {
             (Event::Ready, Stage::Starting) if self.standby_requested => Stage::Standby,
@@ -151,7 +153,7 @@
             }
             (_, stage) => stage,
         };
-        // The time to accept counts from the order to end.
+        // `accept_after_shutdown` counts from the shutdown command, not from the closing of idle connections.
         if next != self.stage && next != Stage::ShutdownClosingIdle {
             self.entered_at = now;
         }
@@ -160,8 +162,8 @@
     }
 }
 
-/// The handle on the machine of this process. Its lock is held for the moment of an order alone; the stage is read
-/// without it.
+/// The shared handle on the state machine of this process. Its lock is held only while an event is applied; the stage is
+/// read without it.
 #[derive(Debug)]
 pub struct Lifecycle {
     machine: Mutex<StageMachine>,
@@ -169,7 +171,7 @@
 }
 
 impl Lifecycle {
-    /// The handle on a machine.
+    /// Creates a handle on a state machine.
     #[must_use]
     pub fn new(machine: StageMachine) -> Lifecycle {
         let stage = watch::Sender::new(machine.stage);
@@ -180,7 +182,7 @@
         self.machine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the machine; when this returns, all who read the stage read the new one.
+    /// Applies an event. When this returns, every reader sees the new stage.
     pub fn apply(&self, event: Event) -> Stage {
         let mut machine = self.machine();
         let stage = machine.apply(Instant::now(), event);
@@ -188,19 +190,19 @@
         stage
     }
 
-    /// The stage as it is now.
+    /// The current stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// The stage, followed.
+    /// Subscribes to changes of the stage.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
     }
 
-    /// Moves the machine on as time passes. Does not end.
+    /// Applies the transitions that depend on time. Does not return while the handle exists.
     pub async fn run(&self) {
         let mut stage = self.subscribe();
         loop {
--- a/crates/status/src/lifecycle/tests.rs
+++ b/crates/status/src/lifecycle/tests.rs
@@ -9,7 +9,7 @@
 };
 
 proptest! {
-    /// Guards against a drain that an order in the wrong moment undoes or leaves half done.
+    /// Guards against a command at an unfortunate moment that undoes a drain or leaves it half done.
     #[test]
     fn stage_follows_the_latest_command_in_any_order_of_events(
         steps in prop::collection::vec((0_u8..6, 0_u64..900), 0..40)
@@ -22,7 +22,7 @@
             let events =
                 [Event::Ready, Event::Standby, Event::Active, Event::Shutdown, Event::Abort, Event::Tick];
             let event = events[kind as usize];
-            // The shell wakes the machine when it is due.
+            // The driver wakes the state machine when a transition is due.
             machine.apply(now, Event::Tick);
             let stage = machine.apply(now, event);
             match event {
@@ -38,9 +38,9 @@
                 prop_assert_eq!(stage.is_ready(), ready && standby_since.is_none());
                 prop_assert_eq!(stage.closes_after_response(), ready && standby_since.is_some());
             }
-            prop_assert_eq!(machine.apply(now, event), stage, "an order twice is one");
+            prop_assert_eq!(machine.apply(now, event), stage, "commands are idempotent");
         }
-        // Once its time is over, a drain empties and an end closes.
+        // After its delay, standby closes idle connections and a shutdown closes the listener.
         now += Duration::from_secs(5);
         let stage = machine.apply(now, Event::Tick);
         prop_assert!(!matches!(stage, Stage::Standby | Stage::ShuttingDown | Stage::ShutdownClosingIdle));
--- a/crates/status/src/log_limiter.rs
+++ b/crates/status/src/log_limiter.rs
@@ -1,10 +1,10 @@
-//! Lines of the log that each request or call could bring.
+//! Rate limit for log lines that a single request or call can cause.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Keeps a line that each request could bring to one a second: written for each, they could fill the pipe that
-/// the log goes to, and the process would stand still until somebody reads it.
+/// Limits a log line to one per second. Written for each request, such lines could fill the pipe that the log goes to,
+/// and the process would block until the pipe is read.
 #[derive(Default)]
 pub struct LogLimiter {
     last_written: Cell<Option<Instant>>,
@@ -14,7 +14,7 @@
 impl LogLimiter {
     const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-    /// How often the line was due since it was last written, where it is to be written now; else it is counted.
+    /// Counts an occurrence. If the line may be written now, returns the number of occurrences since it was last written.
     pub fn admit(&self) -> Option<u64> {
         self.occurrences.set(self.occurrences.get() + 1);
         let due = self.last_written.get().is_none_or(|last| last.elapsed() >= LogLimiter::MIN_INTERVAL);
@@ -25,7 +25,7 @@
     }
 }
 
-/// Writes a line of the log once a second at most, with how often it was due since.
+/// Writes a log line at most once per second, with the number of occurrences since it was last written.
 #[macro_export]
 macro_rules! log_limited {
     ($limiter:expr, $level:ident, $line:expr) => {
--- a/crates/status/src/metrics.rs
+++ b/crates/status/src/metrics.rs
@@ -1,74 +1,74 @@
-//! Every figure of the process. Each is counted in one place, by the part that owns its event, and rendered here.
+//! All metrics of the process. Each is counted in one place, by the component that owns its event, and rendered here.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A count that only rises.
+/// A monotonic counter.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// One more.
+    /// Adds one.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many.
+    /// The current count.
     #[must_use]
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// A figure that is set as it is.
+/// A gauge.
 #[derive(Debug, Default)]
 pub struct Gauge(AtomicI64);
 
 impl Gauge {
-    /// Sets it.
+    /// Sets the value.
     pub fn set(&self, value: usize) {
         self.0.store(i64::try_from(value).unwrap_or(i64::MAX), Ordering::Relaxed);
     }
 
-    /// Its value.
+    /// The current value.
     #[must_use]
     pub fn get(&self) -> i64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// How the requests of one class ended.
+/// Outcomes of the requests of one class.
 #[derive(Debug, Default)]
 pub struct ClassOutcomes {
     /// Served.
     pub served: Counter,
-    /// Refused, by the rules or at a bound.
+    /// Refused, by the decision module or at a limit.
     pub refused: Counter,
     /// Failed.
     pub failed: Counter,
 }
 
-/// The figures.
+/// The metrics of one process.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// By the name of the class; one that was dropped stays, as counts never fall.
+    /// By class name. A class that was removed from the settings stays, as counters never decrease.
     classes: Mutex<BTreeMap<String, Arc<ClassOutcomes>>>,
-    /// Attempts written whole to servers.
+    /// Attempts written completely to servers.
     pub attempts: Counter,
     in_progress: AtomicI64,
-    /// Servers in the list.
+    /// Servers on the list.
     pub known_servers: Gauge,
-    /// Listed servers that get nothing new now.
+    /// Listed servers that currently receive no new requests.
     pub skipped_servers: Gauge,
-    /// Files taken at SIGHUP.
+    /// Configurations applied at SIGHUP.
     pub reloads: Counter,
-    /// Files turned down at SIGHUP.
+    /// Configurations rejected at SIGHUP.
     pub reload_errors: Counter,
 }
 
-/// A request that was taken and has not ended, counted for as long as this lives.
+/// Guard that counts a request as in progress until it is dropped.
 #[derive(Debug)]
 pub struct InProgress(Arc<Metrics>);
 
@@ -79,27 +79,27 @@
 }
 
 impl Metrics {
-    /// The counts of a class, the same ones for the same name.
+    /// The counters of a class; the same instance for the same name.
     #[must_use]
     pub fn class(&self, name: &str) -> Arc<ClassOutcomes> {
         let mut classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
         classes.entry(name.to_owned()).or_default().clone()
     }
 
-    /// A request was taken.
+    /// Counts a request as in progress until the guard is dropped.
     #[must_use]
     pub fn request_started(self: &Arc<Metrics>) -> InProgress {
         self.in_progress.fetch_add(1, Ordering::Relaxed);
         InProgress(self.clone())
     }
 
-    /// The figures as text, one a line.
+    /// Renders all metrics as text, one per line.
     #[must_use]
     pub fn render(&self) -> String {
         let classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut text = String::new();
         let mut line = |name: &str, class: Option<&str>, value: String| {
-            // A write to a string does not fail.
+            // Writing to a string does not fail.
             let _ = match class {
                 Some(class) => writeln!(text, "svc_{name}{{category=\"{}\"}} {value}", escape_label(class)),
                 None => writeln!(text, "svc_{name} {value}"),
@@ -126,7 +126,7 @@
     }
 }
 
-/// A label's value: what would end it is escaped.
+/// Escapes the characters that would end a label value.
 fn escape_label(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -1,5 +1,5 @@
-//! The bench's wire: batches of events in, replies out. It hosts one [`Balancer`] for each instance, translates
-//! both ways and decides nothing.
+//! The bench's line protocol: batches of events in, replies out. Hosts one [`Balancer`] per instance and translates in
+//! both directions; all decisions are the balancer's.
 
 #![forbid(unsafe_code)]
 
@@ -17,20 +17,21 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use wire::{Fields, truncated};
 
-/// The wire numbers its lists from 0 to 15.
+/// The protocol numbers its lists from 0 to 15.
 const LIST_COUNT: usize = 16;
 
-/// Bits of `attrs`.
+/// Bits of the field `attrs`.
 const HINT_VALID: u64 = 1;
 const REPEATED: u64 = 2;
 
-/// An entry of a list, before any instance has numbered its endpoint.
+/// An entry of a list. The server id of its member is assigned by each instance.
 struct Entry {
     endpoint: Box<str>,
     member: Member,
 }
 
-/// One instance: its decisions and its own numbering of endpoints, which the wire may name for ever.
+/// One instance: its balancer and its numbering of endpoints. Numbers are never released, as the peer may name an
+/// endpoint at any later time.
 struct Instance {
     balancer: Balancer,
     servers: ServerTable,
@@ -40,18 +41,18 @@
 impl Instance {
     fn server_id(&self, endpoint: &str) -> Result<ServerId> {
         let id = self.servers.id_of(endpoint);
-        id.with_context(|| format!("endpoint '{}' is on no list of this instance", truncated(endpoint)))
+        id.with_context(|| format!("endpoint '{}' is not on any list of this instance", truncated(endpoint)))
     }
 }
 
-/// A list of which entries are still to come.
+/// A list with entries still to be received.
 #[derive(Clone, Copy)]
 struct IncompleteList {
     list: usize,
     remaining: usize,
 }
 
-/// The messages that are an event of one instance.
+/// The messages that are events of one instance.
 #[derive(Clone, Copy)]
 enum EventMessage {
     Members,
@@ -80,14 +81,14 @@
     }
 }
 
-/// The instances of this process and the reply in the making.
+/// The instances of this process and the reply to the current batch.
 #[derive(Default)]
 pub struct Host {
     lists: [Vec<Entry>; LIST_COUNT],
     instances: FxHashMap<u64, Instance>,
     now: Time,
     batch: Option<u64>,
-    /// The list whose entries are being read.
+    /// The list whose entries are being received.
     incomplete_list: Option<IncompleteList>,
     reply: Vec<u8>,
     actions: Vec<Action>,
@@ -96,7 +97,7 @@
 }
 
 impl Host {
-    /// Answers batches until the input ends.
+    /// Processes batches until the end of the input.
     pub fn run(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<()> {
         let mut line = Vec::new();
         let mut line_number = 0_u64;
@@ -119,12 +120,12 @@
             }
         }
         if self.batch.is_some() {
-            bail!("the input ended within a batch");
+            bail!("the input ended within a batch, before END");
         }
         Ok(())
     }
 
-    /// Takes one line; true where it ended a batch and the reply is ready.
+    /// Processes one line; returns true if it ended a batch, with the reply complete.
     fn process_line(&mut self, line: &str) -> Result<bool> {
         let mut fields = Fields::new(line);
         let message = fields.text("the message name")?;
@@ -148,7 +149,7 @@
                 let instance_id: u64 = fields.value("the instance")?;
                 self.instances
                     .remove(&instance_id)
-                    .with_context(|| format!("instance {instance_id} was never started"))?;
+                    .with_context(|| format!("instance {instance_id} is not running"))?;
             }
             _ => self.process_event(message, &mut fields)?,
         }
@@ -163,7 +164,7 @@
     ) -> Result<()> {
         let IncompleteList { list, remaining } = incomplete;
         if message != "ENTRY" {
-            bail!("{remaining} entries are missing before '{message}'");
+            bail!("{remaining} entries are missing before message '{message}'");
         }
         let entry = read_entry(fields)?;
         self.lists[list].push(entry);
@@ -173,11 +174,11 @@
 
     fn start_batch(&mut self, message: &str, fields: &mut Fields<'_>) -> Result<()> {
         if message != "FRAME" {
-            bail!("'{}' outside a batch", truncated(message));
+            bail!("message '{}' outside a batch; expected FRAME", truncated(message));
         }
         let now = Time(fields.value("the clock")?);
         if now < self.now {
-            bail!("the clock went back");
+            bail!("the clock went back from {} to {} us", self.now.0, now.0);
         }
         self.now = now;
         self.batch = Some(fields.value("the number of the batch")?);
@@ -187,7 +188,9 @@
     fn start_list(&mut self, fields: &mut Fields<'_>) -> Result<()> {
         let list: usize = fields.value("the list")?;
         let count: usize = fields.value("the number of entries")?;
-        let Some(entries) = self.lists.get_mut(list) else { bail!("no list has the number {list}") };
+        let Some(entries) = self.lists.get_mut(list) else {
+            bail!("list number {list} is out of range: 0 to {}", LIST_COUNT - 1)
+        };
         entries.clear();
         self.incomplete_list = (count > 0).then_some(IncompleteList { list, remaining: count });
         Ok(())
@@ -210,7 +213,7 @@
         };
         let instance_id: u64 = fields.value("the instance")?;
         let Some(instance) = self.instances.get_mut(&instance_id) else {
-            bail!("instance {instance_id} was never started");
+            bail!("instance {instance_id} is not running");
         };
         let data;
         let event = match kind {
@@ -223,7 +226,7 @@
             EventMessage::Peer => {
                 let from = fields.value("from")?;
                 let body = fields.optional::<String>("body")?.unwrap_or_default();
-                data = STANDARD.decode(body).context("body is not base64")?;
+                data = STANDARD.decode(body).context("body is not valid base64")?;
                 Event::Peer { from, data: &data }
             }
             EventMessage::ResponseStarted => {
@@ -267,7 +270,8 @@
     };
     members.clear();
     if kind != ListKind::Failed {
-        let entries = list.and_then(|list| lists.get(list)).context("no such list")?;
+        let entries =
+            list.and_then(|list| lists.get(list)).context("the list number is missing or out of range")?;
         for entry in entries {
             let server = instance.servers.id_or_assign(&entry.endpoint);
             members.push(Member { server, ..entry.member });
@@ -285,7 +289,7 @@
     let attributes = fields.optional::<u64>("attrs")?.unwrap_or(0);
     let tenant = fields.optional("client_group")?.unwrap_or(0);
     if class >= class_count {
-        bail!("lane {class} is in no settings");
+        bail!("lane {class} is not a class of the settings");
     }
     let hint = hint.filter(|_| attributes & HINT_VALID != 0);
     let repeat = attributes & REPEATED != 0;
@@ -353,7 +357,7 @@
 
 fn write_action(out: &mut Vec<u8>, instance_id: u64, instance: &Instance, action: &Action) -> Result<()> {
     let endpoint = |server: &ServerId| -> Result<&str> {
-        let known = instance.servers.get(*server).context("the module named an unknown server")?;
+        let known = instance.servers.get(*server).context("the decision module named an unknown server")?;
         Ok(&known.uid)
     };
     match action {
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,4 @@
-//! The adapter's command: the wire on standard input and output.
+//! `dunlincleat-wirehost`: the bench's line protocol on standard input and output.
 
 #![forbid(unsafe_code)]
 
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter on literal wire text, good and bad.
+//! The host on literal protocol text, valid and malformed.
 
 use dunlincleat_wirehost::Host;
 
