--- a/crates/sidecar/src/cli.rs
+++ b/crates/sidecar/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line: `serve`, and what an operator asks of a file before it is used. Text for persons, JSON for
 //! programs; 0 is good, 1 faults were found, 2 nothing could be read.
 
-use crate::config::settings_of;
+use crate::config::parse_settings;
 use anyhow::{Context, Result, anyhow};
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
@@ -118,15 +118,15 @@
 /// Runs the program.
 #[must_use]
 pub fn main() -> ExitCode {
-    let done = match Cli::parse().command {
-        Command::Serve { limits } => return served(limits.as_deref()),
-        Command::Check { file, settings, format } => checked(&file, settings.as_deref(), format),
+    let result = match Cli::parse().command {
+        Command::Serve { limits } => return run_serve(limits.as_deref()),
+        Command::Check { file, settings, format } => run_check(&file, settings.as_deref(), format),
         Command::Route { file, settings, class, tenant, path, method, headers, format } => {
-            let ask = RouteAsk { class, tenant, path, method, headers };
-            route(&file, &settings, &ask, format)
+            let query = RouteQuery { class, tenant, path, method, headers };
+            run_route(&file, &settings, &query, format)
         }
-        Command::Duties { console, format, order } => duties(console, format, order),
-        Command::Explain { code } => explain(code.as_deref()),
+        Command::Duties { console, format, order } => run_duties(console, format, order),
+        Command::Explain { code } => run_explain(code.as_deref()),
         Command::Completions { shell } => {
             clap_complete::generate(shell, &mut Cli::command(), "dunlincleat", &mut std::io::stdout());
             Ok(ExitCode::SUCCESS)
@@ -136,13 +136,13 @@
             .context("standard output")
             .map(|()| ExitCode::SUCCESS),
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("dunlincleat: {error:#}");
         ExitCode::from(2)
     })
 }
 
-fn served(limits: Option<&Path>) -> ExitCode {
+fn run_serve(limits: Option<&Path>) -> ExitCode {
     match crate::serve(limits) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -152,43 +152,45 @@
     }
 }
 
-fn text_of(file: &Path) -> Result<String> {
+fn read_file(file: &Path) -> Result<String> {
     std::fs::read_to_string(file).with_context(|| file.display().to_string())
 }
 
-fn site_of(file: &Path) -> Result<InstanceSettings> {
-    settings_of(&text_of(file)?).with_context(|| file.display().to_string())
+fn read_settings(file: &Path) -> Result<InstanceSettings> {
+    parse_settings(&read_file(file)?).with_context(|| file.display().to_string())
 }
 
 /// Writes to standard output; a reader that has gone is no fault.
-fn say(text: &str) {
+fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-fn checked(file: &Path, settings: Option<&Path>, format: Format) -> Result<ExitCode> {
-    let text = text_of(file)?;
+fn run_check(file: &Path, settings: Option<&Path>, format: Format) -> Result<ExitCode> {
+    let text = read_file(file)?;
     let faults: Vec<Fault> = match settings {
-        Some(settings) => check(&text, &site_of(settings)?).faults,
+        Some(settings) => check(&text, &read_settings(settings)?).faults,
         None => check_without_settings(&text),
     };
     let errors = faults.iter().filter(|fault| fault.severity == Severity::Error).count();
     match format {
-        Format::Json => say(&json!({
-            "file": file.display().to_string(), "proved_against_settings": settings.is_some(),
-            "errors": errors, "faults": faults,
-        })
-        .to_string()),
+        Format::Json => print_line(
+            &json!({
+                "file": file.display().to_string(), "proved_against_settings": settings.is_some(),
+                "errors": errors, "faults": faults,
+            })
+            .to_string(),
+        ),
         Format::Text => {
-            faults.iter().for_each(|fault| say(&format!("{}:{fault}", file.display())));
+            faults.iter().for_each(|fault| print_line(&format!("{}:{fault}", file.display())));
             let against = if settings.is_some() { "" } else { " (its form alone: no settings were named)" };
             let warnings = faults.len() - errors;
-            say(&format!("{}: {errors} errors, {warnings} warnings{against}", file.display()));
+            print_line(&format!("{}: {errors} errors, {warnings} warnings{against}", file.display()));
         }
     }
     Ok(if errors == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
-struct RouteAsk {
+struct RouteQuery {
     class: String,
     tenant: Option<String>,
     path: Option<String>,
@@ -196,60 +198,66 @@
     headers: Vec<String>,
 }
 
-fn route(file: &Path, settings: &Path, ask: &RouteAsk, format: Format) -> Result<ExitCode> {
-    let (text, site) = (text_of(file)?, site_of(settings)?);
-    let Checked { faults, rules } = check(&text, &site);
+fn run_route(file: &Path, settings: &Path, query: &RouteQuery, format: Format) -> Result<ExitCode> {
+    let text = read_file(file)?;
+    let settings = read_settings(settings)?;
+    let Checked { faults, rules } = check(&text, &settings);
     let Some(rules) = rules else {
         faults.iter().for_each(|fault| eprintln!("{}:{fault}", file.display()));
         return Ok(ExitCode::from(1));
     };
-    let class = site.classes.iter().position(|c| *c == ask.class);
+    let class = settings.classes.iter().position(|name| *name == query.class);
     let class =
-        class.ok_or_else(|| anyhow!("no class '{}': one of {}", ask.class, site.classes.join(", ")))?;
-    let tenant = match &ask.tenant {
-        None => site.tenants.len(),
-        Some(name) => site
+        class.ok_or_else(|| anyhow!("no class '{}': one of {}", query.class, settings.classes.join(", ")))?;
+    let tenant = match &query.tenant {
+        None => settings.tenants.len(),
+        Some(name) => settings
             .tenants
             .iter()
-            .position(|t| t == name)
-            .ok_or_else(|| anyhow!("no tenant '{name}': one of {}", site.tenants.join(", ")))?,
+            .position(|tenant| tenant == name)
+            .ok_or_else(|| anyhow!("no tenant '{name}': one of {}", settings.tenants.join(", ")))?,
     };
-    let headers = ask.headers.iter().map(|header| {
+    let headers = query.headers.iter().map(|header| {
         header.split_once('=').map(|(name, value)| (name.to_ascii_lowercase(), value)).ok_or(header)
     });
-    let headers = headers.collect::<Result<Vec<_>, _>>().map_err(|h| anyhow!("'{h}' is not NAME=VALUE"))?;
-    let header = |name: &str| headers.iter().find(|(n, _)| n == name).map(|(_, value)| *value);
-    let path = ask.path.clone().unwrap_or_else(|| format!("/{}", ask.class));
-    let safe = site.settings.classes[class].effect == dunlincleat::api::Effect::Safe;
-    let method = ask.method.as_deref().unwrap_or(if safe { "GET" } else { "POST" });
-    let facts = RequestAttributes {
+    let headers =
+        headers.collect::<Result<Vec<_>, _>>().map_err(|header| anyhow!("'{header}' is not NAME=VALUE"))?;
+    let header =
+        |name: &str| headers.iter().find(|(header_name, _)| header_name == name).map(|(_, value)| *value);
+    let path = query.path.clone().unwrap_or_else(|| format!("/{}", query.class));
+    let safe = settings.settings.classes[class].effect == dunlincleat::api::Effect::Safe;
+    let method = query.method.as_deref().unwrap_or(if safe { "GET" } else { "POST" });
+    let attributes = RequestAttributes {
         path: &path,
         method,
         class: class as u32,
         tenant: tenant as u32,
         header: &header,
     };
-    shown(rules.find(&facts), format);
+    print_rule(rules.find(&attributes), format);
     Ok(ExitCode::SUCCESS)
 }
 
-fn shown(rule: &Rule, format: Format) {
-    let copy = rule.hedge_delay.as_ref().map(|copy| match copy {
-        HedgeDelay::Fixed(after) => format_duration(*after),
+fn print_rule(rule: &Rule, format: Format) {
+    let hedge_delay = rule.hedge_delay.as_ref().map(|delay| match delay {
+        HedgeDelay::Fixed(delay) => format_duration(*delay),
         HedgeDelay::Quantile(quantile) => format!("quantile {quantile}"),
     });
-    let budget = rule.retry_budget.map(|b| {
-        format!("{} of first tries, {} a second at least", b.retries_per_attempt, b.min_retries_per_s)
+    let budget = rule.retry_budget.map(|budget| {
+        format!(
+            "{} of first tries, {} a second at least",
+            budget.retries_per_attempt, budget.min_retries_per_s
+        )
     });
     let pools: Vec<&str> = rule.pools.iter().map(|pool| pool.name.as_str()).collect();
     let pool = (!pools.is_empty()).then(|| pools.join(", then "));
-    let number = |n: Option<u32>| n.map(|n| n.to_string());
+    let number = |value: Option<u32>| value.map(|value| value.to_string());
     let keys = [
         ("attempt_timeout", rule.attempt_timeout.map(format_duration)),
         ("timeout", rule.timeout.map(format_duration)),
         ("connect_timeout", rule.connect_timeout.map(format_duration)),
         ("attempts", number(rule.attempts)),
-        ("second_copy", copy),
+        ("second_copy", hedge_delay),
         ("retry_budget", budget),
         ("max_in_hand", number(rule.max_in_hand)),
         ("max_waiting", number(rule.max_waiting)),
@@ -264,62 +272,64 @@
                 Some(((*key).to_owned(), json!({"value": value, "line": line(key)})))
             });
             let set: serde_json::Map<String, serde_json::Value> = set.collect();
-            say(&json!({"route": rule.name, "line": rule.line, "set": set}).to_string());
+            print_line(&json!({"route": rule.name, "line": rule.line, "set": set}).to_string());
         }
         Format::Text => {
             let at = rule.line.map_or_else(|| "no route matches".to_owned(), |line| format!("line {line}"));
-            say(&format!("route {} ({at})", rule.name));
+            print_line(&format!("route {} ({at})", rule.name));
             for (key, value) in keys {
                 match value {
                     Some(value) => {
-                        let at = line(key).map(|line| format!("line {line}")).unwrap_or_default();
-                        say(&format!("  {key:<16} {value}  ({at})"));
+                        let source = line(key).map(|line| format!("line {line}")).unwrap_or_default();
+                        print_line(&format!("  {key:<16} {value}  ({source})"));
+                    }
+                    None => {
+                        print_line(&format!("  {key:<16} as the settings and the decision module have it"))
                     }
-                    None => say(&format!("  {key:<16} as the settings and the decision module have it")),
                 }
             }
         }
     }
 }
 
-/// How long a console may take to answer.
-const CONSOLE: Duration = Duration::from_secs(5);
+/// How long a console may take to reply.
+const CONSOLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One call of a console, and its answer.
-fn called(console: SocketAddr, call: &str) -> Result<String> {
-    let mut stream =
-        TcpStream::connect_timeout(&console, CONSOLE).with_context(|| format!("--console: '{console}'"))?;
-    stream.set_read_timeout(Some(CONSOLE))?;
+/// One call of a console, and its reply.
+fn call_console(console: SocketAddr, call: &str) -> Result<String> {
+    let mut stream = TcpStream::connect_timeout(&console, CONSOLE_TIMEOUT)
+        .with_context(|| format!("--console: '{console}'"))?;
+    stream.set_read_timeout(Some(CONSOLE_TIMEOUT))?;
     stream.write_all(format!("{call}\n").as_bytes())?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).with_context(|| format!("--console: '{console}' does not answer"))?;
-    Ok(answer)
+    let mut reply = String::new();
+    stream.read_to_string(&mut reply).with_context(|| format!("--console: '{console}' does not answer"))?;
+    Ok(reply)
 }
 
 /// What is known of the duties, or an order.
-fn duties(console: Option<SocketAddr>, format: Format, order: Option<DutiesOrder>) -> Result<ExitCode> {
+fn run_duties(console: Option<SocketAddr>, format: Format, order: Option<DutiesOrder>) -> Result<ExitCode> {
     let console =
         console.context("--console: none is named; right would be the sidecar's, as 127.0.0.1:7300")?;
     if let Some(DutiesOrder::Hand { duty, to }) = order {
-        let answer = called(console, &format!("hand {duty} {}", to.unwrap_or_default()))?;
-        say(answer.trim_end());
-        return Ok(if answer.starts_with("YES") { ExitCode::SUCCESS } else { ExitCode::from(1) });
+        let reply = call_console(console, &format!("hand {duty} {}", to.unwrap_or_default()))?;
+        print_line(reply.trim_end());
+        return Ok(if reply.starts_with("YES") { ExitCode::SUCCESS } else { ExitCode::from(1) });
     }
-    let answer = called(console, "duties")?;
+    let reply = call_console(console, "duties")?;
     let lines: Vec<serde_json::Value> =
-        answer.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
+        reply.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
     if format == Format::Json {
-        lines.iter().for_each(|line| say(&line.to_string()));
+        lines.iter().for_each(|line| print_line(&line.to_string()));
         return Ok(ExitCode::SUCCESS);
     }
     if lines.is_empty() {
-        say("no duties: the sidecar's operator's file has no [fleet], or no [[duty]]");
+        print_line("no duties: the sidecar's operator's file has no [fleet], or no [[duty]]");
     }
     for line in &lines {
         let text = |key: &str| line[key].as_str().unwrap_or("nobody").to_owned();
         let number = |key: &str| line[key].as_u64().unwrap_or(0);
         let proved = if line["proved"] == false { ", not proved" } else { "" };
-        say(&format!(
+        print_line(&format!(
             "{}: held by {} under fence {}{proved}, {} ms left, for {} ms; period {}{}; last: {}",
             text("duty"),
             text("holder"),
@@ -334,13 +344,13 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn explain(code: Option<&str>) -> Result<ExitCode> {
+fn run_explain(code: Option<&str>) -> Result<ExitCode> {
     let Some(name) = code else {
-        Code::ALL.iter().for_each(|code| say(&format!("{code}  {}", code.title())));
+        Code::ALL.iter().for_each(|code| print_line(&format!("{code}  {}", code.title())));
         return Ok(ExitCode::SUCCESS);
     };
     let code =
         Code::from_name(name).ok_or_else(|| anyhow!("no code '{name}'; 'dunlincleat explain' lists all"))?;
-    say(&format!("{code}: {}\n\n{}", code.title(), code.explain()));
+    print_line(&format!("{code}: {}\n\n{}", code.title(), code.explain()));
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -3,7 +3,7 @@
 //! `EDGE_CONFIG` names a JSON file. `EDGE_NAME`, `EDGE_LISTEN` and `EDGE_DISCOVERY` go before its keys of the
 //! same meaning. Unknown keys are passed over; each message names the key at fault.
 
-use crate::logger::Form;
+use crate::logger::LogFormat;
 use anyhow::{Context, Result, anyhow, bail};
 use dunlincleat::api::{Settings, Span};
 use dunlincleat_directory::{Backoff, Interest, Listing, Timing};
@@ -19,11 +19,11 @@
 use tracing::level_filters::LevelFilter;
 
 /// Descriptors kept for what is no traffic: standard streams, the poller, signals, listener, discovery, spares.
-const DESCRIPTORS_KEPT: usize = 40;
+const RESERVED_DESCRIPTORS: usize = 40;
 /// The bytes that the names of services may have in all: they go into the head of a call of discovery.
-const SERVICE_BYTES: usize = 16 << 10;
+const MAX_SERVICE_NAME_BYTES: usize = 16 << 10;
 /// The same for the console: its connections, its listener, its poller and a signal to it.
-const CONSOLE_KEPT: usize = dunlincleat_console::MAX_CONNECTIONS + 8;
+const CONSOLE_DESCRIPTORS: usize = dunlincleat_console::MAX_CONNECTIONS + 8;
 
 /// All that the sidecar is told.
 pub struct Config {
@@ -38,15 +38,15 @@
     /// For random numbers; new with each start.
     pub seed: u64,
     /// The list of servers as last held.
-    pub known: Listing,
+    pub known_servers: Listing,
     /// The settings object.
-    pub site: Arc<InstanceSettings>,
+    pub settings: Arc<InstanceSettings>,
     /// The figures that the deployment does not tell, from the object `sidecar`, each with a default.
-    pub own: Rc<Own>,
+    pub options: Rc<Own>,
     /// The least level of log lines.
-    pub log: LevelFilter,
+    pub log_level: LevelFilter,
     /// How log lines are written.
-    pub form: Form,
+    pub log_format: LogFormat,
     /// How long connections are still accepted after SIGTERM.
     pub accept_after_term: Duration,
     /// How long after SIGTERM the process ends at the latest.
@@ -54,110 +54,129 @@
     /// The operator's file, where one is named.
     pub limits_file: Option<PathBuf>,
     /// Settings that are only watched: how they would have decided is counted.
-    pub watch: Option<Settings>,
+    pub shadow_settings: Option<Settings>,
     /// The descriptors that it was told and those that the machine lets it have, where these are fewer.
-    pub lowered: Option<(usize, usize)>,
+    pub lowered_descriptors: Option<DescriptorLimits>,
     /// What is taken up only at a start, by key, to tell where a new file differs in it.
-    fixed: Vec<(&'static str, Option<Value>)>,
+    restart_only: Vec<RestartOnlyValue>,
     /// The file as it was read.
-    told: Value,
+    file: Value,
+}
+
+/// The descriptors that the configuration asks for and those that the machine allows.
+#[derive(Clone, Copy)]
+pub struct DescriptorLimits {
+    pub configured: usize,
+    pub actual: usize,
+}
+
+/// A key that is taken up only at a start, with its value.
+#[derive(PartialEq)]
+struct RestartOnlyValue {
+    key: &'static str,
+    value: Option<Value>,
 }
 
 /// Where a key of the file and a variable say the same thing, the one that goes before the other.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum First {
+enum Precedence {
     Variable,
     File,
 }
 
 /// The keys that a reload does not take up. `seed` and `known` matter at a start alone.
-const FIXED: [&str; 5] = ["name", "listen", "console", "limits", "sidecar"];
+const RESTART_ONLY_KEYS: [&str; 5] = ["name", "listen", "console", "limits", "sidecar"];
 
 /// The keys that may come and go with a reload.
-const OPTIONAL: [&str; 4] = ["known", "limits_file", "sidecar", "watch"];
+const OPTIONAL_KEYS: [&str; 4] = ["known", "limits_file", "sidecar", "watch"];
 
 impl Config {
     /// Reads the environment and the file that it names.
     pub fn read() -> Result<Config> {
-        Config::load(First::Variable)
+        Config::load(Precedence::Variable)
     }
 
     /// Reads them once more. The environment is that of the start: the file's `discovery` is the newer word.
     pub fn reread() -> Result<Config> {
-        Config::load(First::File)
+        Config::load(Precedence::File)
     }
 
     /// The first key that the file in force has and the other's lacks, of those that may not be left out.
-    pub fn lacking(&self, other: &Config) -> Option<String> {
-        let (Value::Object(old), Value::Object(new)) = (&self.told, &other.told) else { return None };
-        let kept = old.iter().filter(|(key, _)| !OPTIONAL.contains(&key.as_str()));
-        kept.into_iter().find_map(|(key, was)| match new.get(key) {
-            None | Some(Value::Null) if !was.is_null() => Some(key.clone()),
-            Some(is) if key == "settings" => first_missing_key(was, is).map(|rest| format!("{key}.{rest}")),
+    pub fn removed_key(&self, new: &Config) -> Option<String> {
+        let (Value::Object(old_keys), Value::Object(new_keys)) = (&self.file, &new.file) else { return None };
+        let mut required = old_keys.iter().filter(|(key, _)| !OPTIONAL_KEYS.contains(&key.as_str()));
+        required.find_map(|(key, old)| match new_keys.get(key) {
+            None | Some(Value::Null) if !old.is_null() => Some(key.clone()),
+            Some(new) if key == "settings" => first_missing_key(old, new).map(|rest| format!("{key}.{rest}")),
             Some(_) | None => None,
         })
     }
 
     /// The keys in which the other differs, of those that are taken up only at a start.
-    pub fn differs(&self, other: &Config) -> Vec<&'static str> {
-        let pairs = self.fixed.iter().zip(&other.fixed);
-        pairs.filter(|(mine, others)| mine != others).map(|(mine, _)| mine.0).collect()
+    pub fn restart_only_changes(&self, new: &Config) -> Vec<&'static str> {
+        let pairs = self.restart_only.iter().zip(&new.restart_only);
+        pairs.filter(|(old, new)| old != new).map(|(old, _)| old.key).collect()
     }
 
     /// What a reload took up is in force.
-    pub fn took(&mut self, new: Config, site: Arc<InstanceSettings>) {
-        let fixed = std::mem::take(&mut self.fixed);
-        let (listen, console, own, name) = (self.listen, self.console, self.own.clone(), self.name.clone());
+    pub fn replace(&mut self, new: Config, settings: Arc<InstanceSettings>) {
         // A request in hand may have been taken under a longer deadline: at SIGTERM it has its time all the same.
         let end_after_term = self.end_after_term.max(new.end_after_term);
         // What is taken up only at a start stays as it was.
-        *self = Config { fixed, listen, console, own, name, site, end_after_term, ..new };
+        *self = Config {
+            restart_only: std::mem::take(&mut self.restart_only),
+            listen: self.listen,
+            console: self.console,
+            options: self.options.clone(),
+            name: self.name.clone(),
+            settings,
+            end_after_term,
+            ..new
+        };
     }
 
-    fn load(discovery: First) -> Result<Config> {
+    fn load(discovery: Precedence) -> Result<Config> {
         let path = env("EDGE_CONFIG")?.context("EDGE_CONFIG is not set")?;
         let text = std::fs::read_to_string(&path).with_context(|| format!("EDGE_CONFIG: '{path}'"))?;
-        Config::parse(&text, discovery, env, machine_descriptors())
+        Config::parse(&text, discovery, env, open_files_limit())
     }
 
     fn parse(
         text: &str,
-        discovery_by: First,
+        discovery_precedence: Precedence,
         env: impl Fn(&'static str) -> Result<Option<String>>,
-        machine: Option<usize>,
+        open_files: Option<usize>,
     ) -> Result<Config> {
         let value: Value = serde_json::from_str(text).context("EDGE_CONFIG: not JSON")?;
-        let told = value.clone();
+        let original = value.clone();
         let Value::Object(mut file) = value else { bail!("EDGE_CONFIG: not a JSON object") };
-        let mut fixed = FIXED.map(|key| (key, file.get(key).cloned())).to_vec();
-        // The level of the log is taken up at once.
-        fixed.iter_mut().filter_map(|(_, value)| value.as_mut()?.as_object_mut()).for_each(|own| {
-            own.remove("log");
-        });
-        let told_console =
-            env("EDGE_CONSOLE")?.is_some() || file.get("console").is_some_and(|c| !c.is_null());
-        let mut text_of = |variable, key: &str, by: First| -> Result<(String, String)> {
-            let variables = env(variable)?.filter(|_| by == First::Variable || !file.contains_key(key));
-            if let Some(value) = variables {
-                return Ok((value, variable.to_owned()));
+        let restart_only = restart_only_values(&file);
+        let has_console =
+            env("EDGE_CONSOLE")?.is_some() || file.get("console").is_some_and(|console| !console.is_null());
+        let mut read_text = |variable: &'static str,
+                             key: &str,
+                             precedence: Precedence|
+         -> Result<SourcedText> {
+            let from_environment =
+                env(variable)?.filter(|_| precedence == Precedence::Variable || !file.contains_key(key));
+            if let Some(text) = from_environment {
+                return Ok(SourcedText { text, source: variable.to_owned() });
             }
             match file.remove(key) {
-                Some(Value::String(value)) => Ok((value, format!("EDGE_CONFIG: {key}"))),
+                Some(Value::String(text)) => Ok(SourcedText { text, source: format!("EDGE_CONFIG: {key}") }),
                 Some(_) => bail!("EDGE_CONFIG: {key}: not a string"),
                 None => bail!("neither {variable} nor the key {key} of EDGE_CONFIG is set"),
             }
         };
-        let address = |(value, key): (String, String)| -> Result<SocketAddr> {
-            value.parse().map_err(|_| anyhow!("{key}: '{value}' is not an address and port"))
-        };
-        let name = text_of("EDGE_NAME", "name", First::Variable)?.0;
-        let listen = address(text_of("EDGE_LISTEN", "listen", First::Variable)?)?;
-        let console = told_console.then(|| address(text_of("EDGE_CONSOLE", "console", First::Variable)?));
-        let console = console.transpose()?;
+        let name = read_text("EDGE_NAME", "name", Precedence::Variable)?.text;
+        let listen = read_text("EDGE_LISTEN", "listen", Precedence::Variable)?.into_address()?;
+        let console = has_console
+            .then(|| read_text("EDGE_CONSOLE", "console", Precedence::Variable)?.into_address())
+            .transpose()?;
         if let Some(console) = console.filter(|console| *console == listen) {
             bail!("console: '{console}' is where clients connect; right would be an address of its own");
         }
-        let discovery = address(text_of("EDGE_DISCOVERY", "discovery", discovery_by)?)?;
+        let discovery = read_text("EDGE_DISCOVERY", "discovery", discovery_precedence)?.into_address()?;
         let seed = match file.remove("seed") {
             Some(Value::String(hex)) => u64::from_str_radix(&hex, 16)
                 .map_err(|_| anyhow!("EDGE_CONFIG: seed: '{hex}' is not a number of up to 16 hex digits"))?,
@@ -165,31 +184,31 @@
             None => bail!("EDGE_CONFIG: seed is missing"),
         };
         let settings = file.remove("settings").context("EDGE_CONFIG: settings is missing")?;
-        let watch = match file.remove("watch") {
+        let shadow = match file.remove("watch") {
             None | Some(Value::Null) => None,
             Some(other @ Value::Object(_)) => {
-                let mut laid = settings.clone();
-                lay_over(&mut laid, other);
-                Some(dunlincleat_settings::read_value(laid).context("EDGE_CONFIG: watch")?)
+                let mut merged = settings.clone();
+                merge(&mut merged, other);
+                Some(dunlincleat_settings::read_value(merged).context("EDGE_CONFIG: watch")?)
             }
             Some(other) => {
                 bail!("EDGE_CONFIG: watch: {other} is no object of settings that differ from those in force")
             }
         };
-        let site = dunlincleat_settings::read_value(settings).context("EDGE_CONFIG")?;
-        let watch = match watch {
-            Some(watch) if watch.classes != site.classes || watch.tenants != site.tenants => {
+        let settings = dunlincleat_settings::read_value(settings).context("EDGE_CONFIG")?;
+        let shadow_settings = match shadow {
+            Some(shadow) if shadow.classes != settings.classes || shadow.tenants != settings.tenants => {
                 bail!(
                     "EDGE_CONFIG: watch: its classes or tenants are not those of settings, by name and order"
                 )
             }
             // The protocol has no messages between sidecars.
-            watch => watch.map(|mut watch| {
-                watch.settings.limits.peer_messages = false;
-                watch.settings
+            shadow => shadow.map(|mut shadow| {
+                shadow.settings.limits.peer_messages = false;
+                shadow.settings
             }),
         };
-        let known = match file.remove("known") {
+        let known_servers = match file.remove("known") {
             None | Some(Value::Null) => Listing { whole: true, ..Listing::default() },
             Some(known) => Listing::from_value(known).context("EDGE_CONFIG: known")?,
         };
@@ -197,43 +216,69 @@
             None | Some(Value::Null) => Limits::default(),
             Some(limits) => serde_json::from_value(limits).context("EDGE_CONFIG: limits")?,
         };
-        let lowered = machine.filter(|machine| *machine < limits.sockets).map(|to| (limits.sockets, to));
+        let lowered_descriptors = open_files
+            .filter(|actual| *actual < limits.sockets)
+            .map(|actual| DescriptorLimits { configured: limits.sockets, actual });
         let limits_file = match (env("EDGE_LIMITS")?, file.remove("limits_file")) {
             (Some(path), _) => Some(PathBuf::from(path)),
             (None, None | Some(Value::Null)) => None,
             (None, Some(Value::String(path))) if !path.is_empty() => Some(PathBuf::from(path)),
             (None, Some(other)) => bail!("EDGE_CONFIG: limits_file: {other} is no path"),
         };
-        let own = match file.remove("sidecar") {
+        let section = match file.remove("sidecar") {
             None | Some(Value::Null) => Map::new(),
-            Some(Value::Object(own)) => own,
+            Some(Value::Object(section)) => section,
             Some(_) => bail!("EDGE_CONFIG: sidecar: not an object"),
         };
-        let Told { own, log, form, accept_after_term, end_after_term } =
-            Told::read(&own, &limits, lowered, &site, console.map_or(0, |_| CONSOLE_KEPT))?;
-        let (own, site) = (Rc::new(own), Arc::new(site));
+        let console_descriptors = console.map_or(0, |_| CONSOLE_DESCRIPTORS);
+        let SidecarSection { options, log_level, log_format, accept_after_term, end_after_term } =
+            SidecarSection::read(&section, &limits, lowered_descriptors, &settings, console_descriptors)?;
         Ok(Config {
             name,
             listen,
             console,
             discovery,
             seed,
-            known,
-            site,
-            own,
-            log,
-            form,
+            known_servers,
+            settings: Arc::new(settings),
+            options: Rc::new(options),
+            log_level,
+            log_format,
             accept_after_term,
             end_after_term,
             limits_file,
-            watch,
-            lowered,
-            fixed,
-            told,
+            shadow_settings,
+            lowered_descriptors,
+            restart_only,
+            file: original,
         })
     }
 }
 
+fn restart_only_values(file: &Map<String, Value>) -> Vec<RestartOnlyValue> {
+    let mut values = RESTART_ONLY_KEYS.map(|key| RestartOnlyValue { key, value: file.get(key).cloned() });
+    for entry in &mut values {
+        if let Some(section) = entry.value.as_mut().and_then(Value::as_object_mut) {
+            // The level of the log is taken up at once.
+            section.remove("log");
+        }
+    }
+    values.into()
+}
+
+/// A text with the variable or key that it was read from.
+struct SourcedText {
+    text: String,
+    source: String,
+}
+
+impl SourcedText {
+    fn into_address(self) -> Result<SocketAddr> {
+        let SourcedText { text, source } = self;
+        text.parse().map_err(|_| anyhow!("{source}: '{text}' is not an address and port"))
+    }
+}
+
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
@@ -248,93 +293,98 @@
 }
 
 /// The names of `sidecar.services`.
-fn services_of(told: &Value) -> Result<Vec<String>> {
-    let right = "right would be the names of the services called, or no such key for all servers";
-    let names = told.as_array().with_context(|| format!("EDGE_CONFIG: sidecar.services: {told}; {right}"))?;
+fn parse_services(value: &Value) -> Result<Vec<String>> {
+    let expected = "right would be the names of the services called, or no such key for all servers";
+    let names =
+        value.as_array().with_context(|| format!("EDGE_CONFIG: sidecar.services: {value}; {expected}"))?;
     if names.is_empty() {
-        bail!("EDGE_CONFIG: sidecar.services: no name; {right}");
+        bail!("EDGE_CONFIG: sidecar.services: no name; {expected}");
     }
     let name = |name: &Value| match name.as_str() {
         Some(text) if !text.is_empty() => Ok(text.to_owned()),
-        _ => bail!("EDGE_CONFIG: sidecar.services: {name} is no name; {right}"),
+        _ => bail!("EDGE_CONFIG: sidecar.services: {name} is no name; {expected}"),
     };
     let names = names.iter().map(name).collect::<Result<Vec<_>>>()?;
     let bytes: usize = names.iter().map(|name| name.len() + 1).sum();
-    if bytes > SERVICE_BYTES {
-        bail!("EDGE_CONFIG: sidecar.services: names of {bytes} bytes in all, over {SERVICE_BYTES}; {right}");
+    if bytes > MAX_SERVICE_NAME_BYTES {
+        bail!(
+            "EDGE_CONFIG: sidecar.services: names of {bytes} bytes in all, over {MAX_SERVICE_NAME_BYTES}; {expected}"
+        );
     }
     Ok(names)
 }
 
 /// What the object `sidecar` says.
-struct Told {
-    own: Own,
-    log: LevelFilter,
-    form: Form,
+struct SidecarSection {
+    options: Own,
+    log_level: LevelFilter,
+    log_format: LogFormat,
     accept_after_term: Duration,
     end_after_term: Duration,
 }
 
-impl Told {
+impl SidecarSection {
     fn read(
-        own: &Map<String, Value>,
+        section: &Map<String, Value>,
         limits: &Limits,
-        lowered: Option<(usize, usize)>,
-        site: &InstanceSettings,
-        console: usize,
-    ) -> Result<Told> {
-        let kept = DESCRIPTORS_KEPT + console;
+        lowered_descriptors: Option<DescriptorLimits>,
+        settings: &InstanceSettings,
+        console_descriptors: usize,
+    ) -> Result<SidecarSection> {
+        let reserved = RESERVED_DESCRIPTORS + console_descriptors;
         // Guards discovery and the console: by the told number alone, clients took the last descriptor of a machine that
         // gives fewer, and no watch could be opened any more.
-        let (sockets, whose) = match lowered {
-            Some((_, machine)) => (machine, "the machine's limit on open files, lower than limits.sockets"),
+        let (descriptors, source) = match lowered_descriptors {
+            Some(lowered) => (lowered.actual, "the machine's limit on open files, lower than limits.sockets"),
             None => (limits.sockets, "limits.sockets"),
         };
-        let number = |key: &str, default: u64, least: u64| -> Result<u64> {
-            let value = match own.get(key) {
+        let number = |key: &str, default: u64, min: u64| -> Result<u64> {
+            let value = match section.get(key) {
                 None => default,
-                Some(v) => v.as_u64().with_context(|| format!("EDGE_CONFIG: sidecar.{key}: not a number"))?,
+                Some(value) => {
+                    value.as_u64().with_context(|| format!("EDGE_CONFIG: sidecar.{key}: not a number"))?
+                }
             };
-            if value < least {
-                bail!("EDGE_CONFIG: sidecar.{key}: {value} is under {least}");
+            if value < min {
+                bail!("EDGE_CONFIG: sidecar.{key}: {value} is under {min}");
             }
             Ok(value)
         };
-        let millis = |key: &str, default: u64, least| number(key, default, least).map(Duration::from_millis);
-        let log = match own.get("log") {
+        let millis = |key: &str, default: u64, min| number(key, default, min).map(Duration::from_millis);
+        let log_level = match section.get("log") {
             None => LevelFilter::INFO,
-            Some(level) => level.as_str().and_then(level_of).with_context(|| {
+            Some(level) => level.as_str().and_then(parse_log_level).with_context(|| {
                 format!("EDGE_CONFIG: sidecar.log: {level} is none of off, error, warn, info, debug, trace")
             })?,
         };
-        let form = match own.get("log_form").map(|form| form.as_str().unwrap_or_default()) {
-            None | Some("text") => Form::Text,
-            Some("json") => Form::Json,
+        let log_format = match section.get("log_form").map(|form| form.as_str().unwrap_or_default()) {
+            None | Some("text") => LogFormat::Text,
+            Some("json") => LogFormat::Json,
             Some(other) => bail!("EDGE_CONFIG: sidecar.log_form: '{other}' is neither text nor json"),
         };
         // Half of the descriptors for each side.
-        let half = (sockets.saturating_sub(kept) / 2) as u64;
+        let half = (descriptors.saturating_sub(reserved) / 2) as u64;
         if half == 0 {
-            bail!("EDGE_CONFIG: {whose}: {sockets} is under {}", kept + 2);
+            bail!("EDGE_CONFIG: {source}: {descriptors} is under {}", reserved + 2);
         }
         let client_connections = number("client_connections", half, 1)? as usize;
         let server_connections = number("server_connections", half, 1)? as usize;
-        if client_connections + server_connections + kept > sockets {
+        if client_connections + server_connections + reserved > descriptors {
             bail!(
                 "EDGE_CONFIG: sidecar.client_connections and sidecar.server_connections: {client_connections} and \
-                 {server_connections} leave no {kept} of {sockets} descriptors ({whose})"
+                 {server_connections} leave no {reserved} of {descriptors} descriptors ({source})"
             );
         }
         let watch = {
             let ms = |ms: u64| Span(ms * 1000);
             let heartbeat = ms(number("watch_heartbeat_ms", 2000, 1)?);
-            let told = ms(number("watch_told_within_ms", 6000, 1)?);
-            let derived = Timing::derive(heartbeat, told, site.drain_grace.unwrap_or_default());
-            let call = ms(number("watch_call_ms", derived.call_timeout.0 / 1000, 1)?);
+            let max_delay = ms(number("watch_told_within_ms", 6000, 1)?);
+            let derived = Timing::derive(heartbeat, max_delay, settings.drain_grace.unwrap_or_default());
+            let call_timeout = ms(number("watch_call_ms", derived.call_timeout.0 / 1000, 1)?);
             Timing {
                 silence_timeout: ms(number("watch_silence_ms", derived.silence_timeout.0 / 1000, 1)?),
-                call_timeout: call,
-                max_retry_interval: derived.max_retry_interval.min(call),
+                call_timeout,
+                max_retry_interval: derived.max_retry_interval.min(call_timeout),
                 backoff: Backoff {
                     initial: ms(number("watch_again_ms", derived.backoff.initial.0 / 1000, 1)?),
                     max: ms(number("watch_again_most_ms", derived.backoff.max.0 / 1000, 1)?),
@@ -343,26 +393,28 @@
                 ..derived
             }
         };
-        let list_file = match own.get("list_file") {
+        let list_file = match section.get("list_file") {
             None => None,
             Some(Value::String(path)) if !path.is_empty() => Some(PathBuf::from(path)),
             Some(other) => bail!("EDGE_CONFIG: sidecar.list_file: {other} is no path"),
         };
-        let interest = match own.get("services") {
+        let interest = match section.get("services") {
             None => Interest::default(),
-            Some(services) => Interest::of(services_of(services)?),
+            Some(services) => Interest::of(parse_services(services)?),
         };
         let ms = |span: Span| span.0 / 1000;
-        let classes = &site.settings.classes;
-        let longest = classes.iter().map(|c| ms(c.deadline)).max().unwrap_or(0);
-        let connect = ms(site.settings.limits.connect_timeout);
-        let aim = classes.iter().map(|c| ms(c.aim)).min().unwrap_or(1000);
-        let connect = if connect > 0 { connect } else { 1000 };
+        let classes = &settings.settings.classes;
+        let longest_deadline = classes.iter().map(|class| ms(class.deadline)).max().unwrap_or(0);
+        let shortest_aim = classes.iter().map(|class| ms(class.aim)).min().unwrap_or(1000);
+        let connect_timeout = match ms(settings.settings.limits.connect_timeout) {
+            0 => 1000,
+            configured => configured,
+        };
         let body_bytes = number("body_bytes", 64 * 1024, 1)?;
         // Half of the memory for bodies: a request's and its answer's, each once more in a buffer on its way.
-        let bodies = ((limits.memory_mb << 20) / 2 / (4 * body_bytes)).max(1);
-        let requests = site.max_open.unwrap_or(u64::MAX).min(half).min(bodies);
-        let own = Own {
+        let requests_in_memory = ((limits.memory_mb << 20) / 2 / (4 * body_bytes)).max(1);
+        let requests = settings.max_open.unwrap_or(u64::MAX).min(half).min(requests_in_memory);
+        let options = Own {
             body_bytes: body_bytes as usize,
             requests: number("requests", requests, 1)? as usize,
             client_connections,
@@ -371,20 +423,20 @@
             server_connections,
             // The server closes one that is as old as the site's figure at the latest: four fifths of it are before, and
             // half of it had quiet sidecars open a connection for every other request.
-            idle: millis("idle_ms", site.conn_idle.map_or(2500, |s| ms(s) * 4 / 5), 1)?,
-            connect: millis("connect_ms", connect, 1)?,
+            idle: millis("idle_ms", settings.conn_idle.map_or(2500, |idle| ms(idle) * 4 / 5), 1)?,
+            connect: millis("connect_ms", connect_timeout, 1)?,
             // A probe that takes a quarter of the tightest aim tells nothing that is of use any more.
-            probe: millis("probe_ms", connect.min(aim / 4).max(1), 1)?,
+            probe: millis("probe_ms", connect_timeout.min(shortest_aim / 4).max(1), 1)?,
             // An answer is written in one go: one that stops for longer will not come in time.
-            answer_stall: millis("answer_stall_ms", (aim / 4).max(1), 1)?,
+            answer_stall: millis("answer_stall_ms", (shortest_aim / 4).max(1), 1)?,
             watch,
             interest,
             list_file,
             halved: Rc::default(),
         };
         let accept_after_term = millis("accept_after_term_ms", 600, 0)?;
-        let end_after_term = millis("end_after_term_ms", longest + 600, 1)?;
-        Ok(Told { own, log, form, accept_after_term, end_after_term })
+        let end_after_term = millis("end_after_term_ms", longest_deadline + 600, 1)?;
+        Ok(SidecarSection { options, log_level, log_format, accept_after_term, end_after_term })
     }
 }
 
@@ -393,25 +445,25 @@
 /// # Errors
 ///
 /// The text is no JSON, or the settings in it are at fault; names the key.
-pub fn settings_of(text: &str) -> Result<InstanceSettings> {
+pub fn parse_settings(text: &str) -> Result<InstanceSettings> {
     let mut value: Value = serde_json::from_str(text).context("not JSON")?;
     let settings = value.as_object_mut().and_then(|object| object.remove("settings"));
     dunlincleat_settings::read_value(settings.unwrap_or(value))
 }
 
 /// Lays the keys of one object over those of another, objects within them key by key.
-fn lay_over(under: &mut Value, over: Value) {
-    match (under, over) {
-        (Value::Object(under), Value::Object(over)) => {
-            for (key, value) in over {
-                lay_over(under.entry(key).or_insert(Value::Null), value);
+fn merge(base: &mut Value, overlay: Value) {
+    match (base, overlay) {
+        (Value::Object(base), Value::Object(overlay)) => {
+            for (key, value) in overlay {
+                merge(base.entry(key).or_insert(Value::Null), value);
             }
         }
-        (under, over) => *under = over,
+        (base, overlay) => *base = overlay,
     }
 }
 
-fn level_of(name: &str) -> Option<LevelFilter> {
+fn parse_log_level(name: &str) -> Option<LevelFilter> {
     // Numbers, which tracing would take too, are no names.
     name.parse().ok().filter(|_| name.chars().all(|c| c.is_ascii_alphabetic()))
 }
@@ -421,19 +473,19 @@
 /// # Errors
 ///
 /// `EDGE_INHERITED_FD` is no number.
-pub fn inherited() -> Result<Option<std::os::fd::RawFd>> {
-    let Some(number) = env("EDGE_INHERITED_FD")? else { return Ok(None) };
-    let read = number.parse().ok().filter(|number| *number > 2);
-    let read = read.with_context(|| {
+pub fn inherited_descriptor() -> Result<Option<std::os::fd::RawFd>> {
+    let Some(text) = env("EDGE_INHERITED_FD")? else { return Ok(None) };
+    let descriptor = text.parse().ok().filter(|descriptor| *descriptor > 2);
+    let descriptor = descriptor.with_context(|| {
         format!(
-            "EDGE_INHERITED_FD: '{number}' is no descriptor; right would be the number of a listening socket"
+            "EDGE_INHERITED_FD: '{text}' is no descriptor; right would be the number of a listening socket"
         )
     })?;
-    Ok(Some(read))
+    Ok(Some(descriptor))
 }
 
 /// Descriptors that the machine lets this process have, where it tells a limit.
-fn machine_descriptors() -> Option<usize> {
+fn open_files_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"))?;
     line.split_whitespace().next()?.parse().ok()
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn own(limits: &str, sidecar: &str) -> Result<Rc<Own>> {
-    Ok(config(limits, sidecar)?.own)
+fn options(limits: &str, sidecar: &str) -> Result<Rc<Own>> {
+    Ok(config(limits, sidecar)?.options)
 }
 
 fn config(limits: &str, sidecar: &str) -> Result<Config> {
@@ -14,46 +14,47 @@
                        {{"name":"b","aim":400000,"deadline":2000000,"semantics":"retryable"}}],
             "limits":{{"conn_idle":5000000,"connect_timeout":200000,"max_open":40000}}}}}}"#
     );
-    Config::parse(&text, First::Variable, |_| Ok(None), None)
+    Config::parse(&text, Precedence::Variable, |_| Ok(None), None)
 }
 
 /// Settings that are only watched are proved like those in force, and must speak of the same classes.
 #[test]
-fn watched_settings_are_laid_over_those_in_force_and_proved() -> Result<()> {
-    let watched = |watch: &str| config(&format!("{{}},\"watch\":{watch}"), "{}");
-    let settings = watched(r#"{"weight_source":"live","limits":{"peers":true}}"#)?.watch.context("none")?;
+fn shadow_settings_are_merged_with_the_active_ones_and_validated() -> Result<()> {
+    let with_watch = |watch: &str| config(&format!("{{}},\"watch\":{watch}"), "{}");
+    let settings =
+        with_watch(r#"{"weight_source":"live","limits":{"peers":true}}"#)?.shadow_settings.context("none")?;
     assert_eq!(settings.weights, dunlincleat::api::Weights::Live);
     assert_eq!(settings.classes.len(), 2, "what is not named stays as it is");
     assert!(!settings.limits.peer_messages, "there are no messages on sockets");
-    assert!(config("{}", "{}")?.watch.is_none());
-    for (watch, told) in [
+    assert!(config("{}", "{}")?.shadow_settings.is_none());
+    for (watch, expected) in [
         ("7", "watch: 7 is no object of settings"),
         (r#"{"objective_mix":{"tail_part":2}}"#, "watch: settings: objective_mix.tail_part: 2 is no number"),
         (r#"{"classes":[{"name":"z","aim":1,"deadline":2,"semantics":"retryable"}]}"#, "watch: its classes"),
     ] {
-        let Err(error) = watched(watch) else { bail!("taken: {watch}") };
-        assert!(format!("{error:#}").contains(told), "{error:#}");
+        let Err(error) = with_watch(watch) else { bail!("taken: {watch}") };
+        assert!(format!("{error:#}").contains(expected), "{error:#}");
     }
     Ok(())
 }
 
 #[test]
-fn what_is_not_told_follows_from_the_settings() -> Result<()> {
-    let own = own("{}", "{}")?;
+fn defaults_are_derived_from_the_settings() -> Result<()> {
+    let options = options("{}", "{}")?;
     let ms = Duration::from_millis;
-    assert_eq!((own.idle, own.connect, own.probe), (ms(4000), ms(200), ms(75)));
+    assert_eq!((options.idle, options.connect, options.probe), (ms(4000), ms(200), ms(75)));
     let config = config("{}", "{}")?;
     assert_eq!((config.accept_after_term, config.end_after_term), (ms(600), ms(2600)));
-    assert_eq!((own.client_connections, own.server_connections), (492, 492));
+    assert_eq!((options.client_connections, options.server_connections), (492, 492));
     Ok(())
 }
 
 #[test]
-fn requests_in_hand_fit_the_memory() -> Result<()> {
+fn the_default_request_limit_fits_the_memory() -> Result<()> {
     // 492 requests, as many as connections, could hold more in bodies than the memory there is.
-    assert_eq!(own(r#"{"memory_mb":192}"#, "{}")?.requests, 384);
-    assert_eq!(own(r#"{"memory_mb":16}"#, "{}")?.requests, 32);
-    assert_eq!(own(r#"{"memory_mb":2048}"#, "{}")?.requests, 492);
-    assert_eq!(own(r#"{"memory_mb":192}"#, r#"{"requests":7}"#)?.requests, 7);
+    assert_eq!(options(r#"{"memory_mb":192}"#, "{}")?.requests, 384);
+    assert_eq!(options(r#"{"memory_mb":16}"#, "{}")?.requests, 32);
+    assert_eq!(options(r#"{"memory_mb":2048}"#, "{}")?.requests, 492);
+    assert_eq!(options(r#"{"memory_mb":192}"#, r#"{"requests":7}"#)?.requests, 7);
     Ok(())
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod logger;
 
 use anyhow::{Context, Result, anyhow, bail};
-use config::Config;
+use config::{Config, DescriptorLimits};
 use dunlincleat::api::{Reports, Settings, Time};
 use dunlincleat_directory::{Follower, Listing, Snapshot};
 use dunlincleat_dutyshell::DutyDriver;
@@ -32,14 +32,15 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
+use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// From the order to stand by until idle connections are closed: the front asks ten times a second, and sends nothing
 /// new 0.2 s after it was told no.
-const NOTICE: Duration = Duration::from_millis(700);
+const STANDBY_NOTICE: Duration = Duration::from_millis(700);
 
 /// Before the end of the process, when what is still in hand is answered.
-const LAST: Duration = Duration::from_millis(100);
+const ABORT_MARGIN: Duration = Duration::from_millis(100);
 
 /// Serves until it is told to end. `limits` names the operator's file, before all else that names one.
 ///
@@ -48,179 +49,213 @@
 /// What it was told is at fault, its address is in use, or its decisions ended.
 pub fn serve(limits: Option<&Path>) -> Result<()> {
     // Before any other descriptor is opened: its number is what it is told by.
-    let inherited = config::inherited()?.map(dunlincleat_handover::take_listener);
+    let inherited = config::inherited_descriptor()?.map(dunlincleat_handover::take_listener);
     let inherited = inherited.transpose().context("EDGE_INHERITED_FD")?;
     actix_rt::System::new().block_on(run(limits, inherited))
 }
 
 async fn run(limits: Option<&Path>, inherited: Option<TcpListener>) -> Result<()> {
     // Caught before anything else: an order to read a new file, uncaught, would end the process.
-    let mut reload = signal(SignalKind::hangup()).context("SIGHUP")?;
+    let mut hangup = signal(SignalKind::hangup()).context("SIGHUP")?;
     let mut config = Config::read()?;
-    logger::start(config.log, config.form);
-    tracing::info!("sidecar {} starts, {} servers known", config.name, config.known.entries.len());
-    if let Some((told, machine)) = config.lowered {
-        tracing::warn!("limits.sockets is {told}, the machine gives {machine} descriptors: that binds");
+    logger::start(config.log_level, config.log_format);
+    tracing::info!("sidecar {} starts, {} servers known", config.name, config.known_servers.entries.len());
+    if let Some(lowered) = config.lowered_descriptors {
+        let DescriptorLimits { configured, actual } = lowered;
+        tracing::warn!("limits.sockets is {configured}, the machine gives {actual} descriptors: that binds");
     }
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
-    let (site, own) = (config.site.clone(), config.own.clone());
-    let mut site = site;
-    if site.settings.limits.peer_messages {
+    let options = config.options.clone();
+    let mut settings = config.settings.clone();
+    if settings.settings.limits.peer_messages {
         tracing::warn!("messages between sidecars have no protocol yet: the module does without");
-        Arc::make_mut(&mut site).settings.limits.peer_messages = false;
-        config.site = site.clone();
+        Arc::make_mut(&mut settings).settings.limits.peer_messages = false;
+        config.settings = settings.clone();
     }
     // All that can be at fault is tried before anything is served: a second process must not disturb the first.
-    let console = config.console.map(|at| dunlincleat_console::bind(at).context("console")).transpose()?;
+    let console =
+        config.console.map(|address| dunlincleat_console::bind(address).context("console")).transpose()?;
     let listener = match inherited {
-        Some(listener) => shared(listener, &config)?,
+        Some(listener) => share_listener(listener, &config)?,
         None => front::Listener::Own(config.listen),
     };
     let metrics = Arc::new(Metrics::default());
     let duty_control = Arc::new(DutyControl::default());
-    let timing = StageTiming { standby_notice: NOTICE, accept_after_shutdown: config.accept_after_term };
+    let timing =
+        StageTiming { standby_notice: STANDBY_NOTICE, accept_after_shutdown: config.accept_after_term };
     let lifecycle = Arc::new(Lifecycle::new(StageMachine::new(std::time::Instant::now(), timing)));
     if let Some(console) = console {
         tracing::info!("console at {}", console.local_addr()?);
         dunlincleat_console::start(console, lifecycle.clone(), metrics.clone(), duty_control.clone())?;
     }
-    let (engine, mail) = mailbox();
-    let (caller, calls) = list::mailbox();
+    let (engine, engine_mailbox) = mailbox();
+    let (list_handle, list_mailbox) = list::mailbox();
     let clock = Clock::begin();
-    let known = kept_list(&own, std::mem::take(&mut config.known), clock.now());
-    let mode = site.settings.discovery;
-    let (at, interest) = (config.discovery, own.interest.clone());
-    let (follower, known) =
-        Follower::with_interest(clock.now(), own.watch, mode, at, config.seed, known, interest);
-    List::start(follower, clock, own.clone(), engine.clone(), calls);
-    let load_probes = site.settings.reports != Reports::Off;
-    let peers =
-        Peers::new(own.clone(), site.fields.clone().into(), load_probes, engine.clone(), metrics.clone());
-    let most = u32::try_from(own.requests).unwrap_or(u32::MAX);
-    let mut decides = Engine::new(&site, config.seed, most);
-    if let Some(settings) = config.watch.take() {
+    let known_servers = initial_list(&options, std::mem::take(&mut config.known_servers), clock.now());
+    let (follower, known_servers) = Follower::with_interest(
+        clock.now(),
+        options.watch,
+        settings.settings.discovery,
+        config.discovery,
+        config.seed,
+        known_servers,
+        options.interest.clone(),
+    );
+    List::start(follower, clock, options.clone(), engine.clone(), list_mailbox);
+    let load_probes = settings.settings.reports != Reports::Off;
+    let fields = settings.fields.clone().into();
+    let peers = Peers::new(options.clone(), fields, load_probes, engine.clone(), metrics.clone());
+    let max_requests = u32::try_from(options.requests).unwrap_or(u32::MAX);
+    let mut decision_engine = Engine::new(&settings, config.seed, max_requests);
+    if let Some(shadow_settings) = config.shadow_settings.take() {
         tracing::info!("watch: other settings are counted against those in force, and decide nothing");
         // Another seed than any pool's: it shares no draws.
-        decides.set_shadow(Shadow::new(settings, &site.settings.fields, !config.seed));
+        decision_engine.set_shadow(Shadow::new(shadow_settings, &settings.settings.fields, !config.seed));
     }
     let gauges = Gauges { metrics: metrics.clone(), sample_avoided: config.console.is_some() };
-    let actor = Actor::new(decides, clock, peers, caller.clone(), gauges);
-    let mut module = actix_rt::spawn(actor.run(mail, known));
-    let named = limits.map(Path::to_path_buf);
-    let path = named.clone().or_else(|| config.limits_file.clone());
-    let rules = path.map(|path| read_limits(&path, &site)).transpose()?.map(Arc::new);
+    let actor = Actor::new(decision_engine, clock, peers, list_handle.clone(), gauges);
+    let mut decision_task = actix_rt::spawn(actor.run(engine_mailbox, known_servers));
+    let limits_argument = limits.map(Path::to_path_buf);
+    let limits_file = limits_argument.clone().or_else(|| config.limits_file.clone());
+    let rules = limits_file.map(|path| read_limits(&path, &settings)).transpose()?.map(Arc::new);
     if let Some(rules) = &rules {
         engine.rules(rules.clone());
     }
-    let (in_force, followed) = watch::channel(Rc::new(InForce::new(site, rules, &metrics)));
-    let fleet = in_force.borrow().rules.as_ref().and_then(|rules| rules.fleet().cloned());
+    let (active, active_receiver) = watch::channel(Rc::new(InForce::new(settings, rules, &metrics)));
+    let fleet = active.borrow().rules.as_ref().and_then(|rules| rules.fleet().cloned());
     let duties = fleet
-        .map(|fleet| stand_for(fleet, &config.name, engine.clone(), followed.clone(), &duty_control))
+        .map(|fleet| {
+            start_duties(fleet, &config.name, engine.clone(), active_receiver.clone(), &duty_control)
+        })
         .transpose()?;
-    let told = front::Told { in_force: followed, own: own.clone(), metrics: metrics.clone() };
-    let succession = ClassNumbering::default();
-    let (list, handle) = (caller, engine.clone());
-    let mut reloads = Reload { named, succession, engine: handle, list, in_force, metrics, clock };
-    let mut front = actix_rt::spawn(front::serve(listener, told, engine, lifecycle.clone()));
+    let front_config =
+        front::Told { in_force: active_receiver, own: options.clone(), metrics: metrics.clone() };
+    let mut reloader = Reloader {
+        limits_argument,
+        class_numbering: ClassNumbering::default(),
+        engine: engine.clone(),
+        list: list_handle,
+        active,
+        metrics,
+        clock,
+    };
+    let mut front_task = actix_rt::spawn(front::serve(listener, front_config, engine, lifecycle.clone()));
     let ticking = lifecycle.clone();
     actix_rt::spawn(async move { ticking.run().await });
     loop {
         tokio::select! {
-            end = &mut front => return end.context("the server ended")?,
+            result = &mut front_task => return result.context("the server ended")?,
             // Without its decisions it cannot serve: ended here, it is started again.
-            end = &mut module => return end.context("the module ended").and(Err(anyhow!("the module ended"))),
-            _ = reload.recv() => reloads.reload(&mut config),
+            result = &mut decision_task => {
+                return result.context("the module ended").and(Err(anyhow!("the module ended")));
+            }
+            _ = hangup.recv() => reloader.reload(&mut config),
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
         }
     }
-    let told = Instant::now();
+    shut_down(&config, &lifecycle, duties, front_task).await?;
+    tracing::info!("sidecar {} ends", config.name);
+    Ok(())
+}
+
+/// Serves on for a while, hands on the duties, and answers what was taken; ends in `end_after_term` at the latest.
+async fn shut_down(
+    config: &Config,
+    lifecycle: &Lifecycle,
+    duties: Option<mpsc::UnboundedSender<DutyCommand>>,
+    mut front_task: JoinHandle<Result<()>>,
+) -> Result<()> {
+    let started_at = Instant::now();
     tracing::info!(
         "told to end: serving on for {:?}, then answering what was taken",
         config.accept_after_term
     );
     lifecycle.apply(Event::Shutdown);
     // What it holds alone is handed on first, while it serves on.
-    duties.iter().for_each(|duties| drop(duties.send(DutyCommand::Shutdown)));
-    let end = told + config.end_after_term;
-    let ended = match timeout_at(end - LAST.min(config.end_after_term / 2), &mut front).await {
-        Ok(ended) => Ok(ended),
+    if let Some(duties) = &duties {
+        drop(duties.send(DutyCommand::Shutdown));
+    }
+    let deadline = started_at + config.end_after_term;
+    let abort_at = deadline - ABORT_MARGIN.min(config.end_after_term / 2);
+    let outcome = match timeout_at(abort_at, &mut front_task).await {
+        Ok(result) => Ok(result),
         Err(_) => {
             lifecycle.apply(Event::Abort);
-            timeout_at(end, front).await
+            timeout_at(deadline, front_task).await
         }
     };
-    match ended {
-        Ok(end) => end.context("the server ended")??,
+    match outcome {
+        Ok(result) => result.context("the server ended")??,
         Err(_) => tracing::warn!("connections still open at the end"),
     }
-    tracing::info!("sidecar {} ends", config.name);
     Ok(())
 }
 
 /// Stands for duties beside the others of the fleet; gives where its orders go.
-fn stand_for(
+fn start_duties(
     fleet: Arc<Fleet>,
     name: &str,
     engine: dunlincleat_http::Handle,
-    in_force: watch::Receiver<Rc<InForce>>,
+    active: watch::Receiver<Rc<InForce>>,
     duty_control: &Arc<DutyControl>,
 ) -> Result<mpsc::UnboundedSender<DutyCommand>> {
-    let (send, orders) = mpsc::unbounded_channel();
-    let shell = DutyDriver::open(fleet, name, engine, in_force, duty_control.clone(), orders)?;
-    let by_console = send.clone();
-    duty_control.set_receiver(move |order| drop(by_console.send(order)));
-    actix_rt::spawn(shell.run());
-    Ok(send)
+    let (commands, command_receiver) = mpsc::unbounded_channel();
+    let driver = DutyDriver::open(fleet, name, engine, active, duty_control.clone(), command_receiver)?;
+    let console_commands = commands.clone();
+    duty_control.set_receiver(move |command| drop(console_commands.send(command)));
+    actix_rt::spawn(driver.run());
+    Ok(commands)
 }
 
 /// Takes up the listening socket that the platform holds: from here on other processes of this sidecar may run, which are
 /// one with it by its limits.
-fn shared(listener: TcpListener, config: &Config) -> Result<front::Listener> {
+fn share_listener(listener: TcpListener, config: &Config) -> Result<front::Listener> {
     dunlincleat_handover::check_address(&listener, config.listen).context("EDGE_INHERITED_FD")?;
     tracing::info!("the listening socket is the platform's, held by every process of this sidecar");
     match dunlincleat_handover::Presence::acquire(&std::env::temp_dir(), &config.name) {
-        Ok(presence) => drop(actix_rt::spawn(beside_another(presence, config.own.clone()))),
+        Ok(presence) => drop(actix_rt::spawn(watch_for_peer_process(presence, config.options.clone()))),
         Err(error) => tracing::warn!("another process of this sidecar will not be seen: {error:#}"),
     }
     Ok(front::Listener::Shared(listener))
 }
 
 /// How often it is looked at whether another process of this sidecar runs.
-const LOOK: Duration = Duration::from_millis(200);
+const PRESENCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Keeps to half of the bounds for as long as another process of this sidecar runs.
-async fn beside_another(presence: dunlincleat_handover::Presence, own: Rc<Own>) {
+async fn watch_for_peer_process(presence: dunlincleat_handover::Presence, options: Rc<Own>) {
     loop {
-        let other = presence.has_peer();
-        if own.halved.replace(other) != other {
-            let (clients, servers) = (own.clients_now(), own.servers_now());
-            let is = if other { "runs" } else { "runs no more" };
+        let has_peer = presence.has_peer();
+        if options.halved.replace(has_peer) != has_peer {
+            let clients = options.clients_now();
+            let servers = options.servers_now();
+            let state = if has_peer { "runs" } else { "runs no more" };
             tracing::info!(
-                "another process of this sidecar {is}: {clients} connections of clients, {servers} to servers"
+                "another process of this sidecar {state}: {clients} connections of clients, {servers} to servers"
             );
         }
-        sleep(LOOK).await;
+        sleep(PRESENCE_CHECK_INTERVAL).await;
     }
 }
 
 /// What a reload reaches.
-struct Reload {
+struct Reloader {
     /// The operator's file that the command line names, before all else.
-    named: Option<PathBuf>,
-    succession: ClassNumbering,
+    limits_argument: Option<PathBuf>,
+    class_numbering: ClassNumbering,
     engine: dunlincleat_http::Handle,
     list: list::Caller,
-    in_force: watch::Sender<Rc<InForce>>,
+    active: watch::Sender<Rc<InForce>>,
     metrics: Arc<Metrics>,
     clock: Clock,
 }
 
-impl Reload {
+impl Reloader {
     /// Takes up a new configuration, whole or not at all. Requests, connections and what the module has learnt stay.
     fn reload(&mut self, config: &mut Config) {
-        match self.take_up(config) {
+        match self.apply(config) {
             Ok(()) => self.metrics.reloads.increment(),
             Err(error) => {
                 self.metrics.reload_errors.increment();
@@ -229,41 +264,42 @@
         }
     }
 
-    fn take_up(&mut self, config: &mut Config) -> Result<()> {
+    fn apply(&mut self, config: &mut Config) -> Result<()> {
         let new = Config::reread()?;
-        if let Some(key) = config.lacking(&new) {
+        if let Some(key) = config.removed_key(&new) {
             bail!("EDGE_CONFIG: {key} is missing; the file in force has it, and a start alone does without");
         }
         // All is proved before any of it counts.
-        let mut told = InstanceSettings::clone(&new.site);
-        told.settings.limits.peer_messages = false;
-        let mut succession = self.succession.clone();
-        let next = succession.apply(self.clock.now(), &config.site, told);
-        let site = Arc::new(next.instance);
-        let path = self.named.clone().or_else(|| new.limits_file.clone());
-        let rules = path.map(|path| read_limits(&path, &site)).transpose()?.map(Arc::new);
-        let held = self.in_force.borrow().rules.as_ref().and_then(|rules| rules.fleet().cloned());
-        let told_fleet = rules.as_ref().and_then(|rules| rules.fleet().cloned());
-        let other_fleet = (held != told_fleet).then_some("fleet");
-        let later: Vec<&str> =
-            config.differs(&new).into_iter().chain(next.restart_only).chain(other_fleet).collect();
+        let mut read_settings = InstanceSettings::clone(&new.settings);
+        read_settings.settings.limits.peer_messages = false;
+        let mut class_numbering = self.class_numbering.clone();
+        let next = class_numbering.apply(self.clock.now(), &config.settings, read_settings);
+        let settings = Arc::new(next.instance);
+        let limits_file = self.limits_argument.clone().or_else(|| new.limits_file.clone());
+        let rules = limits_file.map(|path| read_limits(&path, &settings)).transpose()?.map(Arc::new);
+        let active_fleet = self.active.borrow().rules.as_ref().and_then(|rules| rules.fleet().cloned());
+        let new_fleet = rules.as_ref().and_then(|rules| rules.fleet().cloned());
+        let fleet_change = (active_fleet != new_fleet).then_some("fleet");
+        let config_changes = config.restart_only_changes(&new).into_iter();
+        let restart_only: Vec<&str> = config_changes.chain(next.restart_only).chain(fleet_change).collect();
 
-        self.succession = succession;
-        logger::set_level(new.log);
+        self.class_numbering = class_numbering;
+        logger::set_level(new.log_level);
         tracing::info!("SIGHUP: new configuration, discovery at {}", new.discovery);
-        if !later.is_empty() {
-            tracing::warn!("SIGHUP: taken up only at the next start: {}", later.join(", "));
+        if !restart_only.is_empty() {
+            tracing::warn!("SIGHUP: taken up only at the next start: {}", restart_only.join(", "));
         }
         if new.discovery != config.discovery {
             self.list.moved(new.discovery);
         }
         // The engine hears of all of it before any request under it.
-        let watched = new.watch.clone().map(|watched| beside(watched, &new.site, &site));
-        self.engine.settings(site.clone(), watched);
-        let had = self.in_force.borrow().rules.is_some();
+        let shadow_settings =
+            new.shadow_settings.clone().map(|shadow| renumber_classes(shadow, &new.settings, &settings));
+        self.engine.settings(settings.clone(), shadow_settings);
+        let had_rules = self.active.borrow().rules.is_some();
         let rules = match rules {
             // No file is named any more: nothing is narrowed.
-            None if had => {
+            None if had_rules => {
                 tracing::info!("SIGHUP: no limits any more");
                 Some(Arc::new(RuleSet::unrestricted()))
             }
@@ -272,71 +308,74 @@
         if let Some(rules) = &rules {
             self.engine.rules(rules.clone());
         }
-        self.in_force.send_replace(Rc::new(InForce::new(site.clone(), rules, &self.metrics)));
-        config.took(new, site);
+        self.active.send_replace(Rc::new(InForce::new(settings.clone(), rules, &self.metrics)));
+        config.replace(new, settings);
         Ok(())
     }
 }
 
 /// Settings that are only watched, with their classes under the numbers of those in force.
-fn beside(mut watched: Settings, told: &InstanceSettings, site: &InstanceSettings) -> Settings {
-    let own = std::mem::replace(&mut watched.classes, site.settings.classes.clone());
-    for (name, class) in told.classes.iter().zip(own) {
-        if let Some(n) = site.classes.iter().position(|held| held == name) {
-            watched.classes[n] = class;
+fn renumber_classes(mut shadow: Settings, read: &InstanceSettings, active: &InstanceSettings) -> Settings {
+    let shadow_classes = std::mem::replace(&mut shadow.classes, active.settings.classes.clone());
+    for (name, class) in read.classes.iter().zip(shadow_classes) {
+        if let Some(number) = active.classes.iter().position(|active_name| active_name == name) {
+            shadow.classes[number] = class;
         }
     }
-    watched
+    shadow
 }
 
 /// Reads the operator's file and proves it against the settings; a file at fault changes nothing.
-fn read_limits(path: &Path, site: &InstanceSettings) -> Result<RuleSet> {
+fn read_limits(path: &Path, settings: &InstanceSettings) -> Result<RuleSet> {
     let text = std::fs::read_to_string(path).with_context(|| format!("limits '{}'", path.display()))?;
-    let Checked { faults, rules: read } = dunlincleat_limits::check(&text, site);
+    let Checked { faults, rules } = dunlincleat_limits::check(&text, settings);
     let (errors, warnings): (Vec<_>, Vec<_>) =
         faults.iter().partition(|fault| fault.severity == Severity::Error);
     for warning in warnings {
         tracing::warn!("limits {}:{warning}", path.display());
     }
-    let Some(read) = read else {
+    let Some(rules) = rules else {
         let faults: Vec<String> = errors.iter().map(ToString::to_string).collect();
         bail!("limits '{}' refused, {} faults: {}", path.display(), faults.len(), faults.join(" | "));
     };
-    let (routes, pools) = (read.rules().count() - 1, read.pools().len());
+    let routes = rules.rules().count() - 1;
+    let pools = rules.pools().len();
     tracing::info!("limits {} taken up: {routes} routes, {pools} pools", path.display());
-    Ok(read)
+    Ok(rules)
 }
 
 /// The list to start from: the one that was kept on disk, where that is of a later version than the one told.
-fn kept_list(own: &Own, told: Listing, now: Time) -> Listing {
-    let Some(path) = &own.list_file else { return told };
-    let read = match std::fs::read(path) {
+fn initial_list(options: &Own, configured: Listing, now: Time) -> Listing {
+    let Some(path) = &options.list_file else { return configured };
+    let stored = match std::fs::read(path) {
         Ok(bytes) => Snapshot::decode(&bytes),
-        Err(error) if error.kind() == std::io::ErrorKind::NotFound => return told,
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => return configured,
         Err(error) => Err(error.into()),
     };
-    match read {
+    match stored {
         // What changed after its version would not bring the servers of a service that it left out.
-        Ok(kept) if kept.interest != own.interest => {
+        Ok(snapshot) if snapshot.interest != options.interest => {
             tracing::info!("list kept in {}: it is of other services, and not used", path.display());
-            told
+            configured
         }
-        Ok(kept) if kept.listing.rev > told.rev => {
-            let (rev, age) = (kept.listing.rev, kept.age(now).0 / 1_000_000);
+        Ok(snapshot) if snapshot.listing.rev > configured.rev => {
+            let rev = snapshot.listing.rev;
+            let age = snapshot.age(now).0 / 1_000_000;
             tracing::info!("list kept in {}: revision {rev}, {age} s old", path.display());
-            kept.listing
+            snapshot.listing
         }
-        Ok(kept) => {
-            let (rev, told_rev) = (kept.listing.rev, told.rev);
+        Ok(snapshot) => {
+            let rev = snapshot.listing.rev;
+            let configured_rev = configured.rev;
             tracing::info!(
-                "list kept in {}: revision {rev} is not used, {told_rev} was told",
+                "list kept in {}: revision {rev} is not used, {configured_rev} was told",
                 path.display()
             );
-            told
+            configured
         }
         Err(error) => {
             tracing::warn!("list kept in {} is not used: {error:#}", path.display());
-            told
+            configured
         }
     }
 }
--- a/crates/sidecar/src/logger.rs
+++ b/crates/sidecar/src/logger.rs
@@ -14,7 +14,7 @@
 
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum LogFormat {
     /// `seconds.millis LEVEL part: text`.
     #[default]
     Text,
@@ -24,19 +24,20 @@
 
 /// Which lines are written. What other crates log comes through at warn and above; what actix-http says of each
 /// client that sends what can't be read never does, the front tells of those once a second.
-struct Levels(LevelFilter);
+struct LevelFilterByTarget(LevelFilter);
 
-impl Levels {
-    fn lets(&self, meta: &Metadata<'_>) -> bool {
-        let ours = meta.target().starts_with("dunlincleat");
-        let others = *meta.level() <= tracing::Level::WARN && !meta.target().starts_with("actix_http");
-        (ours || others) && *meta.level() <= self.0
+impl LevelFilterByTarget {
+    fn permits(&self, meta: &Metadata<'_>) -> bool {
+        let own_target = meta.target().starts_with("dunlincleat");
+        let foreign_target =
+            *meta.level() <= tracing::Level::WARN && !meta.target().starts_with("actix_http");
+        (own_target || foreign_target) && *meta.level() <= self.0
     }
 }
 
-impl<S> Filter<S> for Levels {
+impl<S> Filter<S> for LevelFilterByTarget {
     fn enabled(&self, meta: &Metadata<'_>, _: &Context<'_, S>) -> bool {
-        self.lets(meta)
+        self.permits(meta)
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
@@ -44,30 +45,31 @@
     }
 }
 
-static LEVELS: OnceLock<Handle<Levels, Registry>> = OnceLock::new();
+static FILTER_HANDLE: OnceLock<Handle<LevelFilterByTarget, Registry>> = OnceLock::new();
 
 /// Starts logging of lines of this level and above.
-pub fn start(level: LevelFilter, form: Form) {
-    let (levels, handle) = reload::Layer::new(Levels(level));
-    let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).event_format(Line(form));
-    let subscriber = Registry::default().with(lines.with_filter(levels));
+pub fn start(level: LevelFilter, format: LogFormat) {
+    let (filter, handle) = reload::Layer::new(LevelFilterByTarget(level));
+    let lines =
+        tracing_subscriber::fmt::layer().with_writer(std::io::stderr).event_format(LineFormatter(format));
+    let subscriber = Registry::default().with(lines.with_filter(filter));
     // Fails only where a log is set already, and then there is one.
     if tracing::subscriber::set_global_default(subscriber).is_ok() {
-        let _ = LEVELS.set(handle);
+        let _ = FILTER_HANDLE.set(handle);
     }
 }
 
 /// Changes the least level that is written.
 pub fn set_level(level: LevelFilter) {
-    if let Some(handle) = LEVELS.get() {
+    if let Some(handle) = FILTER_HANDLE.get() {
         // Fails only where the subscriber is gone, with the process.
-        let _ = handle.reload(Levels(level));
+        let _ = handle.reload(LevelFilterByTarget(level));
     }
 }
 
-struct Line(Form);
+struct LineFormatter(LogFormat);
 
-impl<S, N> FormatEvent<S, N> for Line
+impl<S, N> FormatEvent<S, N> for LineFormatter
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -89,11 +91,11 @@
         let mut text = String::new();
         ctx.format_fields(Writer::new(&mut text), event)?;
         match self.0 {
-            Form::Text => {
+            LogFormat::Text => {
                 let (secs, ms) = (now.as_secs(), now.subsec_millis());
                 writeln!(writer, "{secs}.{ms:03} {} {part}: {text}", meta.level())
             }
-            Form::Json => {
+            LogFormat::Json => {
                 let time = now.as_millis() as f64 / 1e3;
                 let level = meta.level().as_str();
                 writeln!(
