--- a/crates/handover/src/tests.rs
+++ b/crates/handover/src/tests.rs
@@ -26,20 +26,20 @@
 #[test]
 fn descriptors_that_are_no_listening_tcp_socket_are_rejected() -> Result<()> {
     let rejection = |fd: RawFd| take_listener(fd).map(drop).unwrap_err().to_string();
-    assert!(rejection(1 << 20).contains("is no open descriptor"));
-    assert!(rejection(-1).contains("is no open descriptor"));
+    assert!(rejection(1 << 20).contains("is not an open descriptor"));
+    assert!(rejection(-1).contains("is not an open descriptor"));
     let file = std::fs::File::open("/dev/null")?;
+    assert!(rejection(std::os::fd::AsRawFd::as_raw_fd(&file)).contains("expected a listening TCP socket"));
     assert!(
-        rejection(std::os::fd::AsRawFd::as_raw_fd(&file)).contains("right would be a listening TCP socket")
+        rejection(UdpSocket::bind("127.0.0.1:0")?.into_raw_fd()).contains("is not a listening TCP socket")
     );
-    assert!(rejection(UdpSocket::bind("127.0.0.1:0")?.into_raw_fd()).contains("is no listening TCP socket"));
     let bound = Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
     assert!(
-        rejection(bound.into_raw_fd()).contains("is no listening TCP socket"),
+        rejection(bound.into_raw_fd()).contains("is not a listening TCP socket"),
         "the socket is bound but not listening"
     );
     let elsewhere = TcpListener::bind("127.0.0.1:0")?;
     let error = check_address(&elsewhere, "127.0.0.1:9".parse()?).unwrap_err().to_string();
-    assert!(error.contains("right would be 127.0.0.1:9"));
+    assert!(error.contains("expected 127.0.0.1:9"));
     Ok(())
 }
--- a/crates/sidecar/src/bin/dunlincleat.rs
+++ b/crates/sidecar/src/bin/dunlincleat.rs
@@ -1,4 +1,4 @@
-//! `dunlincleat`: the sidecar, and what an operator asks of a file before it is used.
+//! `dunlincleat`: the sidecar and its operator tools, such as validation of a limits file before it is used.
 
 #![forbid(unsafe_code)]
 
--- a/crates/sidecar/src/cli.rs
+++ b/crates/sidecar/src/cli.rs
@@ -1,5 +1,5 @@
-//! The command line: `serve`, and what an operator asks of a file before it is used. Text for persons, JSON for
-//! programs; 0 is good, 1 faults were found, 2 nothing could be read.
+//! The command line: `serve` and the tools for operators. Output is text for people or JSON for programs; the exit code
+//! is 0 for success, 1 for faults found, 2 for input that can't be read.
 
 use crate::config::parse_settings;
 use anyhow::{Context, Result, anyhow};
@@ -27,77 +27,77 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Format {
-    /// For persons.
+    /// Text for people
     Text,
-    /// For programs.
+    /// JSON for programs
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve as told by the environment, as dunlincleat-sidecar does
+    /// Run the sidecar with the configuration of the environment, as dunlincleat-sidecar does
     Serve {
-        /// The operator's file; goes before EDGE_LIMITS and the configuration's key `limits_file`
+        /// The limits file; takes precedence over EDGE_LIMITS and the configuration's key `limits_file`
         #[arg(long, value_name = "FILE")]
         limits: Option<PathBuf>,
     },
-    /// Prove an operator's file: exit 0 good, 1 faults found, 2 unreadable
+    /// Validate a limits file; exits with 0 if valid, 1 if faults were found, 2 if unreadable
     Check {
-        /// The operator's file
+        /// The limits file
         file: PathBuf,
-        /// The settings to prove it against: the settings object, or a configuration that holds it
+        /// The settings to validate it against: a settings object, or a configuration that contains one
         #[arg(long, value_name = "FILE", env = "EDGE_CONFIG")]
         settings: Option<PathBuf>,
-        /// How to tell the faults
+        /// Output format
         #[arg(long, value_enum, default_value = "text")]
         format: Format,
     },
-    /// Show which route a request is under, and which line said so
+    /// Show the route that applies to a request, and the lines that set its values
     Route {
-        /// The operator's file
+        /// The limits file
         file: PathBuf,
-        /// The settings: the settings object, or a configuration that holds it
+        /// The settings: a settings object, or a configuration that contains one
         #[arg(long, value_name = "FILE", env = "EDGE_CONFIG")]
         settings: PathBuf,
-        /// The request's class
+        /// The class of the request
         #[arg(long)]
         class: String,
-        /// The request's tenant
+        /// The tenant of the request
         #[arg(long)]
         tenant: Option<String>,
-        /// The request's path; the class alone if it is left out
+        /// The path of the request; default: / and the class
         #[arg(long)]
         path: Option<String>,
-        /// The request's method; that of the class if it is left out
+        /// The method of the request; default: GET for a safe class, else POST
         #[arg(long)]
         method: Option<String>,
-        /// A header of the request, as NAME=VALUE
+        /// A header of the request, may be repeated
         #[arg(long = "header", value_name = "NAME=VALUE")]
         headers: Vec<String>,
-        /// How to show it
+        /// Output format
         #[arg(long, value_enum, default_value = "text")]
         format: Format,
     },
-    /// What a running sidecar knows of its fleet's duties, by its console; with `hand`, let one go
+    /// Show the duties of the fleet as a running sidecar knows them; with `hand`, release one
     Duties {
-        /// The sidecar's console
+        /// The address of the sidecar's console
         #[arg(long, value_name = "ADDRESS", env = "EDGE_CONSOLE", global = true)]
         console: Option<SocketAddr>,
-        /// How to show them
+        /// Output format
         #[arg(long, value_enum, default_value = "text", global = true)]
         format: Format,
-        /// What to do
+        /// A command for a duty
         #[command(subcommand)]
         order: Option<DutiesOrder>,
     },
-    /// Explain a code that check tells, or list all
+    /// Explain a fault code that check reports, or list all codes
     Explain {
-        /// The code, as DL033
+        /// The fault code, such as DL033
         code: Option<String>,
     },
-    /// Write a shell's completions to standard output
+    /// Write the completion script of a shell to standard output
     Completions {
-        /// Which shell
+        /// The shell
         shell: Shell,
     },
     /// Write the manual page to standard output
@@ -106,16 +106,16 @@
 
 #[derive(Subcommand)]
 enum DutiesOrder {
-    /// Let a duty go that this sidecar holds
+    /// Release a duty that this sidecar holds
     Hand {
         /// The duty
         duty: String,
-        /// Who is to hold it next: a voter; left out, whoever comes
+        /// The voter that is to hold it next; default: any
         to: Option<String>,
     },
 }
 
-/// Runs the program.
+/// Runs the command line and returns the exit code.
 #[must_use]
 pub fn main() -> ExitCode {
     let result = match Cli::parse().command {
@@ -160,7 +160,7 @@
     parse_settings(&read_file(file)?).with_context(|| file.display().to_string())
 }
 
-/// Writes to standard output; a reader that has gone is no fault.
+/// Writes a line to standard output. A closed pipe is not an error.
 fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
@@ -207,16 +207,16 @@
         return Ok(ExitCode::from(1));
     };
     let class = settings.classes.iter().position(|name| *name == query.class);
-    let class =
-        class.ok_or_else(|| anyhow!("no class '{}': one of {}", query.class, settings.classes.join(", ")))?;
-    let tenant = match &query.tenant {
-        None => settings.tenants.len(),
-        Some(name) => settings
-            .tenants
-            .iter()
-            .position(|tenant| tenant == name)
-            .ok_or_else(|| anyhow!("no tenant '{name}': one of {}", settings.tenants.join(", ")))?,
-    };
+    let class = class.ok_or_else(|| {
+        anyhow!("no class '{}'; expected one of {}", query.class, settings.classes.join(", "))
+    })?;
+    let tenant =
+        match &query.tenant {
+            None => settings.tenants.len(),
+            Some(name) => settings.tenants.iter().position(|tenant| tenant == name).ok_or_else(|| {
+                anyhow!("no tenant '{name}'; expected one of {}", settings.tenants.join(", "))
+            })?,
+        };
     let headers = query.headers.iter().map(|header| {
         header.split_once('=').map(|(name, value)| (name.to_ascii_lowercase(), value)).ok_or(header)
     });
@@ -292,24 +292,25 @@
     }
 }
 
-/// How long a console may take to reply.
+/// Time limit for connecting to a console, and for each read of its reply.
 const CONSOLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One call of a console, and its reply.
+/// Sends one call to a console and returns the reply.
 fn call_console(console: SocketAddr, call: &str) -> Result<String> {
     let mut stream = TcpStream::connect_timeout(&console, CONSOLE_TIMEOUT)
         .with_context(|| format!("--console: '{console}'"))?;
     stream.set_read_timeout(Some(CONSOLE_TIMEOUT))?;
     stream.write_all(format!("{call}\n").as_bytes())?;
     let mut reply = String::new();
-    stream.read_to_string(&mut reply).with_context(|| format!("--console: '{console}' does not answer"))?;
+    stream.read_to_string(&mut reply).with_context(|| format!("--console: no reply from '{console}'"))?;
     Ok(reply)
 }
 
-/// What is known of the duties, or an order.
+/// Shows the duties, or releases one.
 fn run_duties(console: Option<SocketAddr>, format: Format, order: Option<DutiesOrder>) -> Result<ExitCode> {
-    let console =
-        console.context("--console: none is named; right would be the sidecar's, as 127.0.0.1:7300")?;
+    let console = console.context(
+        "--console is missing; expected the address of the sidecar's console, such as 127.0.0.1:7300",
+    )?;
     if let Some(DutiesOrder::Hand { duty, to }) = order {
         let reply = call_console(console, &format!("hand {duty} {}", to.unwrap_or_default()))?;
         print_line(reply.trim_end());
@@ -349,8 +350,8 @@
         Code::ALL.iter().for_each(|code| print_line(&format!("{code}  {}", code.title())));
         return Ok(ExitCode::SUCCESS);
     };
-    let code =
-        Code::from_name(name).ok_or_else(|| anyhow!("no code '{name}'; 'dunlincleat explain' lists all"))?;
+    let code = Code::from_name(name)
+        .ok_or_else(|| anyhow!("unknown code '{name}'; 'dunlincleat explain' lists all"))?;
     print_line(&format!("{code}: {}\n\n{}", code.title(), code.explain()));
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,7 +1,7 @@
-//! What the sidecar is told at its start: read, checked and given its defaults here and nowhere else.
+//! The configuration of the sidecar: read, validated and completed with defaults here and nowhere else.
 //!
-//! `EDGE_CONFIG` names a JSON file. `EDGE_NAME`, `EDGE_LISTEN` and `EDGE_DISCOVERY` go before its keys of the
-//! same meaning. Unknown keys are passed over; each message names the key at fault.
+//! `EDGE_CONFIG` names a JSON file. `EDGE_NAME`, `EDGE_LISTEN` and `EDGE_DISCOVERY` take precedence over its keys of the
+//! same meaning. Unknown keys are ignored; each error message names the key at fault.
 
 use crate::logger::LogFormat;
 use anyhow::{Context, Result, anyhow, bail};
@@ -18,76 +18,76 @@
 use std::time::Duration;
 use tracing::level_filters::LevelFilter;
 
-/// Descriptors kept for what is no traffic: standard streams, the poller, signals, listener, discovery, spares.
+/// Descriptors reserved for other uses than traffic: standard streams, poller, signals, listener, discovery, spares.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// The bytes that the names of services may have in all: they go into the head of a call of discovery.
+/// Maximum total length of the service names in bytes: they are sent in the head of each discovery call.
 const MAX_SERVICE_NAME_BYTES: usize = 16 << 10;
-/// The same for the console: its connections, its listener, its poller and a signal to it.
+/// Descriptors reserved for the console: its connections, its listener, its poller and a signal to it.
 const CONSOLE_DESCRIPTORS: usize = dunlincleat_console::MAX_CONNECTIONS + 8;
 
-/// All that the sidecar is told.
+/// The configuration of one process.
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The name of the sidecar, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where operators call, where that is told.
+    /// The address of the operators' console, if any.
     pub console: Option<SocketAddr>,
-    /// Where discovery answers.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// The seed of the random numbers, new at each start.
     pub seed: u64,
-    /// The list of servers as last held.
+    /// The last known list of servers.
     pub known_servers: Listing,
-    /// The settings object.
+    /// The settings of the balancer.
     pub settings: Arc<InstanceSettings>,
-    /// The figures that the deployment does not tell, from the object `sidecar`, each with a default.
+    /// Limits and timeouts of the process, from the object `sidecar`, each with a default.
     pub options: Rc<Own>,
-    /// The least level of log lines.
+    /// The minimum level of log lines.
     pub log_level: LevelFilter,
-    /// How log lines are written.
+    /// The format of log lines.
     pub log_format: LogFormat,
     /// How long connections are still accepted after SIGTERM.
     pub accept_after_term: Duration,
-    /// How long after SIGTERM the process ends at the latest.
+    /// How long after SIGTERM the process exits at the latest.
     pub end_after_term: Duration,
-    /// The operator's file, where one is named.
+    /// The limits file, if one is named.
     pub limits_file: Option<PathBuf>,
-    /// Settings that are only watched: how they would have decided is counted.
+    /// Shadow settings: their decisions are counted but affect no request.
     pub shadow_settings: Option<Settings>,
-    /// The descriptors that it was told and those that the machine lets it have, where these are fewer.
+    /// Set if the limit on open files is lower than the configured number of descriptors.
     pub lowered_descriptors: Option<DescriptorLimits>,
-    /// What is taken up only at a start, by key, to tell where a new file differs in it.
+    /// The values that need a restart, to report changes of them at a reload.
     restart_only: Vec<RestartOnlyValue>,
-    /// The file as it was read.
+    /// The file as read.
     file: Value,
 }
 
-/// The descriptors that the configuration asks for and those that the machine allows.
+/// The number of descriptors that is configured and the number that the operating system allows.
 #[derive(Clone, Copy)]
 pub struct DescriptorLimits {
     pub configured: usize,
     pub actual: usize,
 }
 
-/// A key that is taken up only at a start, with its value.
+/// A key whose changes need a restart, with its value.
 #[derive(PartialEq)]
 struct RestartOnlyValue {
     key: &'static str,
     value: Option<Value>,
 }
 
-/// Where a key of the file and a variable say the same thing, the one that goes before the other.
+/// Which of an environment variable and a key of the file of the same meaning takes precedence.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Precedence {
     Variable,
     File,
 }
 
-/// The keys that a reload does not take up. `seed` and `known` matter at a start alone.
+/// The keys that a reload does not apply. `seed` and `known` are used only at the start and are not reported.
 const RESTART_ONLY_KEYS: [&str; 5] = ["name", "listen", "console", "limits", "sidecar"];
 
-/// The keys that may come and go with a reload.
+/// The keys that a reload may add or remove.
 const OPTIONAL_KEYS: [&str; 4] = ["known", "limits_file", "sidecar", "watch"];
 
 impl Config {
@@ -96,12 +96,12 @@
         Config::load(Precedence::Variable)
     }
 
-    /// Reads them once more. The environment is that of the start: the file's `discovery` is the newer word.
+    /// Reads both again. The environment is that of the start, so `discovery` in the file is newer and takes precedence.
     pub fn reread() -> Result<Config> {
         Config::load(Precedence::File)
     }
 
-    /// The first key that the file in force has and the other's lacks, of those that may not be left out.
+    /// The first key that the active file has and the new one lacks, other than the optional ones.
     pub fn removed_key(&self, new: &Config) -> Option<String> {
         let (Value::Object(old_keys), Value::Object(new_keys)) = (&self.file, &new.file) else { return None };
         let mut required = old_keys.iter().filter(|(key, _)| !OPTIONAL_KEYS.contains(&key.as_str()));
@@ -112,17 +112,16 @@
         })
     }
 
-    /// The keys in which the other differs, of those that are taken up only at a start.
+    /// The keys that differ in the new configuration and need a restart.
     pub fn restart_only_changes(&self, new: &Config) -> Vec<&'static str> {
         let pairs = self.restart_only.iter().zip(&new.restart_only);
         pairs.filter(|(old, new)| old != new).map(|(old, _)| old.key).collect()
     }
 
-    /// What a reload took up is in force.
+    /// Replaces the configuration after a reload, except for what needs a restart.
     pub fn replace(&mut self, new: Config, settings: Arc<InstanceSettings>) {
-        // A request in hand may have been taken under a longer deadline: at SIGTERM it has its time all the same.
+        // A request in flight may have been accepted under a longer deadline: after SIGTERM it still has that time.
         let end_after_term = self.end_after_term.max(new.end_after_term);
-        // What is taken up only at a start stays as it was.
         *self = Config {
             restart_only: std::mem::take(&mut self.restart_only),
             listen: self.listen,
@@ -174,7 +173,7 @@
             .then(|| read_text("EDGE_CONSOLE", "console", Precedence::Variable)?.into_address())
             .transpose()?;
         if let Some(console) = console.filter(|console| *console == listen) {
-            bail!("console: '{console}' is where clients connect; right would be an address of its own");
+            bail!("console: '{console}' is the address for clients; expected another address");
         }
         let discovery = read_text("EDGE_DISCOVERY", "discovery", discovery_precedence)?.into_address()?;
         let seed = match file.remove("seed") {
@@ -192,17 +191,19 @@
                 Some(dunlincleat_settings::read_value(merged).context("EDGE_CONFIG: watch")?)
             }
             Some(other) => {
-                bail!("EDGE_CONFIG: watch: {other} is no object of settings that differ from those in force")
+                bail!(
+                    "EDGE_CONFIG: watch: {other} is not an object; expected the settings that differ from the active ones"
+                )
             }
         };
         let settings = dunlincleat_settings::read_value(settings).context("EDGE_CONFIG")?;
         let shadow_settings = match shadow {
             Some(shadow) if shadow.classes != settings.classes || shadow.tenants != settings.tenants => {
                 bail!(
-                    "EDGE_CONFIG: watch: its classes or tenants are not those of settings, by name and order"
+                    "EDGE_CONFIG: watch: its classes or tenants differ from those of settings in name or order"
                 )
             }
-            // The protocol has no messages between sidecars.
+            // There is no protocol for messages between sidecars.
             shadow => shadow.map(|mut shadow| {
                 shadow.settings.limits.peer_messages = false;
                 shadow.settings
@@ -223,7 +224,7 @@
             (Some(path), _) => Some(PathBuf::from(path)),
             (None, None | Some(Value::Null)) => None,
             (None, Some(Value::String(path))) if !path.is_empty() => Some(PathBuf::from(path)),
-            (None, Some(other)) => bail!("EDGE_CONFIG: limits_file: {other} is no path"),
+            (None, Some(other)) => bail!("EDGE_CONFIG: limits_file: {other} is not a path"),
         };
         let section = match file.remove("sidecar") {
             None | Some(Value::Null) => Map::new(),
@@ -259,14 +260,14 @@
     let mut values = RESTART_ONLY_KEYS.map(|key| RestartOnlyValue { key, value: file.get(key).cloned() });
     for entry in &mut values {
         if let Some(section) = entry.value.as_mut().and_then(Value::as_object_mut) {
-            // The level of the log is taken up at once.
+            // A reload applies the log level.
             section.remove("log");
         }
     }
     values.into()
 }
 
-/// A text with the variable or key that it was read from.
+/// A text with the name of the variable or key that it was read from.
 struct SourcedText {
     text: String,
     source: String,
@@ -292,29 +293,29 @@
     }
 }
 
-/// The names of `sidecar.services`.
+/// Parses `sidecar.services`.
 fn parse_services(value: &Value) -> Result<Vec<String>> {
-    let expected = "right would be the names of the services called, or no such key for all servers";
+    let expected = "expected the names of the services called, or no such key for all servers";
     let names =
         value.as_array().with_context(|| format!("EDGE_CONFIG: sidecar.services: {value}; {expected}"))?;
     if names.is_empty() {
-        bail!("EDGE_CONFIG: sidecar.services: no name; {expected}");
+        bail!("EDGE_CONFIG: sidecar.services: the list is empty; {expected}");
     }
     let name = |name: &Value| match name.as_str() {
         Some(text) if !text.is_empty() => Ok(text.to_owned()),
-        _ => bail!("EDGE_CONFIG: sidecar.services: {name} is no name; {expected}"),
+        _ => bail!("EDGE_CONFIG: sidecar.services: {name} is not a name; {expected}"),
     };
     let names = names.iter().map(name).collect::<Result<Vec<_>>>()?;
     let bytes: usize = names.iter().map(|name| name.len() + 1).sum();
     if bytes > MAX_SERVICE_NAME_BYTES {
         bail!(
-            "EDGE_CONFIG: sidecar.services: names of {bytes} bytes in all, over {MAX_SERVICE_NAME_BYTES}; {expected}"
+            "EDGE_CONFIG: sidecar.services: the names have {bytes} bytes in total, the maximum is {MAX_SERVICE_NAME_BYTES}; {expected}"
         );
     }
     Ok(names)
 }
 
-/// What the object `sidecar` says.
+/// The values of the object `sidecar`, completed with defaults.
 struct SidecarSection {
     options: Own,
     log_level: LevelFilter,
@@ -332,10 +333,10 @@
         console_descriptors: usize,
     ) -> Result<SidecarSection> {
         let reserved = RESERVED_DESCRIPTORS + console_descriptors;
-        // Guards discovery and the console: by the told number alone, clients took the last descriptor of a machine that
-        // gives fewer, and no watch could be opened any more.
+        // Protects discovery and the console: with the configured number alone, on a machine that allows fewer, clients
+        // used up the last descriptor, and no discovery watch could be opened any more.
         let (descriptors, source) = match lowered_descriptors {
-            Some(lowered) => (lowered.actual, "the machine's limit on open files, lower than limits.sockets"),
+            Some(lowered) => (lowered.actual, "the limit on open files, lower than limits.sockets"),
             None => (limits.sockets, "limits.sockets"),
         };
         let number = |key: &str, default: u64, min: u64| -> Result<u64> {
@@ -354,15 +355,17 @@
         let log_level = match section.get("log") {
             None => LevelFilter::INFO,
             Some(level) => level.as_str().and_then(parse_log_level).with_context(|| {
-                format!("EDGE_CONFIG: sidecar.log: {level} is none of off, error, warn, info, debug, trace")
+                format!("EDGE_CONFIG: sidecar.log: {level} is not a level; expected off, error, warn, info, debug or trace")
             })?,
         };
         let log_format = match section.get("log_form").map(|form| form.as_str().unwrap_or_default()) {
             None | Some("text") => LogFormat::Text,
             Some("json") => LogFormat::Json,
-            Some(other) => bail!("EDGE_CONFIG: sidecar.log_form: '{other}' is neither text nor json"),
+            Some(other) => {
+                bail!("EDGE_CONFIG: sidecar.log_form: '{other}' is not a format; expected text or json")
+            }
         };
-        // Half of the descriptors for each side.
+        // Half of the descriptors for clients, half for servers.
         let half = (descriptors.saturating_sub(reserved) / 2) as u64;
         if half == 0 {
             bail!("EDGE_CONFIG: {source}: {descriptors} is under {}", reserved + 2);
@@ -396,7 +399,7 @@
         let list_file = match section.get("list_file") {
             None => None,
             Some(Value::String(path)) if !path.is_empty() => Some(PathBuf::from(path)),
-            Some(other) => bail!("EDGE_CONFIG: sidecar.list_file: {other} is no path"),
+            Some(other) => bail!("EDGE_CONFIG: sidecar.list_file: {other} is not a path"),
         };
         let interest = match section.get("services") {
             None => Interest::default(),
@@ -411,7 +414,7 @@
             configured => configured,
         };
         let body_bytes = number("body_bytes", 64 * 1024, 1)?;
-        // Half of the memory for bodies: a request's and its answer's, each once more in a buffer on its way.
+        // Half of the memory is for bodies: those of a request and its response, each held a second time in a buffer.
         let requests_in_memory = ((limits.memory_mb << 20) / 2 / (4 * body_bytes)).max(1);
         let requests = settings.max_open.unwrap_or(u64::MAX).min(half).min(requests_in_memory);
         let options = Own {
@@ -421,13 +424,13 @@
             client_request: millis("client_request_ms", 2600, 1)?,
             client_idle: millis("client_idle_ms", 3000, 2000)?,
             server_connections,
-            // The server closes one that is as old as the site's figure at the latest: four fifths of it are before, and
-            // half of it had quiet sidecars open a connection for every other request.
+            // Servers close a connection that was idle for `conn_idle` at the latest. Four fifths of that is safely
+            // earlier; with half of it, sidecars with little traffic opened a connection for every other request.
             idle: millis("idle_ms", settings.conn_idle.map_or(2500, |idle| ms(idle) * 4 / 5), 1)?,
             connect: millis("connect_ms", connect_timeout, 1)?,
-            // A probe that takes a quarter of the tightest aim tells nothing that is of use any more.
+            // A probe that takes more than a quarter of the shortest aim gives no useful information any more.
             probe: millis("probe_ms", connect_timeout.min(shortest_aim / 4).max(1), 1)?,
-            // An answer is written in one go: one that stops for longer will not come in time.
+            // Servers write a response in one go: one that stalls for longer will not be complete in time.
             answer_stall: millis("answer_stall_ms", (shortest_aim / 4).max(1), 1)?,
             watch,
             interest,
@@ -440,18 +443,18 @@
     }
 }
 
-/// The settings in a text that is the settings object itself, or a configuration that holds it.
+/// Parses a text that is a settings object, or a configuration that contains one.
 ///
 /// # Errors
 ///
-/// The text is no JSON, or the settings in it are at fault; names the key.
+/// The text is not JSON, or the settings are invalid; the message names the key.
 pub fn parse_settings(text: &str) -> Result<InstanceSettings> {
     let mut value: Value = serde_json::from_str(text).context("not JSON")?;
     let settings = value.as_object_mut().and_then(|object| object.remove("settings"));
     dunlincleat_settings::read_value(settings.unwrap_or(value))
 }
 
-/// Lays the keys of one object over those of another, objects within them key by key.
+/// Merges the keys of an overlay into an object, recursively.
 fn merge(base: &mut Value, overlay: Value) {
     match (base, overlay) {
         (Value::Object(base), Value::Object(overlay)) => {
@@ -464,27 +467,25 @@
 }
 
 fn parse_log_level(name: &str) -> Option<LevelFilter> {
-    // Numbers, which tracing would take too, are no names.
+    // `LevelFilter` also parses numbers, which are not accepted here.
     name.parse().ok().filter(|_| name.chars().all(|c| c.is_ascii_alphabetic()))
 }
 
-/// The descriptor of the listening socket that the platform holds, where it does.
+/// The descriptor of the listening socket that the platform holds, if any.
 ///
 /// # Errors
 ///
-/// `EDGE_INHERITED_FD` is no number.
+/// `EDGE_INHERITED_FD` is not a descriptor number above those of the standard streams.
 pub fn inherited_descriptor() -> Result<Option<std::os::fd::RawFd>> {
     let Some(text) = env("EDGE_INHERITED_FD")? else { return Ok(None) };
     let descriptor = text.parse().ok().filter(|descriptor| *descriptor > 2);
     let descriptor = descriptor.with_context(|| {
-        format!(
-            "EDGE_INHERITED_FD: '{text}' is no descriptor; right would be the number of a listening socket"
-        )
+        format!("EDGE_INHERITED_FD: '{text}' is not a descriptor; expected the number of a listening socket")
     })?;
     Ok(Some(descriptor))
 }
 
-/// Descriptors that the machine lets this process have, where it tells a limit.
+/// The limit of the operating system on open files of this process, if there is one.
 fn open_files_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"))?;
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -17,22 +17,25 @@
     Config::parse(&text, Precedence::Variable, |_| Ok(None), None)
 }
 
-/// Settings that are only watched are proved like those in force, and must speak of the same classes.
+/// Shadow settings are validated like the active ones and must have the same classes.
 #[test]
 fn shadow_settings_are_merged_with_the_active_ones_and_validated() -> Result<()> {
     let with_watch = |watch: &str| config(&format!("{{}},\"watch\":{watch}"), "{}");
     let settings =
         with_watch(r#"{"weight_source":"live","limits":{"peers":true}}"#)?.shadow_settings.context("none")?;
     assert_eq!(settings.weights, dunlincleat::api::Weights::Live);
-    assert_eq!(settings.classes.len(), 2, "what is not named stays as it is");
-    assert!(!settings.limits.peer_messages, "there are no messages on sockets");
+    assert_eq!(settings.classes.len(), 2, "keys that are not named stay");
+    assert!(!settings.limits.peer_messages, "there is no protocol for messages between sidecars");
     assert!(config("{}", "{}")?.shadow_settings.is_none());
     for (watch, expected) in [
-        ("7", "watch: 7 is no object of settings"),
+        ("7", "watch: 7 is not an object; expected the settings"),
         (r#"{"objective_mix":{"tail_part":2}}"#, "watch: settings: objective_mix.tail_part: 2 is no number"),
-        (r#"{"classes":[{"name":"z","aim":1,"deadline":2,"semantics":"retryable"}]}"#, "watch: its classes"),
+        (
+            r#"{"classes":[{"name":"z","aim":1,"deadline":2,"semantics":"retryable"}]}"#,
+            "watch: its classes or tenants differ",
+        ),
     ] {
-        let Err(error) = with_watch(watch) else { bail!("taken: {watch}") };
+        let Err(error) = with_watch(watch) else { bail!("accepted: {watch}") };
         assert!(format!("{error:#}").contains(expected), "{error:#}");
     }
     Ok(())
@@ -51,7 +54,7 @@
 
 #[test]
 fn the_default_request_limit_fits_the_memory() -> Result<()> {
-    // 492 requests, as many as connections, could hold more in bodies than the memory there is.
+    // 492 requests, one per connection, could have bodies larger than the available memory.
     assert_eq!(options(r#"{"memory_mb":192}"#, "{}")?.requests, 384);
     assert_eq!(options(r#"{"memory_mb":16}"#, "{}")?.requests, 32);
     assert_eq!(options(r#"{"memory_mb":2048}"#, "{}")?.requests, 492);
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,5 +1,5 @@
-//! The assembly: reads what the sidecar is told, puts the engine between the HTTP front and the transports, follows
-//! signals. No request passes through here.
+//! Assembly of the sidecar process: reads the configuration, connects the engine with the HTTP front and the transports,
+//! and handles signals. No request passes through this crate.
 
 #![forbid(unsafe_code)]
 
@@ -35,45 +35,50 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// From the order to stand by until idle connections are closed: the front asks ten times a second, and sends nothing
-/// new 0.2 s after it was told no.
+/// From the standby command until idle connections are closed: the load balancer in front polls `/healthz` ten times a
+/// second and sends nothing new 0.2 s after the check fails.
 const STANDBY_NOTICE: Duration = Duration::from_millis(700);
 
-/// Before the end of the process, when what is still in hand is answered.
+/// How long before the exit deadline the requests still in flight are answered.
 const ABORT_MARGIN: Duration = Duration::from_millis(100);
 
-/// Serves until it is told to end. `limits` names the operator's file, before all else that names one.
+/// Serves until a signal terminates the process. `limits` names the limits file and takes precedence over the environment
+/// and the configuration.
 ///
 /// # Errors
 ///
-/// What it was told is at fault, its address is in use, or its decisions ended.
+/// The configuration is invalid, an address is in use, or the decision module stopped.
 pub fn serve(limits: Option<&Path>) -> Result<()> {
-    // Before any other descriptor is opened: its number is what it is told by.
+    // Taken before any other descriptor is opened, as the listener is identified by its number alone.
     let inherited = config::inherited_descriptor()?.map(dunlincleat_handover::take_listener);
     let inherited = inherited.transpose().context("EDGE_INHERITED_FD")?;
     actix_rt::System::new().block_on(run(limits, inherited))
 }
 
 async fn run(limits: Option<&Path>, inherited: Option<TcpListener>) -> Result<()> {
-    // Caught before anything else: an order to read a new file, uncaught, would end the process.
+    // Installed before anything else: the default action of SIGHUP would terminate the process.
     let mut hangup = signal(SignalKind::hangup()).context("SIGHUP")?;
     let mut config = Config::read()?;
     logger::start(config.log_level, config.log_format);
     tracing::info!("sidecar {} starts, {} servers known", config.name, config.known_servers.entries.len());
     if let Some(lowered) = config.lowered_descriptors {
         let DescriptorLimits { configured, actual } = lowered;
-        tracing::warn!("limits.sockets is {configured}, the machine gives {actual} descriptors: that binds");
+        tracing::warn!(
+            "limits.sockets is {configured}, but the limit on open files is {actual}: using {actual}"
+        );
     }
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
     let options = config.options.clone();
     let mut settings = config.settings.clone();
     if settings.settings.limits.peer_messages {
-        tracing::warn!("messages between sidecars have no protocol yet: the module does without");
+        tracing::warn!(
+            "limits.peers is not supported: there is no protocol for messages between sidecars; ignored"
+        );
         Arc::make_mut(&mut settings).settings.limits.peer_messages = false;
         config.settings = settings.clone();
     }
-    // All that can be at fault is tried before anything is served: a second process must not disturb the first.
+    // Everything that can fail is tried before the first request is served: a second process must not disturb the first.
     let console =
         config.console.map(|address| dunlincleat_console::bind(address).context("console")).transpose()?;
     let listener = match inherited {
@@ -86,7 +91,7 @@
         StageTiming { standby_notice: STANDBY_NOTICE, accept_after_shutdown: config.accept_after_term };
     let lifecycle = Arc::new(Lifecycle::new(StageMachine::new(std::time::Instant::now(), timing)));
     if let Some(console) = console {
-        tracing::info!("console at {}", console.local_addr()?);
+        tracing::info!("console listening at {}", console.local_addr()?);
         dunlincleat_console::start(console, lifecycle.clone(), metrics.clone(), duty_control.clone())?;
     }
     let (engine, engine_mailbox) = mailbox();
@@ -109,8 +114,8 @@
     let max_requests = u32::try_from(options.requests).unwrap_or(u32::MAX);
     let mut decision_engine = Engine::new(&settings, config.seed, max_requests);
     if let Some(shadow_settings) = config.shadow_settings.take() {
-        tracing::info!("watch: other settings are counted against those in force, and decide nothing");
-        // Another seed than any pool's: it shares no draws.
+        tracing::info!("watch: shadow settings are evaluated beside the active ones and affect no request");
+        // Not the seed of any pool, so that the shadow shares no random draws with them.
         decision_engine.set_shadow(Shadow::new(shadow_settings, &settings.settings.fields, !config.seed));
     }
     let gauges = Gauges { metrics: metrics.clone(), sample_avoided: config.console.is_some() };
@@ -145,10 +150,10 @@
     actix_rt::spawn(async move { ticking.run().await });
     loop {
         tokio::select! {
-            result = &mut front_task => return result.context("the server ended")?,
-            // Without its decisions it cannot serve: ended here, it is started again.
+            result = &mut front_task => return result.context("the HTTP server stopped")?,
+            // Without decisions no request can be served. The process exits and its supervisor restarts it.
             result = &mut decision_task => {
-                return result.context("the module ended").and(Err(anyhow!("the module ended")));
+                return result.context("the decision module stopped").and(Err(anyhow!("the decision module stopped")));
             }
             _ = hangup.recv() => reloader.reload(&mut config),
             _ = terminate.recv() => break,
@@ -156,11 +161,12 @@
         }
     }
     shut_down(&config, &lifecycle, duties, front_task).await?;
-    tracing::info!("sidecar {} ends", config.name);
+    tracing::info!("sidecar {} stopped", config.name);
     Ok(())
 }
 
-/// Serves on for a while, hands on the duties, and answers what was taken; ends in `end_after_term` at the latest.
+/// Drains the process: keeps accepting for `accept_after_term`, hands over the duties, completes the requests in flight,
+/// and returns within `end_after_term`.
 async fn shut_down(
     config: &Config,
     lifecycle: &Lifecycle,
@@ -169,11 +175,11 @@
 ) -> Result<()> {
     let started_at = Instant::now();
     tracing::info!(
-        "told to end: serving on for {:?}, then answering what was taken",
+        "shutting down: accepting requests for {:?}, then completing those in flight",
         config.accept_after_term
     );
     lifecycle.apply(Event::Shutdown);
-    // What it holds alone is handed on first, while it serves on.
+    // Duties are handed over first, while requests are still served.
     if let Some(duties) = &duties {
         drop(duties.send(DutyCommand::Shutdown));
     }
@@ -187,13 +193,13 @@
         }
     };
     match outcome {
-        Ok(result) => result.context("the server ended")??,
-        Err(_) => tracing::warn!("connections still open at the end"),
+        Ok(result) => result.context("the HTTP server stopped")??,
+        Err(_) => tracing::warn!("connections still open at the exit deadline"),
     }
     Ok(())
 }
 
-/// Stands for duties beside the others of the fleet; gives where its orders go.
+/// Starts the member that competes for the duties of the fleet; returns the sender of its commands.
 fn start_duties(
     fleet: Arc<Fleet>,
     name: &str,
@@ -209,40 +215,40 @@
     Ok(commands)
 }
 
-/// Takes up the listening socket that the platform holds: from here on other processes of this sidecar may run, which are
-/// one with it by its limits.
+/// Uses the listening socket that the platform holds. Other processes of this sidecar may then run at the same time, and
+/// share its limits.
 fn share_listener(listener: TcpListener, config: &Config) -> Result<front::Listener> {
     dunlincleat_handover::check_address(&listener, config.listen).context("EDGE_INHERITED_FD")?;
-    tracing::info!("the listening socket is the platform's, held by every process of this sidecar");
+    tracing::info!("using the listening socket of the platform, shared by every process of this sidecar");
     match dunlincleat_handover::Presence::acquire(&std::env::temp_dir(), &config.name) {
         Ok(presence) => drop(actix_rt::spawn(watch_for_peer_process(presence, config.options.clone()))),
-        Err(error) => tracing::warn!("another process of this sidecar will not be seen: {error:#}"),
+        Err(error) => tracing::warn!("cannot detect other processes of this sidecar: {error:#}"),
     }
     Ok(front::Listener::Shared(listener))
 }
 
-/// How often it is looked at whether another process of this sidecar runs.
+/// Interval between checks for another process of this sidecar.
 const PRESENCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Keeps to half of the bounds for as long as another process of this sidecar runs.
+/// Halves the connection limits while another process of this sidecar is running.
 async fn watch_for_peer_process(presence: dunlincleat_handover::Presence, options: Rc<Own>) {
     loop {
         let has_peer = presence.has_peer();
         if options.halved.replace(has_peer) != has_peer {
             let clients = options.clients_now();
             let servers = options.servers_now();
-            let state = if has_peer { "runs" } else { "runs no more" };
+            let state = if has_peer { "is running" } else { "has stopped" };
             tracing::info!(
-                "another process of this sidecar {state}: {clients} connections of clients, {servers} to servers"
+                "another process of this sidecar {state}: limits are {clients} client and {servers} server connections"
             );
         }
         sleep(PRESENCE_CHECK_INTERVAL).await;
     }
 }
 
-/// What a reload reaches.
+/// Applies a new configuration at SIGHUP.
 struct Reloader {
-    /// The operator's file that the command line names, before all else.
+    /// The limits file named on the command line, which takes precedence.
     limits_argument: Option<PathBuf>,
     class_numbering: ClassNumbering,
     engine: dunlincleat_http::Handle,
@@ -253,13 +259,14 @@
 }
 
 impl Reloader {
-    /// Takes up a new configuration, whole or not at all. Requests, connections and what the module has learnt stay.
+    /// Applies a new configuration completely or not at all. Requests in flight, connections and the state of the decision
+    /// module are kept.
     fn reload(&mut self, config: &mut Config) {
         match self.apply(config) {
             Ok(()) => self.metrics.reloads.increment(),
             Err(error) => {
                 self.metrics.reload_errors.increment();
-                tracing::error!("SIGHUP: going on with the old configuration: {error:#}");
+                tracing::error!("SIGHUP: keeping the old configuration: {error:#}");
             }
         }
     }
@@ -267,9 +274,11 @@
     fn apply(&mut self, config: &mut Config) -> Result<()> {
         let new = Config::reread()?;
         if let Some(key) = config.removed_key(&new) {
-            bail!("EDGE_CONFIG: {key} is missing; the file in force has it, and a start alone does without");
+            bail!(
+                "EDGE_CONFIG: {key} is missing; the active configuration has it, and only a restart can remove it"
+            );
         }
-        // All is proved before any of it counts.
+        // Everything is validated before anything is applied.
         let mut read_settings = InstanceSettings::clone(&new.settings);
         read_settings.settings.limits.peer_messages = false;
         let mut class_numbering = self.class_numbering.clone();
@@ -287,20 +296,20 @@
         logger::set_level(new.log_level);
         tracing::info!("SIGHUP: new configuration, discovery at {}", new.discovery);
         if !restart_only.is_empty() {
-            tracing::warn!("SIGHUP: taken up only at the next start: {}", restart_only.join(", "));
+            tracing::warn!("SIGHUP: changes that need a restart are ignored: {}", restart_only.join(", "));
         }
         if new.discovery != config.discovery {
             self.list.moved(new.discovery);
         }
-        // The engine hears of all of it before any request under it.
+        // The engine receives the new settings before any request that was accepted under them.
         let shadow_settings =
             new.shadow_settings.clone().map(|shadow| renumber_classes(shadow, &new.settings, &settings));
         self.engine.settings(settings.clone(), shadow_settings);
         let had_rules = self.active.borrow().rules.is_some();
         let rules = match rules {
-            // No file is named any more: nothing is narrowed.
+            // No limits file is named any more: the limits are lifted.
             None if had_rules => {
-                tracing::info!("SIGHUP: no limits any more");
+                tracing::info!("SIGHUP: no limits file any more; its limits are lifted");
                 Some(Arc::new(RuleSet::unrestricted()))
             }
             rules => rules,
@@ -314,7 +323,7 @@
     }
 }
 
-/// Settings that are only watched, with their classes under the numbers of those in force.
+/// Orders the classes of the shadow settings by the class numbers of the active settings.
 fn renumber_classes(mut shadow: Settings, read: &InstanceSettings, active: &InstanceSettings) -> Settings {
     let shadow_classes = std::mem::replace(&mut shadow.classes, active.settings.classes.clone());
     for (name, class) in read.classes.iter().zip(shadow_classes) {
@@ -325,7 +334,7 @@
     shadow
 }
 
-/// Reads the operator's file and proves it against the settings; a file at fault changes nothing.
+/// Reads the limits file and validates it against the settings; an invalid file changes nothing.
 fn read_limits(path: &Path, settings: &InstanceSettings) -> Result<RuleSet> {
     let text = std::fs::read_to_string(path).with_context(|| format!("limits '{}'", path.display()))?;
     let Checked { faults, rules } = dunlincleat_limits::check(&text, settings);
@@ -336,15 +345,15 @@
     }
     let Some(rules) = rules else {
         let faults: Vec<String> = errors.iter().map(ToString::to_string).collect();
-        bail!("limits '{}' refused, {} faults: {}", path.display(), faults.len(), faults.join(" | "));
+        bail!("limits '{}' rejected, {} faults: {}", path.display(), faults.len(), faults.join(" | "));
     };
     let routes = rules.rules().count() - 1;
     let pools = rules.pools().len();
-    tracing::info!("limits {} taken up: {routes} routes, {pools} pools", path.display());
+    tracing::info!("limits {} applied: {routes} routes, {pools} pools", path.display());
     Ok(rules)
 }
 
-/// The list to start from: the one that was kept on disk, where that is of a later version than the one told.
+/// The list to start with: the one stored on disk if its revision is later than that of the configured one.
 fn initial_list(options: &Own, configured: Listing, now: Time) -> Listing {
     let Some(path) = &options.list_file else { return configured };
     let stored = match std::fs::read(path) {
@@ -353,28 +362,28 @@
         Err(error) => Err(error.into()),
     };
     match stored {
-        // What changed after its version would not bring the servers of a service that it left out.
+        // Changes after its revision would not include the servers of services that it does not cover.
         Ok(snapshot) if snapshot.interest != options.interest => {
-            tracing::info!("list kept in {}: it is of other services, and not used", path.display());
+            tracing::info!("list stored in {}: ignored, as it covers other services", path.display());
             configured
         }
         Ok(snapshot) if snapshot.listing.rev > configured.rev => {
             let rev = snapshot.listing.rev;
             let age = snapshot.age(now).0 / 1_000_000;
-            tracing::info!("list kept in {}: revision {rev}, {age} s old", path.display());
+            tracing::info!("list stored in {}: using revision {rev}, {age} s old", path.display());
             snapshot.listing
         }
         Ok(snapshot) => {
             let rev = snapshot.listing.rev;
             let configured_rev = configured.rev;
             tracing::info!(
-                "list kept in {}: revision {rev} is not used, {configured_rev} was told",
+                "list stored in {}: ignoring revision {rev}, revision {configured_rev} is configured",
                 path.display()
             );
             configured
         }
         Err(error) => {
-            tracing::warn!("list kept in {} is not used: {error:#}", path.display());
+            tracing::warn!("list stored in {}: ignored: {error:#}", path.display());
             configured
         }
     }
--- a/crates/sidecar/src/logger.rs
+++ b/crates/sidecar/src/logger.rs
@@ -1,4 +1,4 @@
-//! The log: one line a message on standard error, `time level part: message`, or one JSON object a line.
+//! Logging to standard error: one line per message, `time level part: message`, or one JSON object per line.
 
 use std::fmt;
 use std::sync::OnceLock;
@@ -12,7 +12,7 @@
 use tracing_subscriber::reload::{self, Handle};
 use tracing_subscriber::{Layer, Registry};
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
     /// `seconds.millis LEVEL part: text`.
@@ -22,8 +22,8 @@
     Json,
 }
 
-/// Which lines are written. What other crates log comes through at warn and above; what actix-http says of each
-/// client that sends what can't be read never does, the front tells of those once a second.
+/// Selects the lines to be written. Lines of other crates pass at warn and above. Those of actix-http never do: it logs
+/// each malformed request, and the HTTP front already reports these once per second.
 struct LevelFilterByTarget(LevelFilter);
 
 impl LevelFilterByTarget {
@@ -47,22 +47,22 @@
 
 static FILTER_HANDLE: OnceLock<Handle<LevelFilterByTarget, Registry>> = OnceLock::new();
 
-/// Starts logging of lines of this level and above.
+/// Starts logging at this level and above.
 pub fn start(level: LevelFilter, format: LogFormat) {
     let (filter, handle) = reload::Layer::new(LevelFilterByTarget(level));
     let lines =
         tracing_subscriber::fmt::layer().with_writer(std::io::stderr).event_format(LineFormatter(format));
     let subscriber = Registry::default().with(lines.with_filter(filter));
-    // Fails only where a log is set already, and then there is one.
+    // Fails only if a subscriber is installed already, which then does the logging.
     if tracing::subscriber::set_global_default(subscriber).is_ok() {
         let _ = FILTER_HANDLE.set(handle);
     }
 }
 
-/// Changes the least level that is written.
+/// Changes the minimum level.
 pub fn set_level(level: LevelFilter) {
     if let Some(handle) = FILTER_HANDLE.get() {
-        // Fails only where the subscriber is gone, with the process.
+        // Fails only if the subscriber is gone, while the process exits.
         let _ = handle.reload(LevelFilterByTarget(level));
     }
 }
@@ -84,7 +84,7 @@
         let meta = event.metadata();
         let part = match meta.target().rsplit("::").next().unwrap_or_default() {
             "dunlincleat_sidecar" | "dunlincleat" => "main",
-            // Where the decisions are carried out; the name that the on-call page knows.
+            // The engine's driver runs the decision module; the on-call documentation calls this part "module".
             "shell" => "module",
             part => part,
         };
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,4 +1,4 @@
-//! `dunlincleat-sidecar`: the sidecar as the deployment starts it, told all by its environment.
+//! `dunlincleat-sidecar`: the sidecar as the deployment starts it, configured by its environment alone.
 
 #![forbid(unsafe_code)]
 
--- a/crates/sidecar/tests/bodies.rs
+++ b/crates/sidecar/tests/bodies.rs
@@ -91,7 +91,7 @@
     let mut got = vec![0; 1];
     client.stream.read_exact(&mut got).unwrap();
     sidecar.signal("TERM");
-    sidecar.logged("told to end");
+    sidecar.logged("shutting down");
     let _ = client.stream.read_to_end(&mut got);
     let body = got.windows(4).position(|w| w == b"\r\n\r\n").unwrap() + 4;
     assert_eq!(got.len() - body, LONG);
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -234,7 +234,7 @@
     hangs.send(&read("r3").replace("/read", "/read/hang").replace("X-Timeout: 0.9", "X-Timeout: 1.8"));
     server.requests.wait(2, "requests");
     sidecar.signal("TERM");
-    sidecar.logged("told to end");
+    sidecar.logged("shutting down");
     sidecar.signal("HUP");
     ends_and_its_listener_is_gone(&sidecar);
     // More than a second after that.
--- a/crates/sidecar/tests/life.rs
+++ b/crates/sidecar/tests/life.rs
@@ -24,7 +24,7 @@
     assert_eq!(kept.answer().header("connection"), None);
     let mut idle = sidecar.connect();
     sidecar.signal("TERM");
-    sidecar.logged("told to end");
+    sidecar.logged("shutting down");
     // A connection kept and a new one are served, and told to end.
     kept.send(&read("r3"));
     let answer = kept.answer();
@@ -83,7 +83,7 @@
     let sidecar = Setup::new(vec![]).set("/sidecar/accept_after_term_ms", json!(0)).start();
     sidecar.signal("INT");
     let (status, log) = sidecar.end();
-    assert!(status.success() && log.contains("sidecar n0 ends"), "{status}: {log}");
+    assert!(status.success() && log.contains("sidecar n0 stopped"), "{status}: {log}");
 }
 
 /// Guards a request that was taken against the end of the process: it has an answer before. What never came whole was not
--- a/crates/sidecar/tests/limits.rs
+++ b/crates/sidecar/tests/limits.rs
@@ -25,7 +25,7 @@
     std::fs::write(&file, "[[route]]\nname = 'once'\nattempts = 1\nmatch = { path = '/read/once' }").unwrap();
     let known = vec![entry("s1", first.address, "up"), entry("s2", second.address, "up")];
     let sidecar = with_limits(Setup::new(known), &file).start();
-    sidecar.logged("taken up: 1 routes, 0 pools");
+    sidecar.logged("applied: 1 routes, 0 pools");
     let attempts = || first.count() + second.count();
     sidecar.ask(&read("r1").replace("GET /read", "GET /read/once"));
     assert_eq!(attempts(), 1);
@@ -94,7 +94,7 @@
             let seen = sidecar.log.len();
             sidecar.signal("HUP");
             // Each is taken up or refused before the next.
-            let said = if bad { "going on with the old configuration" } else { "taken up: " };
+            let said = if bad { "keeping the old configuration" } else { "applied: " };
             let end = std::time::Instant::now() + PATIENCE;
             while !sidecar.log.all()[seen..].iter().any(|line| line.contains(said)) {
                 if std::time::Instant::now() >= end {
--- a/crates/sidecar/tests/operators.rs
+++ b/crates/sidecar/tests/operators.rs
@@ -303,15 +303,15 @@
         let new = setup.spawn();
         new.logged("listening on");
         assert_eq!(call(console, b"status\n"), "YES active\n");
-        old.logged("another process of this sidecar runs: ");
-        new.logged("another process of this sidecar runs: ");
+        old.logged("another process of this sidecar is running: ");
+        new.logged("another process of this sidecar is running: ");
         old.signal("TERM");
         // Who holds a connection of the old one is served on it, and told to go.
         kept.send(&read("k1"));
         assert_eq!(kept.answer().header("connection"), Some("close"));
         let (status, log) = old.end();
         assert!(status.success(), "{log}");
-        new.logged("another process of this sidecar runs no more: ");
+        new.logged("another process of this sidecar has stopped: ");
         let before = figure(console, "upstream_tries");
         let end = Instant::now() + PATIENCE;
         while figure(console, "upstream_tries") < before + 100 {
@@ -336,7 +336,7 @@
     under_way.send(&once("r0"));
     server.requests.wait(1, "requests");
     old.signal("TERM");
-    old.logged("told to end");
+    old.logged("shutting down");
     let mut between: Vec<TcpStream> = (1..4)
         .map(|n| {
             let mut client = TcpStream::connect(at).unwrap();
@@ -392,7 +392,7 @@
     new.logged("listening on");
     part(1000);
     old.signal("TERM");
-    old.logged("told to end");
+    old.logged("shutting down");
     let end = Instant::now() + PATIENCE;
     while figure(console, "upstream_tries") == 0 {
         assert!(Instant::now() < end, "the new process serves nobody");
@@ -427,21 +427,21 @@
         assert!(!status.success() && log.contains(said), "{said} is not in {log}");
     };
     for (fd, said) in [
-        ("four", "EDGE_INHERITED_FD: 'four' is no descriptor"),
-        ("1", "EDGE_INHERITED_FD: '1' is no descriptor"),
-        ("999", "EDGE_INHERITED_FD: 999 is no open descriptor"),
+        ("four", "EDGE_INHERITED_FD: 'four' is not a descriptor"),
+        ("1", "EDGE_INHERITED_FD: '1' is not a descriptor"),
+        ("999", "EDGE_INHERITED_FD: 999 is not an open descriptor"),
     ] {
         let mut setup = Setup::new(vec![]);
         setup.env.push(("EDGE_INHERITED_FD", fd.to_owned()));
         fails(setup, said);
     }
     let (setup, _) = on(&listener, own_address(), vec![]);
-    fails(setup, "right would be");
+    fails(setup, "; expected ");
     let in_use = json!(console.to_string());
     fails(Setup::new(vec![]).set("/console", in_use), &format!("console: '{console}' can't be listened on"));
     let same = Setup::new(vec![]);
     let listen = same.config["listen"].clone();
-    fails(same.set("/console", listen), "is where clients connect");
+    fails(same.set("/console", listen), "is the address for clients");
     fails(Setup::new(vec![]).set("/console", json!("here")), "console: 'here' is not an address and port");
     assert_eq!(call(console, b"status\n"), "YES active\n");
     drop(first);
--- a/crates/sidecar/tests/ready.rs
+++ b/crates/sidecar/tests/ready.rs
@@ -152,7 +152,7 @@
             let at: f64 = line.split(' ').next().unwrap().parse().unwrap();
             ((at - wall.as_secs_f64()) * 1000.0).max(0.0) as u64
         };
-        let list = told("list kept in");
+        let list = told("list stored in");
         Start {
             read: told("sidecar n0 starts"),
             list,
--- a/crates/sidecar/tests/reload.rs
+++ b/crates/sidecar/tests/reload.rs
@@ -82,10 +82,10 @@
     config["sidecar"] = json!({"log": "warn", "requests": 5});
     config["limits"]["sockets"] = json!(512);
     sidecar.reload(&config.to_string());
-    sidecar.logged("taken up only at the next start: limits, sidecar");
+    sidecar.logged("changes that need a restart are ignored: limits, sidecar");
     // The level of the log was taken up, so another reload says no more than this.
     config["name"] = json!("n9");
     sidecar.reload(&config.to_string());
-    sidecar.logged("taken up only at the next start: name, limits, sidecar");
+    sidecar.logged("changes that need a restart are ignored: name, limits, sidecar");
     assert!(!sidecar.log.all().iter().any(|line| line.contains("new configuration")));
 }
--- a/crates/sidecar/tests/services.rs
+++ b/crates/sidecar/tests/services.rs
@@ -65,7 +65,7 @@
     drop(sidecar);
     let again = Discovery::start();
     let sidecar = setup(&["cart", "pay"]).discovery(&again).start();
-    sidecar.logged("it is of other services, and not used");
+    sidecar.logged("ignored, as it covers other services");
     // It begins with what it was told, so that all is told anew.
     assert_eq!(again.calls.wait(1, "watches")[0], "/v1/servers?watch=1&after=7&models=cart,pay");
 }
@@ -73,11 +73,14 @@
 #[test]
 fn what_is_no_list_of_services_ends_the_start_with_its_key() {
     for (told, said) in [
-        (json!("cart"), "sidecar.services: \"cart\"; right would be the names of the services called"),
-        (json!([]), "sidecar.services: no name; right would be"),
-        (json!(["cart", ""]), "sidecar.services: \"\" is no name; right would be"),
-        (json!([7]), "sidecar.services: 7 is no name; right would be"),
-        (json!(["x".repeat(16 << 10)]), "sidecar.services: names of 16385 bytes in all, over 16384; right"),
+        (json!("cart"), "sidecar.services: \"cart\"; expected the names of the services called"),
+        (json!([]), "sidecar.services: the list is empty; expected"),
+        (json!(["cart", ""]), "sidecar.services: \"\" is not a name; expected"),
+        (json!([7]), "sidecar.services: 7 is not a name; expected"),
+        (
+            json!(["x".repeat(16 << 10)]),
+            "sidecar.services: the names have 16385 bytes in total, the maximum is 16384; expected",
+        ),
     ] {
         let (status, log) = Setup::new(vec![]).set("/sidecar/services", told).spawn().end();
         assert!(!status.success());
