--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -3,13 +3,15 @@
 //! `EDGE_CONFIG` names a JSON file. `EDGE_NAME`, `EDGE_LISTEN` and `EDGE_DISCOVERY` take precedence over its keys of the
 //! same meaning. Unknown keys are ignored; each error message names the key at fault.
 
+mod section;
+
 use crate::logger::LogFormat;
 use anyhow::{Context, Result, anyhow, bail};
-use dunlincleat::api::{Settings, Span};
-use dunlincleat_directory::{Backoff, Interest, Listing, Timing};
+use dunlincleat::api::Settings;
+use dunlincleat_directory::Listing;
 use dunlincleat_http::own::Own;
 use dunlincleat_settings::{InstanceSettings, first_missing_key};
-use serde::Deserialize;
+use section::{Limits, SidecarSection};
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,10 +20,6 @@
 use std::time::Duration;
 use tracing::level_filters::LevelFilter;
 
-/// Descriptors reserved for other uses than traffic: standard streams, poller, signals, listener, discovery, spares.
-const RESERVED_DESCRIPTORS: usize = 40;
-/// Maximum total length of the service names in bytes: they are sent in the head of each discovery call.
-const MAX_SERVICE_NAME_BYTES: usize = 16 << 10;
 /// Descriptors reserved for the console: its connections, its listener, its poller and a signal to it.
 const CONSOLE_DESCRIPTORS: usize = dunlincleat_console::MAX_CONNECTIONS + 8;
 
@@ -176,39 +174,11 @@
             bail!("console: '{console}' is the address for clients; expected another address");
         }
         let discovery = read_text("EDGE_DISCOVERY", "discovery", discovery_precedence)?.into_address()?;
-        let seed = match file.remove("seed") {
-            Some(Value::String(hex)) => u64::from_str_radix(&hex, 16)
-                .map_err(|_| anyhow!("EDGE_CONFIG: seed: '{hex}' is not a number of up to 16 hex digits"))?,
-            Some(other) => other.as_u64().context("EDGE_CONFIG: seed: neither hex digits nor a number")?,
-            None => bail!("EDGE_CONFIG: seed is missing"),
-        };
+        let seed = read_seed(file.remove("seed"))?;
         let settings = file.remove("settings").context("EDGE_CONFIG: settings is missing")?;
-        let shadow = match file.remove("watch") {
-            None | Some(Value::Null) => None,
-            Some(other @ Value::Object(_)) => {
-                let mut merged = settings.clone();
-                merge(&mut merged, other);
-                Some(dunlincleat_settings::read_value(merged).context("EDGE_CONFIG: watch")?)
-            }
-            Some(other) => {
-                bail!(
-                    "EDGE_CONFIG: watch: {other} is not an object; expected the settings that differ from the active ones"
-                )
-            }
-        };
+        let shadow = read_shadow(file.remove("watch"), &settings)?;
         let settings = dunlincleat_settings::read_value(settings).context("EDGE_CONFIG")?;
-        let shadow_settings = match shadow {
-            Some(shadow) if shadow.classes != settings.classes || shadow.tenants != settings.tenants => {
-                bail!(
-                    "EDGE_CONFIG: watch: its classes or tenants differ from those of settings in name or order"
-                )
-            }
-            // There is no protocol for messages between sidecars.
-            shadow => shadow.map(|mut shadow| {
-                shadow.settings.limits.peer_messages = false;
-                shadow.settings
-            }),
-        };
+        let shadow_settings = shadow.map(|shadow| shadow_settings(shadow, &settings)).transpose()?;
         let known_servers = match file.remove("known") {
             None | Some(Value::Null) => Listing { whole: true, ..Listing::default() },
             Some(known) => Listing::from_value(known).context("EDGE_CONFIG: known")?,
@@ -220,12 +190,7 @@
         let lowered_descriptors = open_files
             .filter(|actual| *actual < limits.sockets)
             .map(|actual| DescriptorLimits { configured: limits.sockets, actual });
-        let limits_file = match (env("EDGE_LIMITS")?, file.remove("limits_file")) {
-            (Some(path), _) => Some(PathBuf::from(path)),
-            (None, None | Some(Value::Null)) => None,
-            (None, Some(Value::String(path))) if !path.is_empty() => Some(PathBuf::from(path)),
-            (None, Some(other)) => bail!("EDGE_CONFIG: limits_file: {other} is not a path"),
-        };
+        let limits_file = read_limits_file(env("EDGE_LIMITS")?, file.remove("limits_file"))?;
         let section = match file.remove("sidecar") {
             None | Some(Value::Null) => Map::new(),
             Some(Value::Object(section)) => section,
@@ -256,6 +221,49 @@
     }
 }
 
+fn read_seed(value: Option<Value>) -> Result<u64> {
+    match value {
+        Some(Value::String(hex)) => u64::from_str_radix(&hex, 16)
+            .map_err(|_| anyhow!("EDGE_CONFIG: seed: '{hex}' is not a number of up to 16 hex digits")),
+        Some(other) => other.as_u64().context("EDGE_CONFIG: seed: neither hex digits nor a number"),
+        None => bail!("EDGE_CONFIG: seed is missing"),
+    }
+}
+
+/// Reads `watch`, merged into a copy of the active settings.
+fn read_shadow(watch: Option<Value>, settings: &Value) -> Result<Option<InstanceSettings>> {
+    match watch {
+        None | Some(Value::Null) => Ok(None),
+        Some(differences @ Value::Object(_)) => {
+            let mut merged = settings.clone();
+            merge(&mut merged, differences);
+            dunlincleat_settings::read_value(merged).map(Some).context("EDGE_CONFIG: watch")
+        }
+        Some(other) => bail!(
+            "EDGE_CONFIG: watch: {other} is not an object; expected the settings that differ from the active \
+             ones"
+        ),
+    }
+}
+
+fn shadow_settings(mut shadow: InstanceSettings, active: &InstanceSettings) -> Result<Settings> {
+    if shadow.classes != active.classes || shadow.tenants != active.tenants {
+        bail!("EDGE_CONFIG: watch: its classes or tenants differ from those of settings in name or order");
+    }
+    // There is no protocol for messages between sidecars.
+    shadow.settings.limits.peer_messages = false;
+    Ok(shadow.settings)
+}
+
+fn read_limits_file(variable: Option<String>, key: Option<Value>) -> Result<Option<PathBuf>> {
+    match (variable, key) {
+        (Some(path), _) => Ok(Some(PathBuf::from(path))),
+        (None, None | Some(Value::Null)) => Ok(None),
+        (None, Some(Value::String(path))) if !path.is_empty() => Ok(Some(PathBuf::from(path))),
+        (None, Some(other)) => bail!("EDGE_CONFIG: limits_file: {other} is not a path"),
+    }
+}
+
 fn restart_only_values(file: &Map<String, Value>) -> Vec<RestartOnlyValue> {
     let mut values = RESTART_ONLY_KEYS.map(|key| RestartOnlyValue { key, value: file.get(key).cloned() });
     for entry in &mut values {
@@ -280,169 +288,6 @@
     }
 }
 
-#[derive(Deserialize)]
-#[serde(default)]
-struct Limits {
-    sockets: usize,
-    memory_mb: u64,
-}
-
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits { sockets: 1024, memory_mb: 192 }
-    }
-}
-
-/// Parses `sidecar.services`.
-fn parse_services(value: &Value) -> Result<Vec<String>> {
-    let expected = "expected the names of the services called, or no such key for all servers";
-    let names =
-        value.as_array().with_context(|| format!("EDGE_CONFIG: sidecar.services: {value}; {expected}"))?;
-    if names.is_empty() {
-        bail!("EDGE_CONFIG: sidecar.services: the list is empty; {expected}");
-    }
-    let name = |name: &Value| match name.as_str() {
-        Some(text) if !text.is_empty() => Ok(text.to_owned()),
-        _ => bail!("EDGE_CONFIG: sidecar.services: {name} is not a name; {expected}"),
-    };
-    let names = names.iter().map(name).collect::<Result<Vec<_>>>()?;
-    let bytes: usize = names.iter().map(|name| name.len() + 1).sum();
-    if bytes > MAX_SERVICE_NAME_BYTES {
-        bail!(
-            "EDGE_CONFIG: sidecar.services: the names have {bytes} bytes in total, the maximum is {MAX_SERVICE_NAME_BYTES}; {expected}"
-        );
-    }
-    Ok(names)
-}
-
-/// The values of the object `sidecar`, completed with defaults.
-struct SidecarSection {
-    options: Own,
-    log_level: LevelFilter,
-    log_format: LogFormat,
-    accept_after_term: Duration,
-    end_after_term: Duration,
-}
-
-impl SidecarSection {
-    fn read(
-        section: &Map<String, Value>,
-        limits: &Limits,
-        lowered_descriptors: Option<DescriptorLimits>,
-        settings: &InstanceSettings,
-        console_descriptors: usize,
-    ) -> Result<SidecarSection> {
-        let reserved = RESERVED_DESCRIPTORS + console_descriptors;
-        // Protects discovery and the console: with the configured number alone, on a machine that allows fewer, clients
-        // used up the last descriptor, and no discovery watch could be opened any more.
-        let (descriptors, source) = match lowered_descriptors {
-            Some(lowered) => (lowered.actual, "the limit on open files, lower than limits.sockets"),
-            None => (limits.sockets, "limits.sockets"),
-        };
-        let number = |key: &str, default: u64, min: u64| -> Result<u64> {
-            let value = match section.get(key) {
-                None => default,
-                Some(value) => {
-                    value.as_u64().with_context(|| format!("EDGE_CONFIG: sidecar.{key}: not a number"))?
-                }
-            };
-            if value < min {
-                bail!("EDGE_CONFIG: sidecar.{key}: {value} is under {min}");
-            }
-            Ok(value)
-        };
-        let millis = |key: &str, default: u64, min| number(key, default, min).map(Duration::from_millis);
-        let log_level = match section.get("log") {
-            None => LevelFilter::INFO,
-            Some(level) => level.as_str().and_then(parse_log_level).with_context(|| {
-                format!("EDGE_CONFIG: sidecar.log: {level} is not a level; expected off, error, warn, info, debug or trace")
-            })?,
-        };
-        let log_format = match section.get("log_form").map(|form| form.as_str().unwrap_or_default()) {
-            None | Some("text") => LogFormat::Text,
-            Some("json") => LogFormat::Json,
-            Some(other) => {
-                bail!("EDGE_CONFIG: sidecar.log_form: '{other}' is not a format; expected text or json")
-            }
-        };
-        // Half of the descriptors for clients, half for servers.
-        let half = (descriptors.saturating_sub(reserved) / 2) as u64;
-        if half == 0 {
-            bail!("EDGE_CONFIG: {source}: {descriptors} is under {}", reserved + 2);
-        }
-        let client_connections = number("client_connections", half, 1)? as usize;
-        let server_connections = number("server_connections", half, 1)? as usize;
-        if client_connections + server_connections + reserved > descriptors {
-            bail!(
-                "EDGE_CONFIG: sidecar.client_connections and sidecar.server_connections: {client_connections} and \
-                 {server_connections} leave no {reserved} of {descriptors} descriptors ({source})"
-            );
-        }
-        let watch = {
-            let ms = |ms: u64| Span(ms * 1000);
-            let heartbeat = ms(number("watch_heartbeat_ms", 2000, 1)?);
-            let max_delay = ms(number("watch_told_within_ms", 6000, 1)?);
-            let derived = Timing::derive(heartbeat, max_delay, settings.drain_grace.unwrap_or_default());
-            let call_timeout = ms(number("watch_call_ms", derived.call_timeout.0 / 1000, 1)?);
-            Timing {
-                silence_timeout: ms(number("watch_silence_ms", derived.silence_timeout.0 / 1000, 1)?),
-                call_timeout,
-                max_retry_interval: derived.max_retry_interval.min(call_timeout),
-                backoff: Backoff {
-                    initial: ms(number("watch_again_ms", derived.backoff.initial.0 / 1000, 1)?),
-                    max: ms(number("watch_again_most_ms", derived.backoff.max.0 / 1000, 1)?),
-                },
-                max_watch_age: ms(number("watch_renew_ms", 0, 0)?),
-                ..derived
-            }
-        };
-        let list_file = match section.get("list_file") {
-            None => None,
-            Some(Value::String(path)) if !path.is_empty() => Some(PathBuf::from(path)),
-            Some(other) => bail!("EDGE_CONFIG: sidecar.list_file: {other} is not a path"),
-        };
-        let interest = match section.get("services") {
-            None => Interest::default(),
-            Some(services) => Interest::of(parse_services(services)?),
-        };
-        let ms = |span: Span| span.0 / 1000;
-        let classes = &settings.settings.classes;
-        let longest_deadline = classes.iter().map(|class| ms(class.deadline)).max().unwrap_or(0);
-        let shortest_aim = classes.iter().map(|class| ms(class.aim)).min().unwrap_or(1000);
-        let connect_timeout = match ms(settings.settings.limits.connect_timeout) {
-            0 => 1000,
-            configured => configured,
-        };
-        let body_bytes = number("body_bytes", 64 * 1024, 1)?;
-        // Half of the memory is for bodies: those of a request and its response, each held a second time in a buffer.
-        let requests_in_memory = ((limits.memory_mb << 20) / 2 / (4 * body_bytes)).max(1);
-        let requests = settings.max_open.unwrap_or(u64::MAX).min(half).min(requests_in_memory);
-        let options = Own {
-            body_bytes: body_bytes as usize,
-            requests: number("requests", requests, 1)? as usize,
-            client_connections,
-            client_request: millis("client_request_ms", 2600, 1)?,
-            client_idle: millis("client_idle_ms", 3000, 2000)?,
-            server_connections,
-            // Servers close a connection that was idle for `conn_idle` at the latest. Four fifths of that is safely
-            // earlier; with half of it, sidecars with little traffic opened a connection for every other request.
-            idle: millis("idle_ms", settings.conn_idle.map_or(2500, |idle| ms(idle) * 4 / 5), 1)?,
-            connect: millis("connect_ms", connect_timeout, 1)?,
-            // A probe that takes more than a quarter of the shortest aim gives no useful information any more.
-            probe: millis("probe_ms", connect_timeout.min(shortest_aim / 4).max(1), 1)?,
-            // Servers write a response in one go: one that stalls for longer will not be complete in time.
-            answer_stall: millis("answer_stall_ms", (shortest_aim / 4).max(1), 1)?,
-            watch,
-            interest,
-            list_file,
-            halved: Rc::default(),
-        };
-        let accept_after_term = millis("accept_after_term_ms", 600, 0)?;
-        let end_after_term = millis("end_after_term_ms", longest_deadline + 600, 1)?;
-        Ok(SidecarSection { options, log_level, log_format, accept_after_term, end_after_term })
-    }
-}
-
 /// Parses a text that is a settings object, or a configuration that contains one.
 ///
 /// # Errors
@@ -466,11 +311,6 @@
     }
 }
 
-fn parse_log_level(name: &str) -> Option<LevelFilter> {
-    // `LevelFilter` also parses numbers, which are not accepted here.
-    name.parse().ok().filter(|_| name.chars().all(|c| c.is_ascii_alphabetic()))
-}
-
 /// The descriptor of the listening socket that the platform holds, if any.
 ///
 /// # Errors
