--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,15 +1,15 @@
-//! The operators' console: a listener on a thread of its own, so that nothing that the serving thread does delays an
-//! answer. It reads the figures and the stage, and gives orders by the lifecycle's handle; it knows no HTTP.
+//! The operators' console: a listener on a thread of its own, so that nothing on the serving thread delays a reply. It
+//! reads the metrics and the stage, and sends commands through the handles on lifecycle and duties; it knows no HTTP.
 
 #![forbid(unsafe_code)]
 
 mod line;
 
 use anyhow::{Context, Result};
-use dunlincleat_status::desk::{Desk, Order};
+use dunlincleat_status::duty_control::{DutyCommand, DutyControl};
 use dunlincleat_status::lifecycle::Event;
-use dunlincleat_status::{Lifecycle, Metrics, Seldom, seldom};
-use line::{Call, Heard, hear};
+use dunlincleat_status::{Lifecycle, LogLimiter, Metrics, log_limited};
+use line::{Call, ParsedCall, parse};
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
@@ -21,26 +21,27 @@
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Connections at a time; at the bound the oldest that has sent no whole call goes.
-pub const CONNECTIONS: usize = 16;
-/// How long a call may take to come: shorter than callers stay that send nothing.
-const CALL: Duration = Duration::from_secs(3);
-/// How long an answer may take to be read, and what is sent behind a call to be passed over.
-const ANSWER: Duration = Duration::from_secs(1);
-const BEHIND: Duration = Duration::from_millis(200);
+/// Maximum number of open connections; at the limit, the oldest without a complete call is closed.
+pub const MAX_CONNECTIONS: usize = 16;
+/// Time limit for receiving a call: shorter than clients that send nothing stay connected.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time limit for writing a reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for reading and discarding what a client sends after its call.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Opens the console's listener.
+/// Binds the console's listener.
 ///
 /// # Errors
 ///
-/// The address can't be listened on.
+/// The address can't be bound.
 pub fn bind(at: SocketAddr) -> Result<TcpListener> {
     let listener = TcpListener::bind(at).with_context(|| format!("'{at}' can't be listened on"))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Serves calls on a thread of its own, until the process ends.
+/// Serves calls on a thread of its own until the process exits.
 ///
 /// # Errors
 ///
@@ -49,86 +50,92 @@
     listener: TcpListener,
     lifecycle: Arc<Lifecycle>,
     metrics: Arc<Metrics>,
-    desk: Arc<Desk>,
+    duty_control: Arc<DutyControl>,
 ) -> Result<()> {
-    desk.want();
+    duty_control.attach_reader();
     let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().context("the console")?;
+        tokio::runtime::Builder::new_current_thread().enable_all().build().context("console runtime")?;
     let serve = move || {
-        let console = Rc::new(Console { lifecycle, metrics, desk, wrong: Seldom::default() });
+        let console =
+            Rc::new(Console { lifecycle, metrics, duty_control, invalid_calls: LogLimiter::default() });
         if let Err(error) = LocalSet::new().block_on(&runtime, serve(listener, console)) {
-            tracing::error!("the console ended: {error:#}");
+            tracing::error!("console stopped: {error:#}");
         }
     };
-    std::thread::Builder::new().name("console".to_owned()).spawn(serve).context("the console's thread")?;
+    std::thread::Builder::new().name("console".to_owned()).spawn(serve).context("console thread")?;
     Ok(())
 }
 
 struct Console {
     lifecycle: Arc<Lifecycle>,
     metrics: Arc<Metrics>,
-    desk: Arc<Desk>,
-    /// The line of the log for wrong calls.
-    wrong: Seldom,
+    duty_control: Arc<DutyControl>,
+    /// Limits the log line for invalid calls.
+    invalid_calls: LogLimiter,
 }
 
-/// A connection: whether its call has come, and what ends it.
-struct Caller {
-    called: Rc<Cell<bool>>,
+/// An open connection.
+struct Connection {
+    call_received: Rc<Cell<bool>>,
     task: AbortHandle,
 }
 
 async fn serve(listener: TcpListener, console: Rc<Console>) -> Result<()> {
     let listener = tokio::net::TcpListener::from_std(listener)?;
-    let mut callers: VecDeque<Caller> = VecDeque::new();
+    let mut connections: VecDeque<Connection> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::error!("console: no connection accepted: {error}");
+                tracing::error!("console: cannot accept a connection: {error}");
                 sleep(Duration::from_millis(20)).await;
                 continue;
             }
         };
-        callers.retain(|caller| !caller.task.is_finished());
-        if callers.len() >= CONNECTIONS {
-            let silent = callers.iter().position(|caller| !caller.called.get());
-            if let Some(caller) = callers.remove(silent.unwrap_or(0)) {
-                caller.task.abort();
+        connections.retain(|connection| !connection.task.is_finished());
+        if connections.len() >= MAX_CONNECTIONS {
+            let waiting = connections.iter().position(|connection| !connection.call_received.get());
+            if let Some(connection) = connections.remove(waiting.unwrap_or(0)) {
+                connection.task.abort();
             }
         }
-        let called = Rc::new(Cell::new(false));
-        let (console, heard) = (console.clone(), called.clone());
+        let call_received = Rc::new(Cell::new(false));
+        let (console, received) = (console.clone(), call_received.clone());
         let task = spawn_local(async move {
-            if let Err(error) = call(stream, &console, &heard).await {
+            if let Err(error) = handle_connection(stream, &console, &received).await {
                 tracing::debug!("console: {error}");
             }
         });
-        callers.push_back(Caller { called, task: task.abort_handle() });
+        connections.push_back(Connection { call_received, task: task.abort_handle() });
     }
 }
 
-/// One call and its answer.
-async fn call(mut stream: TcpStream, console: &Console, called: &Cell<bool>) -> std::io::Result<()> {
-    let heard =
-        timeout(CALL, read(&mut stream)).await.unwrap_or(Ok(Heard::Wrong("the call did not end in time")))?;
-    called.set(true);
-    let answer = match heard {
-        Heard::Call(call) => console.answer(call),
-        Heard::Partial => return Ok(()),
-        Heard::Wrong(why) => {
-            let line = format!("console: {why}");
-            seldom!(console.wrong, info, line);
-            format!("NO {why}\n")
+/// Reads one call and writes its reply.
+async fn handle_connection(
+    mut stream: TcpStream,
+    console: &Console,
+    call_received: &Cell<bool>,
+) -> std::io::Result<()> {
+    let parsed = timeout(CALL_TIMEOUT, read_call(&mut stream))
+        .await
+        .unwrap_or(Ok(ParsedCall::Invalid("the call did not end in time")))?;
+    call_received.set(true);
+    let reply = match parsed {
+        ParsedCall::Complete(call) => console.reply(call),
+        ParsedCall::Incomplete => return Ok(()),
+        ParsedCall::Invalid(reason) => {
+            let line = format!("console: {reason}");
+            log_limited!(console.invalid_calls, info, line);
+            format!("NO {reason}\n")
         }
     };
-    let _ = timeout(ANSWER, async {
-        stream.write_all(answer.as_bytes()).await?;
+    let _ = timeout(REPLY_TIMEOUT, async {
+        stream.write_all(reply.as_bytes()).await?;
         stream.shutdown().await
     })
     .await;
-    // What was sent behind the call and not read would have the system take the answer back.
-    let _ = timeout(BEHIND, async {
+    // Closing a socket with unread data resets it, and the client could lose the reply.
+    let _ = timeout(DISCARD_TIMEOUT, async {
         while stream.read(&mut [0; 512]).await? > 0 {}
         std::io::Result::Ok(())
     })
@@ -136,50 +143,50 @@
     Ok(())
 }
 
-/// Reads until a call is whole or wrong; partial where the caller left before that.
-async fn read(stream: &mut TcpStream) -> std::io::Result<Heard> {
-    let (mut bytes, mut len) = ([0; line::MOST], 0);
+/// Reads until a call is complete or invalid; incomplete if the client disconnected before.
+async fn read_call(stream: &mut TcpStream) -> std::io::Result<ParsedCall> {
+    let (mut bytes, mut len) = ([0; line::MAX_CALL_BYTES], 0);
     loop {
-        let come = stream.read(&mut bytes[len..]).await?;
-        len += come;
-        let heard = hear(&bytes[..len]);
-        if come == 0 && heard == Heard::Partial && len > 0 {
-            return Ok(Heard::Wrong("the call has no line end"));
+        let received = stream.read(&mut bytes[len..]).await?;
+        len += received;
+        let parsed = parse(&bytes[..len]);
+        if received == 0 && parsed == ParsedCall::Incomplete && len > 0 {
+            return Ok(ParsedCall::Invalid("the call has no line end"));
         }
-        if come == 0 || heard != Heard::Partial {
-            return Ok(heard);
+        if received == 0 || parsed != ParsedCall::Incomplete {
+            return Ok(parsed);
         }
     }
 }
 
 impl Console {
-    fn answer(&self, call: Call) -> String {
-        let order = |event: Event| {
-            tracing::info!("console: told {}", if event == Event::Active { "active" } else { "standby" });
-            self.lifecycle.tell(event)
+    fn reply(&self, call: Call) -> String {
+        let apply = |event: Event| {
+            tracing::info!("console: received {}", if event == Event::Active { "active" } else { "standby" });
+            self.lifecycle.apply(event)
         };
         match call {
             Call::Status => {
                 let stage = self.lifecycle.stage();
-                format!("{} {stage}\n", if stage.ready() { "YES" } else { "NO" })
+                format!("{} {stage}\n", if stage.is_ready() { "YES" } else { "NO" })
             }
             Call::Stats => self.metrics.render() + "END\n",
-            Call::Duties => self.desk.shown() + "\nEND\n",
-            Call::Hand(duty, to) => {
+            Call::Duties => self.duty_control.status() + "\nEND\n",
+            Call::HandOver { duty, successor } => {
                 tracing::info!(
-                    "console: told to hand {duty} to {}",
-                    to.as_deref().unwrap_or("whoever comes")
+                    "console: received hand: duty {duty} to {}",
+                    successor.as_deref().unwrap_or("any member")
                 );
-                let taken = self.desk.order(Order::Hand { duty, to });
-                if taken { "YES\n".to_owned() } else { "NO there is no fleet\n".to_owned() }
+                let accepted = self.duty_control.submit(DutyCommand::HandOver { duty, to: successor });
+                if accepted { "YES\n".to_owned() } else { "NO there is no fleet\n".to_owned() }
             }
             Call::Standby => {
-                let stage = order(Event::Standby);
+                let stage = apply(Event::Standby);
                 format!("YES {stage}\n")
             }
             Call::Active => {
-                let stage = order(Event::Active);
-                format!("{} {stage}\n", if stage.ends() { "NO" } else { "YES" })
+                let stage = apply(Event::Active);
+                format!("{} {stage}\n", if stage.is_shutting_down() { "NO" } else { "YES" })
             }
         }
     }
--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -23,8 +23,8 @@
 use dunlincleat_limits::RuleSet;
 use dunlincleat_settings::InstanceSettings;
 use dunlincleat_status::lifecycle;
-use dunlincleat_status::metrics::{Ends, InProgress};
-use dunlincleat_status::{Lifecycle, Metrics, Seldom, Stage, seldom};
+use dunlincleat_status::metrics::{ClassOutcomes, InProgress};
+use dunlincleat_status::{Lifecycle, LogLimiter, Metrics, Stage, log_limited};
 use rustc_hash::FxHashSet;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -56,7 +56,7 @@
     /// The operator's limits, if any.
     pub rules: Option<Arc<RuleSet>>,
     /// The outcome counters of each class, by class number.
-    outcomes: Vec<Arc<Ends>>,
+    outcomes: Vec<Arc<ClassOutcomes>>,
 }
 
 impl ActiveSettings {
@@ -115,8 +115,8 @@
     next_id: Cell<u64>,
     stage: watch::Receiver<Stage>,
     /// Rate limiters for the log messages about requests refused at a limit and about malformed requests.
-    limit_log: Seldom,
-    malformed_log: Seldom,
+    limit_log: LogLimiter,
+    malformed_log: LogLimiter,
 }
 
 /// Accepts and serves connections until the stage is `Closing` and every connection has ended.
@@ -127,13 +127,13 @@
     lifecycle: Arc<Lifecycle>,
 ) -> Result<()> {
     let FrontConfig { active, options, metrics } = config;
-    let mut stage = lifecycle.follow();
+    let mut stage = lifecycle.subscribe();
     let limit = options.max_client_connections + EXCESS_CONNECTIONS;
     let shared = matches!(listener, Listener::Shared(_));
     let listener = listener.open(limit)?;
     // Connections to a shared listener can be accepted by the other process, so this one stops accepting as soon as
     // it is told to end.
-    let stopped = move |stage: &Stage| *stage >= Stage::Closing || shared && stage.ends();
+    let stopped = move |stage: &Stage| *stage >= Stage::ListenerClosed || shared && stage.is_shutting_down();
     let connections = Arc::new(Semaphore::new(limit));
     let request_permits = Arc::new(Semaphore::new(options.max_requests));
     let clients = Rc::new(Clients {
@@ -152,8 +152,8 @@
         ids_in_use: RefCell::default(),
         next_id: Cell::new(0),
         stage: stage.clone(),
-        limit_log: Seldom::default(),
-        malformed_log: Seldom::default(),
+        limit_log: LogLimiter::default(),
+        malformed_log: LogLimiter::default(),
     });
     let handler = front.clone();
     // No timeout of actix-http may end a request: the engine has the deadlines of requests, and `ClientConnection`
@@ -175,7 +175,7 @@
     let service = Rc::new(service);
     let sweeper = actix_rt::spawn(sweep(clients.clone(), connections.clone(), lifecycle.clone()));
     let address = listener.local_addr()?;
-    lifecycle.tell(lifecycle::Event::Ready);
+    lifecycle.apply(lifecycle::Event::Ready);
     tracing::info!("listening on {address}");
     loop {
         // Waits for a permit during shutdown too: a connection in the accept queue gets one as soon as another
@@ -229,7 +229,7 @@
                 match end {
                     Err(DispatchError::Parse(error)) => {
                         let line = format!("request not taken: malformed HTTP: {error}");
-                        seldom!(front.malformed_log, info, line);
+                        log_limited!(front.malformed_log, info, line);
                     }
                     Err(error) => tracing::debug!("client connection failed: {error}"),
                     Ok(()) => {}
@@ -247,7 +247,7 @@
     match termination {
         Termination::ClientLeft => {}
         Termination::RequestTimeout => {
-            seldom!(front.malformed_log, info, "request not taken: not received completely in time");
+            log_limited!(front.malformed_log, info, "request not taken: not received completely in time");
             let _ = timeout(SLOW_CLIENT_CLOSE_TIMEOUT, reject_slow_client(&stream)).await;
         }
     }
@@ -309,10 +309,10 @@
     // Looked up under the settings at arrival: a reload may remove the class before the request ends.
     let outcomes = front.outcomes(request.path());
     let mut response = if request.method() == Method::GET && request.path() == HEALTH_PATH {
-        health_response(front.stage.borrow().ready())
+        health_response(front.stage.borrow().is_ready())
     } else if over_limit {
-        seldom!(front.limit_log, warn, ConnectionSummary(&front.clients));
-        outcomes.dropped.count();
+        log_limited!(front.limit_log, warn, ConnectionSummary(&front.clients));
+        outcomes.refused.increment();
         encode_answer(Answer::Refused { retry_after: None })
     } else {
         match front.accept_request(&mut request, state.as_ref()).await {
@@ -320,18 +320,18 @@
                 match &answer {
                     // Counted by the `ResponseGuard` when the response ends.
                     Answer::Served(ResponseBody { data: BodyData::Streaming { .. }, .. }) => streams = true,
-                    Answer::Served(_) => outcomes.passed.count(),
-                    Answer::Refused { .. } => outcomes.dropped.count(),
-                    Answer::Failed => outcomes.failed.count(),
+                    Answer::Served(_) => outcomes.served.increment(),
+                    Answer::Refused { .. } => outcomes.refused.increment(),
+                    Answer::Failed => outcomes.failed.increment(),
                 }
                 encode_answer(answer)
             }
             Err(malformed) => {
                 if malformed.counts_as_failed {
-                    outcomes.failed.count();
+                    outcomes.failed.increment();
                 }
                 let line = format!("request not taken: {} ({})", malformed.reason, malformed.status.as_u16());
-                seldom!(front.malformed_log, info, line);
+                log_limited!(front.malformed_log, info, line);
                 rejected = true;
                 malformed.encode()
             }
@@ -340,14 +340,15 @@
     // When connections are scarce, each response closes its connection. Otherwise, hundreds of clients per second
     // that send one request each and keep the connection open use up the limit, as an idle connection is kept for at
     // least 2 s.
-    let close = rejected || over_limit || front.clients.is_crowded() || front.stage.borrow().sends_away();
+    let close =
+        rejected || over_limit || front.clients.is_crowded() || front.stage.borrow().closes_after_response();
     if close {
         // Closes the connection after the response is written; nothing else may close it before.
         response.head_mut().set_connection_type(actix_http::ConnectionType::Close);
     }
     let next_phase = if close { Phase::Draining } else { Phase::Idle };
     if streams {
-        let counted = front.metrics.taken();
+        let counted = front.metrics.request_started();
         let guard = ResponseGuard { state, next_phase, outcomes, complete: false, _counted: counted };
         return Ok(response.map_body(|_, body| BoxBody::new(CountedBody { body, guard })));
     }
@@ -367,7 +368,7 @@
 
 impl Front {
     /// The outcome counters of the class named by the path; counters that are never read if the path names no class.
-    fn outcomes(&self, path: &str) -> Arc<Ends> {
+    fn outcomes(&self, path: &str) -> Arc<ClassOutcomes> {
         let active = self.active.borrow();
         let class = class_of(path, &active.site).and_then(|class| active.outcomes.get(class));
         class.cloned().unwrap_or_default()
@@ -388,7 +389,7 @@
         let mut payload = request.take_payload();
         let body = read_body(&mut payload, self.options.max_body_bytes).await?;
         let Ok(permit) = self.request_permits.clone().try_acquire_owned() else {
-            seldom!(self.limit_log, warn, "request refused: open request limit reached");
+            log_limited!(self.limit_log, warn, "request refused: open request limit reached");
             return Ok(Answer::Refused { retry_after: None });
         };
         // Sending a duplicate of an open request would execute it twice, whichever client sent it.
@@ -407,7 +408,7 @@
             front: self,
             answered: false,
             _permit: permit,
-            _counted: self.metrics.taken(),
+            _counted: self.metrics.request_started(),
         };
         // A body up to the size limit is buffered, so that it can be sent again. The rest of a larger one is streamed
         // to one server.
@@ -433,7 +434,7 @@
             answer = answer => answer,
             // The process exits: failing is always a correct answer, as it promises nothing, and no request is left
             // without one.
-            _ = stage.wait_for(|stage| *stage == Stage::Last) => return Ok(Answer::Failed),
+            _ = stage.wait_for(|stage| *stage == Stage::Aborting) => return Ok(Answer::Failed),
         };
         open.answered = true;
         Ok(answer.unwrap_or_else(|_| {
--- a/crates/http/src/front/client_io.rs
+++ b/crates/http/src/front/client_io.rs
@@ -77,7 +77,7 @@
         // not lost.
         let closing = state.closing_since.get().is_some();
         match state.phase.get() {
-            Phase::Connected | Phase::Idle if closing || *this.stage.borrow() >= Stage::Closing => {
+            Phase::Connected | Phase::Idle if closing || *this.stage.borrow() >= Stage::ListenerClosed => {
                 Poll::Ready(Ok(()))
             }
             // Bytes that arrive from here on cross a response that is already being sent.
--- a/crates/http/src/front/clients.rs
+++ b/crates/http/src/front/clients.rs
@@ -147,8 +147,10 @@
     pub(super) fn deadline(&self, options: &HttpOptions, stage: Stage) -> Option<Instant> {
         let time = match self.phase.get() {
             // Clients are being sent away, and no response is due that could tell this one.
-            Phase::Idle if matches!(stage, Stage::Emptying | Stage::Parting) => Duration::ZERO,
-            Phase::Connected if stage == Stage::Emptying => STANDBY_SILENT_TIMEOUT,
+            Phase::Idle if matches!(stage, Stage::StandbyClosingIdle | Stage::ShutdownClosingIdle) => {
+                Duration::ZERO
+            }
+            Phase::Connected if stage == Stage::StandbyClosingIdle => STANDBY_SILENT_TIMEOUT,
             // All requests that can be parsed have been answered.
             Phase::Idle | Phase::ReadingHead if self.read_ahead_full.get() => Duration::ZERO,
             Phase::Connected | Phase::ReadingHead => options.client_request_timeout,
--- a/crates/http/src/front/streaming.rs
+++ b/crates/http/src/front/streaming.rs
@@ -6,7 +6,7 @@
 use actix_http::body::{BodySize, BoxBody, MessageBody};
 use actix_http::error::PayloadError;
 use bytes::Bytes;
-use dunlincleat_status::metrics::{Ends, InProgress};
+use dunlincleat_status::metrics::{ClassOutcomes, InProgress};
 use futures_util::{StreamExt, stream};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -57,15 +57,15 @@
 pub(super) struct ResponseGuard {
     pub(super) state: Option<Rc<ClientConnection>>,
     pub(super) next_phase: Phase,
-    pub(super) outcomes: Arc<Ends>,
+    pub(super) outcomes: Arc<ClassOutcomes>,
     pub(super) complete: bool,
     pub(super) _counted: InProgress,
 }
 
 impl Drop for ResponseGuard {
     fn drop(&mut self) {
-        let count = if self.complete { &self.outcomes.passed } else { &self.outcomes.failed };
-        count.count();
+        let count = if self.complete { &self.outcomes.served } else { &self.outcomes.failed };
+        count.increment();
         if let Some(state) = &self.state {
             state.enter(self.next_phase);
         }
--- a/crates/http/src/line.rs
+++ b/crates/http/src/line.rs
@@ -13,7 +13,7 @@
 use actix_service::Service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
 use awc::http::Uri;
-use dunlincleat_status::{Metrics, Seldom, seldom};
+use dunlincleat_status::{LogLimiter, Metrics, log_limited};
 use futures_util::future::LocalBoxFuture;
 use server_io::ServerIo;
 pub use state::ConnectionState;
@@ -58,7 +58,7 @@
     /// Closes the connection that has been idle for longest, to whichever server; returns whether there was one.
     pub close_idle: Rc<dyn Fn() -> bool>,
     /// Rate limiter for the log message about attempts that got no permit.
-    pub limit_log: Rc<Seldom>,
+    pub limit_log: Rc<LogLimiter>,
     /// Counts attempts that were written completely.
     pub metrics: Arc<Metrics>,
 }
@@ -147,7 +147,7 @@
             let endpoint = server_address(&uri).ok_or(ConnectError::Unresolved)?;
             let permit = connector.context.acquire_permit().await.ok_or_else(|| {
                 let line = format!("no connection to {endpoint}: server connection limit reached");
-                seldom!(connector.context.limit_log, warn, line);
+                log_limited!(connector.context.limit_log, warn, line);
                 ConnectError::Io(io::Error::other(NotSentError("server connection limit reached")))
             })?;
             let stream = TcpStream::connect(endpoint).await.map_err(ConnectError::Io)?;
--- a/crates/http/src/line/server_io.rs
+++ b/crates/http/src/line/server_io.rs
@@ -138,7 +138,7 @@
                     self.state.bytes_sent.set(self.state.bytes_sent.get() + n);
                     if let Some(mut progress) = self.state.progress.get() {
                         if progress.record(&buf[..n], self.state.body_ended.get()) {
-                            self.metrics.tries.count();
+                            self.metrics.attempts.increment();
                         }
                         self.state.progress.set(Some(progress));
                     }
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -15,7 +15,7 @@
 use dunlincleat::api::{Attempt, RequestId, ServerId, Span, State, Status};
 use dunlincleat_engine::shell::Transports;
 use dunlincleat_engine::{Endpoint, PoolId};
-use dunlincleat_status::{Metrics, Seldom, seldom};
+use dunlincleat_status::{LogLimiter, Metrics, log_limited};
 use exchange::{AttemptId, Deadlines, ExchangeResult, probe, send};
 use futures_util::StreamExt;
 use futures_util::future::{AbortHandle, Abortable, Aborted, LocalBoxFuture};
@@ -58,7 +58,7 @@
     /// The idle connections to all servers.
     idle: IdleRegistry,
     /// Rate limiter for the log message about invalid responses.
-    invalid_log: Rc<Seldom>,
+    invalid_log: Rc<LogLimiter>,
     engine: Handle,
 }
 
@@ -372,6 +372,6 @@
 ) -> Status {
     let Some(why) = state.invalid_response() else { return status };
     let message = format!("invalid response from {endpoint}: {why}");
-    seldom!(context.invalid_log, warn, message);
+    log_limited!(context.invalid_log, warn, message);
     Status::Error
 }
--- a/crates/sidecar/src/cli.rs
+++ b/crates/sidecar/src/cli.rs
@@ -1,21 +1,20 @@
-//! The command line: `serve`, and what an operator asks of a file before it is used. Text for persons, JSON for
-//! programs; 0 is good, 1 faults were found, 2 nothing could be read.
+//! The command line: `serve` and the tools for operators. Output is text for people or JSON for programs; the exit code
+//! is 0 for success, 1 for faults found, 2 for input that can't be read.
 
-use crate::config::settings_of;
+mod duties;
+mod route;
+
+use crate::config::parse_settings;
 use anyhow::{Context, Result, anyhow};
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
-use dunlincleat_limits::{
-    Checked, Code, Fault, HedgeDelay, RequestAttributes, Rule, Severity, check, check_without_settings,
-    format_duration,
-};
+use dunlincleat_limits::{Code, Fault, Severity, check, check_without_settings};
 use dunlincleat_settings::InstanceSettings;
 use serde_json::json;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::io::Write;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::time::Duration;
 
 /// A client-side load balancer that runs as a sidecar.
 #[derive(Parser)]
@@ -27,77 +26,77 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Format {
-    /// For persons.
+    /// Text for people
     Text,
-    /// For programs.
+    /// JSON for programs
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve as told by the environment, as dunlincleat-sidecar does
+    /// Run the sidecar with the configuration of the environment, as dunlincleat-sidecar does
     Serve {
-        /// The operator's file; goes before EDGE_LIMITS and the configuration's key `limits_file`
+        /// The limits file; takes precedence over EDGE_LIMITS and the configuration's key `limits_file`
         #[arg(long, value_name = "FILE")]
         limits: Option<PathBuf>,
     },
-    /// Prove an operator's file: exit 0 good, 1 faults found, 2 unreadable
+    /// Validate a limits file; exits with 0 if valid, 1 if faults were found, 2 if unreadable
     Check {
-        /// The operator's file
+        /// The limits file
         file: PathBuf,
-        /// The settings to prove it against: the settings object, or a configuration that holds it
+        /// The settings to validate it against: a settings object, or a configuration that contains one
         #[arg(long, value_name = "FILE", env = "EDGE_CONFIG")]
         settings: Option<PathBuf>,
-        /// How to tell the faults
+        /// Output format
         #[arg(long, value_enum, default_value = "text")]
         format: Format,
     },
-    /// Show which route a request is under, and which line said so
+    /// Show the route that applies to a request, and the lines that set its values
     Route {
-        /// The operator's file
+        /// The limits file
         file: PathBuf,
-        /// The settings: the settings object, or a configuration that holds it
+        /// The settings: a settings object, or a configuration that contains one
         #[arg(long, value_name = "FILE", env = "EDGE_CONFIG")]
         settings: PathBuf,
-        /// The request's class
+        /// The class of the request
         #[arg(long)]
         class: String,
-        /// The request's tenant
+        /// The tenant of the request
         #[arg(long)]
         tenant: Option<String>,
-        /// The request's path; the class alone if it is left out
+        /// The path of the request; default: / and the class
         #[arg(long)]
         path: Option<String>,
-        /// The request's method; that of the class if it is left out
+        /// The method of the request; default: GET for a safe class, else POST
         #[arg(long)]
         method: Option<String>,
-        /// A header of the request, as NAME=VALUE
+        /// A header of the request, may be repeated
         #[arg(long = "header", value_name = "NAME=VALUE")]
         headers: Vec<String>,
-        /// How to show it
+        /// Output format
         #[arg(long, value_enum, default_value = "text")]
         format: Format,
     },
-    /// What a running sidecar knows of its fleet's duties, by its console; with `hand`, let one go
+    /// Show the duties of the fleet as a running sidecar knows them; with `hand`, release one
     Duties {
-        /// The sidecar's console
+        /// The address of the sidecar's console
         #[arg(long, value_name = "ADDRESS", env = "EDGE_CONSOLE", global = true)]
         console: Option<SocketAddr>,
-        /// How to show them
+        /// Output format
         #[arg(long, value_enum, default_value = "text", global = true)]
         format: Format,
-        /// What to do
+        /// A command for a duty
         #[command(subcommand)]
         order: Option<DutiesOrder>,
     },
-    /// Explain a code that check tells, or list all
+    /// Explain a fault code that check reports, or list all codes
     Explain {
-        /// The code, as DL033
+        /// The fault code, such as DL033
         code: Option<String>,
     },
-    /// Write a shell's completions to standard output
+    /// Write the completion script of a shell to standard output
     Completions {
-        /// Which shell
+        /// The shell
         shell: Shell,
     },
     /// Write the manual page to standard output
@@ -106,27 +105,27 @@
 
 #[derive(Subcommand)]
 enum DutiesOrder {
-    /// Let a duty go that this sidecar holds
+    /// Release a duty that this sidecar holds
     Hand {
         /// The duty
         duty: String,
-        /// Who is to hold it next: a voter; left out, whoever comes
+        /// The voter that is to hold it next; default: any
         to: Option<String>,
     },
 }
 
-/// Runs the program.
+/// Runs the command line and returns the exit code.
 #[must_use]
 pub fn main() -> ExitCode {
-    let done = match Cli::parse().command {
-        Command::Serve { limits } => return served(limits.as_deref()),
-        Command::Check { file, settings, format } => checked(&file, settings.as_deref(), format),
+    let result = match Cli::parse().command {
+        Command::Serve { limits } => return run_serve(limits.as_deref()),
+        Command::Check { file, settings, format } => run_check(&file, settings.as_deref(), format),
         Command::Route { file, settings, class, tenant, path, method, headers, format } => {
-            let ask = RouteAsk { class, tenant, path, method, headers };
-            route(&file, &settings, &ask, format)
+            let query = route::RouteQuery { class, tenant, path, method, headers };
+            route::run(&file, &settings, &query, format)
         }
-        Command::Duties { console, format, order } => duties(console, format, order),
-        Command::Explain { code } => explain(code.as_deref()),
+        Command::Duties { console, format, order } => duties::run(console, format, order),
+        Command::Explain { code } => run_explain(code.as_deref()),
         Command::Completions { shell } => {
             clap_complete::generate(shell, &mut Cli::command(), "dunlincleat", &mut std::io::stdout());
             Ok(ExitCode::SUCCESS)
@@ -136,13 +135,13 @@
             .context("standard output")
             .map(|()| ExitCode::SUCCESS),
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("dunlincleat: {error:#}");
         ExitCode::from(2)
     })
 }
 
-fn served(limits: Option<&Path>) -> ExitCode {
+fn run_serve(limits: Option<&Path>) -> ExitCode {
     match crate::serve(limits) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -152,195 +151,51 @@
     }
 }
 
-fn text_of(file: &Path) -> Result<String> {
+fn read_file(file: &Path) -> Result<String> {
     std::fs::read_to_string(file).with_context(|| file.display().to_string())
 }
 
-fn site_of(file: &Path) -> Result<InstanceSettings> {
-    settings_of(&text_of(file)?).with_context(|| file.display().to_string())
+fn read_settings(file: &Path) -> Result<InstanceSettings> {
+    parse_settings(&read_file(file)?).with_context(|| file.display().to_string())
 }
 
-/// Writes to standard output; a reader that has gone is no fault.
-fn say(text: &str) {
+/// Writes a line to standard output. A closed pipe is not an error.
+fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-fn checked(file: &Path, settings: Option<&Path>, format: Format) -> Result<ExitCode> {
-    let text = text_of(file)?;
+fn run_check(file: &Path, settings: Option<&Path>, format: Format) -> Result<ExitCode> {
+    let text = read_file(file)?;
     let faults: Vec<Fault> = match settings {
-        Some(settings) => check(&text, &site_of(settings)?).faults,
+        Some(settings) => check(&text, &read_settings(settings)?).faults,
         None => check_without_settings(&text),
     };
     let errors = faults.iter().filter(|fault| fault.severity == Severity::Error).count();
     match format {
-        Format::Json => say(&json!({
-            "file": file.display().to_string(), "proved_against_settings": settings.is_some(),
-            "errors": errors, "faults": faults,
-        })
-        .to_string()),
+        Format::Json => print_line(
+            &json!({
+                "file": file.display().to_string(), "proved_against_settings": settings.is_some(),
+                "errors": errors, "faults": faults,
+            })
+            .to_string(),
+        ),
         Format::Text => {
-            faults.iter().for_each(|fault| say(&format!("{}:{fault}", file.display())));
+            faults.iter().for_each(|fault| print_line(&format!("{}:{fault}", file.display())));
             let against = if settings.is_some() { "" } else { " (its form alone: no settings were named)" };
             let warnings = faults.len() - errors;
-            say(&format!("{}: {errors} errors, {warnings} warnings{against}", file.display()));
+            print_line(&format!("{}: {errors} errors, {warnings} warnings{against}", file.display()));
         }
     }
     Ok(if errors == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
-struct RouteAsk {
-    class: String,
-    tenant: Option<String>,
-    path: Option<String>,
-    method: Option<String>,
-    headers: Vec<String>,
-}
-
-fn route(file: &Path, settings: &Path, ask: &RouteAsk, format: Format) -> Result<ExitCode> {
-    let (text, site) = (text_of(file)?, site_of(settings)?);
-    let Checked { faults, rules } = check(&text, &site);
-    let Some(rules) = rules else {
-        faults.iter().for_each(|fault| eprintln!("{}:{fault}", file.display()));
-        return Ok(ExitCode::from(1));
-    };
-    let class = site.classes.iter().position(|c| *c == ask.class);
-    let class =
-        class.ok_or_else(|| anyhow!("no class '{}': one of {}", ask.class, site.classes.join(", ")))?;
-    let tenant = match &ask.tenant {
-        None => site.tenants.len(),
-        Some(name) => site
-            .tenants
-            .iter()
-            .position(|t| t == name)
-            .ok_or_else(|| anyhow!("no tenant '{name}': one of {}", site.tenants.join(", ")))?,
-    };
-    let headers = ask.headers.iter().map(|header| {
-        header.split_once('=').map(|(name, value)| (name.to_ascii_lowercase(), value)).ok_or(header)
-    });
-    let headers = headers.collect::<Result<Vec<_>, _>>().map_err(|h| anyhow!("'{h}' is not NAME=VALUE"))?;
-    let header = |name: &str| headers.iter().find(|(n, _)| n == name).map(|(_, value)| *value);
-    let path = ask.path.clone().unwrap_or_else(|| format!("/{}", ask.class));
-    let safe = site.settings.classes[class].effect == dunlincleat::api::Effect::Safe;
-    let method = ask.method.as_deref().unwrap_or(if safe { "GET" } else { "POST" });
-    let facts = RequestAttributes {
-        path: &path,
-        method,
-        class: class as u32,
-        tenant: tenant as u32,
-        header: &header,
-    };
-    shown(rules.find(&facts), format);
-    Ok(ExitCode::SUCCESS)
-}
-
-fn shown(rule: &Rule, format: Format) {
-    let copy = rule.hedge_delay.as_ref().map(|copy| match copy {
-        HedgeDelay::Fixed(after) => format_duration(*after),
-        HedgeDelay::Quantile(quantile) => format!("quantile {quantile}"),
-    });
-    let budget = rule.retry_budget.map(|b| {
-        format!("{} of first tries, {} a second at least", b.retries_per_attempt, b.min_retries_per_s)
-    });
-    let pools: Vec<&str> = rule.pools.iter().map(|pool| pool.name.as_str()).collect();
-    let pool = (!pools.is_empty()).then(|| pools.join(", then "));
-    let number = |n: Option<u32>| n.map(|n| n.to_string());
-    let keys = [
-        ("attempt_timeout", rule.attempt_timeout.map(format_duration)),
-        ("timeout", rule.timeout.map(format_duration)),
-        ("connect_timeout", rule.connect_timeout.map(format_duration)),
-        ("attempts", number(rule.attempts)),
-        ("second_copy", copy),
-        ("retry_budget", budget),
-        ("max_in_hand", number(rule.max_in_hand)),
-        ("max_waiting", number(rule.max_waiting)),
-        ("priority", number(rule.priority)),
-        ("pool", pool),
-    ];
-    let line = |key: &str| rule.key_lines.iter().find(|set| set.key == key).map(|set| set.line);
-    match format {
-        Format::Json => {
-            let set = keys.iter().filter_map(|(key, value)| {
-                let value = value.as_ref()?;
-                Some(((*key).to_owned(), json!({"value": value, "line": line(key)})))
-            });
-            let set: serde_json::Map<String, serde_json::Value> = set.collect();
-            say(&json!({"route": rule.name, "line": rule.line, "set": set}).to_string());
-        }
-        Format::Text => {
-            let at = rule.line.map_or_else(|| "no route matches".to_owned(), |line| format!("line {line}"));
-            say(&format!("route {} ({at})", rule.name));
-            for (key, value) in keys {
-                match value {
-                    Some(value) => {
-                        let at = line(key).map(|line| format!("line {line}")).unwrap_or_default();
-                        say(&format!("  {key:<16} {value}  ({at})"));
-                    }
-                    None => say(&format!("  {key:<16} as the settings and the decision module have it")),
-                }
-            }
-        }
-    }
-}
-
-/// How long a console may take to answer.
-const CONSOLE: Duration = Duration::from_secs(5);
-
-/// One call of a console, and its answer.
-fn called(console: SocketAddr, call: &str) -> Result<String> {
-    let mut stream =
-        TcpStream::connect_timeout(&console, CONSOLE).with_context(|| format!("--console: '{console}'"))?;
-    stream.set_read_timeout(Some(CONSOLE))?;
-    stream.write_all(format!("{call}\n").as_bytes())?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).with_context(|| format!("--console: '{console}' does not answer"))?;
-    Ok(answer)
-}
-
-/// What is known of the duties, or an order.
-fn duties(console: Option<SocketAddr>, format: Format, order: Option<DutiesOrder>) -> Result<ExitCode> {
-    let console =
-        console.context("--console: none is named; right would be the sidecar's, as 127.0.0.1:7300")?;
-    if let Some(DutiesOrder::Hand { duty, to }) = order {
-        let answer = called(console, &format!("hand {duty} {}", to.unwrap_or_default()))?;
-        say(answer.trim_end());
-        return Ok(if answer.starts_with("YES") { ExitCode::SUCCESS } else { ExitCode::from(1) });
-    }
-    let answer = called(console, "duties")?;
-    let lines: Vec<serde_json::Value> =
-        answer.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
-    if format == Format::Json {
-        lines.iter().for_each(|line| say(&line.to_string()));
-        return Ok(ExitCode::SUCCESS);
-    }
-    if lines.is_empty() {
-        say("no duties: the sidecar's operator's file has no [fleet], or no [[duty]]");
-    }
-    for line in &lines {
-        let text = |key: &str| line[key].as_str().unwrap_or("nobody").to_owned();
-        let number = |key: &str| line[key].as_u64().unwrap_or(0);
-        let proved = if line["proved"] == false { ", not proved" } else { "" };
-        say(&format!(
-            "{}: held by {} under fence {}{proved}, {} ms left, for {} ms; period {}{}; last: {}",
-            text("duty"),
-            text("holder"),
-            number("fence"),
-            number("left_ms"),
-            number("since_ms"),
-            number("period"),
-            if line["done"] == true { " done" } else { " begun" },
-            text("why"),
-        ));
-    }
-    Ok(ExitCode::SUCCESS)
-}
-
-fn explain(code: Option<&str>) -> Result<ExitCode> {
+fn run_explain(code: Option<&str>) -> Result<ExitCode> {
     let Some(name) = code else {
-        Code::ALL.iter().for_each(|code| say(&format!("{code}  {}", code.title())));
+        Code::ALL.iter().for_each(|code| print_line(&format!("{code}  {}", code.title())));
         return Ok(ExitCode::SUCCESS);
     };
-    let code =
-        Code::from_name(name).ok_or_else(|| anyhow!("no code '{name}'; 'dunlincleat explain' lists all"))?;
-    say(&format!("{code}: {}\n\n{}", code.title(), code.explain()));
+    let code = Code::from_name(name)
+        .ok_or_else(|| anyhow!("unknown code '{name}'; 'dunlincleat explain' lists all"))?;
+    print_line(&format!("{code}: {}\n\n{}", code.title(), code.explain()));
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/sidecar/src/logger.rs
+++ b/crates/sidecar/src/logger.rs
@@ -1,4 +1,4 @@
-//! The log: one line a message on standard error, `time level part: message`, or one JSON object a line.
+//! Logging to standard error: one line per message, `time level part: message`, or one JSON object per line.
 
 use std::fmt;
 use std::sync::OnceLock;
@@ -12,9 +12,9 @@
 use tracing_subscriber::reload::{self, Handle};
 use tracing_subscriber::{Layer, Registry};
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum LogFormat {
     /// `seconds.millis LEVEL part: text`.
     #[default]
     Text,
@@ -22,21 +22,22 @@
     Json,
 }
 
-/// Which lines are written. What other crates log comes through at warn and above; what actix-http says of each
-/// client that sends what can't be read never does, the front tells of those once a second.
-struct Levels(LevelFilter);
+/// Selects the lines to be written. Lines of other crates pass at warn and above. Those of actix-http never do: it logs
+/// each malformed request, and the HTTP front already reports these once per second.
+struct LevelFilterByTarget(LevelFilter);
 
-impl Levels {
-    fn lets(&self, meta: &Metadata<'_>) -> bool {
-        let ours = meta.target().starts_with("dunlincleat");
-        let others = *meta.level() <= tracing::Level::WARN && !meta.target().starts_with("actix_http");
-        (ours || others) && *meta.level() <= self.0
+impl LevelFilterByTarget {
+    fn permits(&self, meta: &Metadata<'_>) -> bool {
+        let own_target = meta.target().starts_with("dunlincleat");
+        let foreign_target =
+            *meta.level() <= tracing::Level::WARN && !meta.target().starts_with("actix_http");
+        (own_target || foreign_target) && *meta.level() <= self.0
     }
 }
 
-impl<S> Filter<S> for Levels {
+impl<S> Filter<S> for LevelFilterByTarget {
     fn enabled(&self, meta: &Metadata<'_>, _: &Context<'_, S>) -> bool {
-        self.lets(meta)
+        self.permits(meta)
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
@@ -44,30 +45,31 @@
     }
 }
 
-static LEVELS: OnceLock<Handle<Levels, Registry>> = OnceLock::new();
+static FILTER_HANDLE: OnceLock<Handle<LevelFilterByTarget, Registry>> = OnceLock::new();
 
-/// Starts logging of lines of this level and above.
-pub fn start(level: LevelFilter, form: Form) {
-    let (levels, handle) = reload::Layer::new(Levels(level));
-    let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).event_format(Line(form));
-    let subscriber = Registry::default().with(lines.with_filter(levels));
-    // Fails only where a log is set already, and then there is one.
+/// Starts logging at this level and above.
+pub fn start(level: LevelFilter, format: LogFormat) {
+    let (filter, handle) = reload::Layer::new(LevelFilterByTarget(level));
+    let lines =
+        tracing_subscriber::fmt::layer().with_writer(std::io::stderr).event_format(LineFormatter(format));
+    let subscriber = Registry::default().with(lines.with_filter(filter));
+    // Fails only if a subscriber is installed already, which then does the logging.
     if tracing::subscriber::set_global_default(subscriber).is_ok() {
-        let _ = LEVELS.set(handle);
+        let _ = FILTER_HANDLE.set(handle);
     }
 }
 
-/// Changes the least level that is written.
+/// Changes the minimum level.
 pub fn set_level(level: LevelFilter) {
-    if let Some(handle) = LEVELS.get() {
-        // Fails only where the subscriber is gone, with the process.
-        let _ = handle.reload(Levels(level));
+    if let Some(handle) = FILTER_HANDLE.get() {
+        // Fails only if the subscriber is gone, while the process exits.
+        let _ = handle.reload(LevelFilterByTarget(level));
     }
 }
 
-struct Line(Form);
+struct LineFormatter(LogFormat);
 
-impl<S, N> FormatEvent<S, N> for Line
+impl<S, N> FormatEvent<S, N> for LineFormatter
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -82,18 +84,18 @@
         let meta = event.metadata();
         let part = match meta.target().rsplit("::").next().unwrap_or_default() {
             "dunlincleat_sidecar" | "dunlincleat" => "main",
-            // Where the decisions are carried out; the name that the on-call page knows.
+            // The engine's driver runs the decision module; the on-call documentation calls this part "module".
             "shell" => "module",
             part => part,
         };
         let mut text = String::new();
         ctx.format_fields(Writer::new(&mut text), event)?;
         match self.0 {
-            Form::Text => {
+            LogFormat::Text => {
                 let (secs, ms) = (now.as_secs(), now.subsec_millis());
                 writeln!(writer, "{secs}.{ms:03} {} {part}: {text}", meta.level())
             }
-            Form::Json => {
+            LogFormat::Json => {
                 let time = now.as_millis() as f64 / 1e3;
                 let level = meta.level().as_str();
                 writeln!(
--- a/crates/status/src/lib.rs
+++ b/crates/status/src/lib.rs
@@ -1,14 +1,14 @@
-//! What a sidecar tells of itself. [`lifecycle`] owns the stage of the process, [`metrics`] every figure; both are read
-//! from any thread, and nothing there waits. [`seldom`] keeps lines of the log rare; [`desk`] stands between
-//! console and duties.
+//! Operational state of a sidecar process. [`lifecycle`] owns the stage of the process and [`metrics`] every metric; both
+//! can be read from any thread without blocking. [`log_limiter`] limits the rate of log lines; [`duty_control`] connects
+//! the operators' console with the duties.
 
 #![forbid(unsafe_code)]
 
-pub mod desk;
+pub mod duty_control;
 pub mod lifecycle;
+pub mod log_limiter;
 pub mod metrics;
-pub mod seldom;
 
 pub use lifecycle::{Lifecycle, Stage};
+pub use log_limiter::LogLimiter;
 pub use metrics::Metrics;
-pub use seldom::Seldom;
--- a/crates/status/src/lifecycle.rs
+++ b/crates/status/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The stage of the process: a pure machine `(now, event) -> stage`, and the one handle on it that the console, the
-//! front and the signals share.
+//! The stage of the process: a pure state machine `(now, event) -> stage`, and the handle on it that the console, the
+//! HTTP front and the signal handlers share.
 
 use std::fmt::{self, Display, Formatter};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,44 +7,45 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-/// How far the process is in its life.
+/// The lifecycle stage of the process, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     /// Not ready to serve yet.
     Starting,
     /// Serving.
     Active,
-    /// Sent away its clients: still serving, but each answer ends its connection.
+    /// Standby, clients are to go elsewhere: still serving, but each response closes its connection.
     Standby,
-    /// The same, and idle connections are closed.
-    Emptying,
-    /// Told to end: serving still, but each answer ends its connection.
-    Leaving,
-    /// The same, and idle connections are closed: a request that crosses that comes again, on a new one.
-    Parting,
-    /// No new connections, and idle ones are closed.
-    Closing,
-    /// The process is about to end: what is still in hand is answered now.
-    Last,
+    /// Standby, and idle connections are closed too.
+    StandbyClosingIdle,
+    /// Shutting down: still accepting and serving, but each response closes its connection.
+    ShuttingDown,
+    /// Shutting down, and idle connections are closed too. A client whose request crosses the close can retry on a new
+    /// connection, as the listener is still open.
+    ShutdownClosingIdle,
+    /// Shutting down: no new connections are accepted, and idle ones are closed.
+    ListenerClosed,
+    /// The process is about to exit: requests still in flight are answered now.
+    Aborting,
 }
 
 impl Stage {
-    /// Whether clients are to come: the one answer to that, for `status`, `/healthz` and the front.
+    /// Whether clients should connect. `status`, `/healthz` and the HTTP front all use this answer.
     #[must_use]
-    pub fn ready(self) -> bool {
+    pub fn is_ready(self) -> bool {
         self == Stage::Active
     }
 
-    /// Each answer ends its connection.
+    /// Whether each response closes its connection.
     #[must_use]
-    pub fn sends_away(self) -> bool {
+    pub fn closes_after_response(self) -> bool {
         self > Stage::Active
     }
 
-    /// It was told to end.
+    /// Whether the process has been told to shut down.
     #[must_use]
-    pub fn ends(self) -> bool {
-        self >= Stage::Leaving
+    pub fn is_shutting_down(self) -> bool {
+        self >= Stage::ShuttingDown
     }
 }
 
@@ -53,151 +54,162 @@
         f.write_str(match self {
             Stage::Starting => "starting",
             Stage::Active => "active",
-            Stage::Standby | Stage::Emptying => "standby",
-            Stage::Leaving | Stage::Parting | Stage::Closing | Stage::Last => "ending",
+            Stage::Standby | Stage::StandbyClosingIdle => "standby",
+            Stage::ShuttingDown | Stage::ShutdownClosingIdle | Stage::ListenerClosed | Stage::Aborting => {
+                "ending"
+            }
         })
     }
 }
 
-/// What moves the stage.
+/// Inputs of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// All that serving needs is there.
+    /// Everything needed to serve is available.
     Ready,
-    /// Send clients away.
+    /// Operator command: send clients elsewhere.
     Standby,
-    /// Back to work.
+    /// Operator command: serve again.
     Active,
-    /// End.
-    End,
-    /// The time to end is all but over.
-    Last,
-    /// Time has passed.
-    Time,
+    /// Shut down.
+    Shutdown,
+    /// The time allowed for the shutdown has almost elapsed.
+    Abort,
+    /// Time has passed: apply a transition that is due.
+    Tick,
 }
 
-/// The times of the machine.
+/// The delays of the state machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
-    /// From the order to stand by until idle connections are closed: the front has seen the no by then.
-    pub notice: Duration,
-    /// From the order to end until nothing new is accepted.
-    pub accept: Duration,
+pub struct StageTiming {
+    /// From the standby command until idle connections are closed: whoever polls the health check has seen it fail
+    /// by then.
+    pub standby_notice: Duration,
+    /// From the shutdown command until the listener is closed.
+    pub accept_after_shutdown: Duration,
 }
 
-impl Times {
-    /// From the order to end until idle connections are closed. What is left of `accept` is for the requests that cross
-    /// that; closed with the listener, such a request found nowhere to come again.
-    fn part(self) -> Duration {
-        self.accept * 2 / 3
+impl StageTiming {
+    /// From the shutdown command until idle connections are closed. The rest of `accept_after_shutdown` lets clients
+    /// retry a request that crossed the close; with the listener closed at the same moment, they had nowhere to retry.
+    fn close_idle_after(self) -> Duration {
+        self.accept_after_shutdown * 2 / 3
     }
 }
 
-/// The machine. Orders may be repeated; whatever comes once it ends changes nothing any more.
+/// The state machine of the stage. Commands are idempotent, and operator commands during shutdown have no effect.
 #[derive(Debug)]
-pub struct Machine {
+pub struct StageMachine {
     stage: Stage,
-    since: Instant,
-    times: Times,
-    /// The order to stand by came before it was ready.
-    stand_by: bool,
+    entered_at: Instant,
+    timing: StageTiming,
+    /// Standby was requested before the process was ready.
+    standby_requested: bool,
 }
 
-impl Machine {
-    /// One that starts now.
+impl StageMachine {
+    /// Creates a state machine in [`Stage::Starting`].
     #[must_use]
-    pub fn new(now: Instant, times: Times) -> Machine {
-        Machine { stage: Stage::Starting, since: now, times, stand_by: false }
+    pub fn new(now: Instant, timing: StageTiming) -> StageMachine {
+        StageMachine { stage: Stage::Starting, entered_at: now, timing, standby_requested: false }
     }
 
-    /// When [`Event::Time`] moves it next, if ever.
+    /// When [`Event::Tick`] causes the next transition, if any is scheduled.
     #[must_use]
-    pub fn due(&self) -> Option<Instant> {
+    pub fn next_transition(&self) -> Option<Instant> {
         match self.stage {
-            Stage::Standby => Some(self.since + self.times.notice),
-            Stage::Leaving => Some(self.since + self.times.part()),
-            Stage::Parting => Some(self.since + self.times.accept),
-            Stage::Starting | Stage::Active | Stage::Emptying | Stage::Closing | Stage::Last => None,
+            Stage::Standby => Some(self.entered_at + self.timing.standby_notice),
+            Stage::ShuttingDown => Some(self.entered_at + self.timing.close_idle_after()),
+            Stage::ShutdownClosingIdle => Some(self.entered_at + self.timing.accept_after_shutdown),
+            Stage::Starting
+            | Stage::Active
+            | Stage::StandbyClosingIdle
+            | Stage::ListenerClosed
+            | Stage::Aborting => None,
         }
     }
 
-    /// Takes what happened; gives the stage from here on.
-    pub fn on(&mut self, now: Instant, event: Event) -> Stage {
+    /// Applies an event and returns the resulting stage.
+    pub fn apply(&mut self, now: Instant, event: Event) -> Stage {
         let next = match (event, self.stage) {
-            (Event::Ready, Stage::Starting) if self.stand_by => Stage::Standby,
+            (Event::Ready, Stage::Starting) if self.standby_requested => Stage::Standby,
             (Event::Ready, Stage::Starting) => Stage::Active,
             (Event::Standby | Event::Active, Stage::Starting) => {
-                self.stand_by = event == Event::Standby;
+                self.standby_requested = event == Event::Standby;
                 Stage::Starting
             }
             (Event::Standby, Stage::Active) => Stage::Standby,
-            (Event::Active, Stage::Standby | Stage::Emptying) => Stage::Active,
-            (Event::End, stage) if !stage.ends() => Stage::Leaving,
-            (Event::Last, stage) if stage.ends() => Stage::Last,
-            (Event::Time, Stage::Standby) if self.due() <= Some(now) => Stage::Emptying,
-            (Event::Time, Stage::Leaving | Stage::Parting) if self.since + self.times.accept <= now => {
-                Stage::Closing
+            (Event::Active, Stage::Standby | Stage::StandbyClosingIdle) => Stage::Active,
+            (Event::Shutdown, stage) if !stage.is_shutting_down() => Stage::ShuttingDown,
+            (Event::Abort, stage) if stage.is_shutting_down() => Stage::Aborting,
+            (Event::Tick, Stage::Standby) if self.next_transition() <= Some(now) => Stage::StandbyClosingIdle,
+            (Event::Tick, Stage::ShuttingDown | Stage::ShutdownClosingIdle)
+                if self.entered_at + self.timing.accept_after_shutdown <= now =>
+            {
+                Stage::ListenerClosed
+            }
+            (Event::Tick, Stage::ShuttingDown) if self.next_transition() <= Some(now) => {
+                Stage::ShutdownClosingIdle
             }
-            (Event::Time, Stage::Leaving) if self.due() <= Some(now) => Stage::Parting,
             (_, stage) => stage,
         };
-        // The time to accept counts from the order to end.
-        if next != self.stage && next != Stage::Parting {
-            self.since = now;
+        // `accept_after_shutdown` counts from the shutdown command, not from the closing of idle connections.
+        if next != self.stage && next != Stage::ShutdownClosingIdle {
+            self.entered_at = now;
         }
         self.stage = next;
         next
     }
 }
 
-/// The handle on the machine of this process. Its lock is held for the moment of an order alone; the stage is read
-/// without it.
+/// The shared handle on the state machine of this process. Its lock is held only while an event is applied; the stage is
+/// read without it.
 #[derive(Debug)]
 pub struct Lifecycle {
-    machine: Mutex<Machine>,
+    machine: Mutex<StageMachine>,
     stage: watch::Sender<Stage>,
 }
 
 impl Lifecycle {
-    /// The handle on a machine.
+    /// Creates a handle on a state machine.
     #[must_use]
-    pub fn new(machine: Machine) -> Lifecycle {
+    pub fn new(machine: StageMachine) -> Lifecycle {
         let stage = watch::Sender::new(machine.stage);
         Lifecycle { machine: Mutex::new(machine), stage }
     }
 
-    fn machine(&self) -> MutexGuard<'_, Machine> {
+    fn machine(&self) -> MutexGuard<'_, StageMachine> {
         self.machine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the machine; when this returns, all who read the stage read the new one.
-    pub fn tell(&self, event: Event) -> Stage {
+    /// Applies an event. When this returns, every reader sees the new stage.
+    pub fn apply(&self, event: Event) -> Stage {
         let mut machine = self.machine();
-        let stage = machine.on(Instant::now(), event);
-        self.stage.send_if_modified(|told| std::mem::replace(told, stage) != stage);
+        let stage = machine.apply(Instant::now(), event);
+        self.stage.send_if_modified(|current| std::mem::replace(current, stage) != stage);
         stage
     }
 
-    /// The stage as it is now.
+    /// The current stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// The stage, followed.
+    /// Subscribes to changes of the stage.
     #[must_use]
-    pub fn follow(&self) -> watch::Receiver<Stage> {
+    pub fn subscribe(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
     }
 
-    /// Moves the machine on as time passes. Does not end.
+    /// Applies the transitions that depend on time. Does not return while the handle exists.
     pub async fn run(&self) {
-        let mut stage = self.follow();
+        let mut stage = self.subscribe();
         loop {
-            let due = self.machine().due();
+            let next_transition = self.machine().next_transition();
             tokio::select! {
-                () = sleep_until(due.unwrap_or_else(Instant::now).into()), if due.is_some() => {
-                    self.tell(Event::Time);
+                () = sleep_until(next_transition.unwrap_or_else(Instant::now).into()), if next_transition.is_some() => {
+                    self.apply(Event::Tick);
                 }
                 changed = stage.changed() => if changed.is_err() {
                     return;
