--- a/crates/sidecar/tests/answers.rs
+++ b/crates/sidecar/tests/answers.rs
@@ -12,12 +12,12 @@
 }
 
 /// Two servers; the first request at either is answered with these bytes, and its connection stays open.
-fn spoilt(answer: &str) -> (Sidecar, Arc<AtomicUsize>, [Server; 2]) {
+fn spoilt(answer: &str) -> (Sidecar, Arc<AtomicUsize>, [FakeServer; 2]) {
     let asked = Arc::new(AtomicUsize::new(0));
     let servers = [(), ()].map(|()| {
         let (asked, answer) = (asked.clone(), answer.to_owned());
-        Server::start(move |_, _| match asked.fetch_add(1, Ordering::SeqCst) {
-            0 => Act::Raw(answer.clone(), Then::Keep),
+        FakeServer::start(move |_, _| match asked.fetch_add(1, Ordering::SeqCst) {
+            0 => Action::Raw(answer.clone(), AfterWrite::KeepOpen),
             _ => ok("served"),
         })
     });
@@ -42,9 +42,11 @@
         "HTTP/1.1 101 Switching Protocols\r\n\r\n",
         &format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(300_000)),
     ] {
-        for (request, status, attempts) in [(read("r1"), 200, 2), (once("r1"), 502, 1), (pay("r1"), 200, 2)] {
+        for (request, status, attempts) in
+            [(read_request("r1"), 200, 2), (once_request("r1"), 502, 1), (pay_request("r1"), 200, 2)]
+        {
             let (sidecar, asked, _servers) = spoilt(answer);
-            let got = sidecar.ask(&request);
+            let got = sidecar.request(&request);
             let what = format!("{answer:.60}");
             assert_eq!((got.status(), asked.load(Ordering::SeqCst)), (status, attempts), "{what}");
             if status == 200 {
@@ -57,11 +59,12 @@
 #[test]
 fn spoilt_answers_leave_no_server_out() {
     // Every other answer is spoilt. Taken for broken connections, they had the only server left out for a while.
-    let server =
-        Server::start(|n, _| if n % 2 == 0 { Act::Raw("noise\0".into(), Then::Keep) } else { ok("x") });
+    let server = FakeServer::start(|n, _| {
+        if n % 2 == 0 { Action::Raw("noise\0".into(), AfterWrite::KeepOpen) } else { ok("x") }
+    });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for n in 0..20 {
-        let status = sidecar.ask(&once(&format!("r{n}"))).status();
+        let status = sidecar.request(&once_request(&format!("r{n}"))).status();
         assert_eq!(status, if n % 2 == 0 { 502 } else { 200 }, "request {n}");
     }
 }
@@ -69,11 +72,13 @@
 #[test]
 fn answers_ahead_of_the_final_one_are_passed_over() {
     let hints = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <x>\r\n\r\n";
-    let server = Server::start(move |n, _| Act::Raw(format!("{hints}{}", whole(&n.to_string())), Then::Keep));
+    let server = FakeServer::start(move |n, _| {
+        Action::Raw(format!("{hints}{}", whole(&n.to_string())), AfterWrite::KeepOpen)
+    });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for n in 0..5 {
-        assert_eq!(sidecar.ask(&once(&format!("r{n}"))).text(), n.to_string());
-        rested();
+        assert_eq!(sidecar.request(&once_request(&format!("r{n}"))).text(), n.to_string());
+        wait_for_connection_rest();
     }
     assert_eq!(server.opened.len(), 1, "the connection is good");
 }
@@ -83,13 +88,14 @@
     for behind in
         [whole("copy"), "noise".to_owned(), "\r\n".to_owned(), "HTTP/1.1 200 OK\r\nConte".to_owned()]
     {
-        let server =
-            Server::start(move |n, _| Act::Raw(format!("{}{behind}", whole(&n.to_string())), Then::Keep));
+        let server = FakeServer::start(move |n, _| {
+            Action::Raw(format!("{}{behind}", whole(&n.to_string())), AfterWrite::KeepOpen)
+        });
         let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
         let mut client = sidecar.connect();
         for n in 0..10 {
-            client.send(&once(&format!("r{n}")));
-            assert_eq!(client.answer().text(), n.to_string());
+            client.send(&once_request(&format!("r{n}")));
+            assert_eq!(client.read_response().text(), n.to_string());
         }
         // The answer itself was good; its connection is not used again.
         assert_eq!(server.opened.len(), 10);
@@ -100,12 +106,14 @@
 fn a_report_that_cannot_be_read_costs_nothing_but_itself() {
     let bad =
         ["{\"inflight\":", "[]", "\u{e9}", "{\"inflight\":-7}", "{\"inflight\":1e300}", "{\"queue\":\"x\"}"];
-    let server = Server::start(move |n, _| {
-        Act::Reply(200, vec![("X-Server-Load", bad[n % bad.len()].to_owned())], n.to_string())
+    let server = FakeServer::start(move |n, _| Action::Reply {
+        status: 200,
+        headers: vec![("X-Server-Load", bad[n % bad.len()].to_owned())],
+        body: n.to_string(),
     });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for n in 0..bad.len() * 2 {
-        assert_eq!(sidecar.ask(&once(&format!("r{n}"))).text(), n.to_string());
+        assert_eq!(sidecar.request(&once_request(&format!("r{n}"))).text(), n.to_string());
     }
 }
 
@@ -113,19 +121,22 @@
 fn after_a_time_out_with_nothing_heard_idle_connections_are_dropped() {
     // Of a machine that vanished nothing tells: its idle connections stay open, and what is written to one
     // ends as a request that may have run.
-    let (gates, waits): (Vec<_>, Vec<_>) = (0..2).map(|_| latch("x")).unzip();
-    let server = Server::start(move |n, _| waits.get(n).cloned().unwrap_or(Act::Hang));
+    let (gates, waits): (Vec<_>, Vec<_>) = (0..2).map(|_| gated_ok("x")).unzip();
+    let server = FakeServer::start(move |n, _| waits.get(n).cloned().unwrap_or(Action::Hang));
     let sidecar =
         Setup::new(vec![entry("s1", server.address, "up")]).set("/sidecar/idle_ms", json!(600_000)).start();
     let mut clients: Vec<Client> = (0..2).map(|_| sidecar.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&once(&format!("r{n}")));
+        client.send(&once_request(&format!("r{n}")));
     }
     server.requests.wait(2, "requests");
     gates.iter().for_each(|gate| gate.send(()).unwrap());
     for client in &mut clients {
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(client.read_response().status(), 200);
     }
-    assert_eq!(sidecar.ask(&once("r2").replace("X-Timeout: 0.9", "X-Timeout: 0.3")).status(), 502);
+    assert_eq!(
+        sidecar.request(&once_request("r2").replace("X-Timeout: 0.9", "X-Timeout: 0.3")).status(),
+        502
+    );
     server.closed.wait(2, "closed connections");
 }
--- a/crates/sidecar/tests/bodies.rs
+++ b/crates/sidecar/tests/bodies.rs
@@ -50,14 +50,14 @@
     .start();
     let mut clients: Vec<_> = (0..12).map(|_| sidecar.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&read(&format!("r{n}")));
+        client.send(&read_request(&format!("r{n}")));
     }
     // All twelve begin before any is read: together far over the limit.
     for client in &mut clients {
         let mut first = [0; 1];
         client.stream.read_exact(&mut first).unwrap();
     }
-    assert!(sidecar.memory() < 40 << 20, "{} bytes are held", sidecar.memory());
+    assert!(sidecar.resident_memory() < 40 << 20, "{} bytes are held", sidecar.resident_memory());
     for client in &mut clients {
         let (_, body) = head(&mut client.stream);
         let mut got = body;
@@ -69,7 +69,7 @@
         }
         assert!(got.iter().zip((0..=255).cycle()).all(|(is, due)| *is == due) && got.len() == LONG);
     }
-    assert!(sidecar.memory() < 48 << 20);
+    assert!(sidecar.resident_memory() < 48 << 20);
 }
 
 /// The end against an answer that is half written to a client that reads slowly: it comes to its end, and then the process.
@@ -87,15 +87,15 @@
     .set("/sidecar/end_after_term_ms", json!(60_000))
     .start();
     let mut client = sidecar.connect();
-    client.send(&read("r1"));
+    client.send(&read_request("r1"));
     let mut got = vec![0; 1];
     client.stream.read_exact(&mut got).unwrap();
     sidecar.signal("TERM");
-    sidecar.logged("told to end");
+    sidecar.wait_for_log("told to end");
     let _ = client.stream.read_to_end(&mut got);
     let body = got.windows(4).position(|w| w == b"\r\n\r\n").unwrap() + 4;
     assert_eq!(got.len() - body, LONG);
-    let (status, log) = sidecar.end();
+    let (status, log) = sidecar.wait_for_exit();
     assert!(status.success() && !log.contains("still open"), "{log}");
 }
 
@@ -111,7 +111,7 @@
         })
         .start();
         let mut client = sidecar.connect();
-        client.send(&once("r1"));
+        client.send(&once_request("r1"));
         let mut got = Vec::new();
         let _ = client.stream.read_to_end(&mut got);
         let text = String::from_utf8_lossy(&got);
@@ -169,21 +169,21 @@
     ));
     let body: Vec<u8> = (0..=255).cycle().take(LONG).collect();
     client.stream.write_all(&body[..1 << 20]).unwrap();
-    let told = begins.recv_timeout(PATIENCE).unwrap().to_lowercase();
+    let told = begins.recv_timeout(WAIT_TIMEOUT).unwrap().to_lowercase();
     assert!(told.contains(&format!("content-length: {LONG}")), "{told}");
     // Longer than its class may take: another request of the same deadline, which the busy server does not hear, is
     // given up meanwhile, and the client still writes.
-    assert_ne!(sidecar.ask(&read("r2")).status(), 200);
+    assert_ne!(sidecar.request(&read_request("r2")).status(), 200);
     client.stream.write_all(&body[1 << 20..]).unwrap();
-    assert_eq!(client.answer().text(), "ok");
-    assert!(sees.recv_timeout(PATIENCE).unwrap(), "it came as it was sent");
-    assert!(sidecar.memory() < 48 << 20, "{}", sidecar.memory());
+    assert_eq!(client.read_response().text(), "ok");
+    assert!(sees.recv_timeout(WAIT_TIMEOUT).unwrap(), "it came as it was sent");
+    assert!(sidecar.resident_memory() < 48 << 20, "{}", sidecar.resident_memory());
 }
 
 /// Guards the rule that nothing runs twice, and what clients are told: a body that broke off never ran.
 #[test]
 fn a_long_body_that_breaks_off_runs_nowhere() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for n in 0..3 {
         let mut client = sidecar.connect();
@@ -193,8 +193,10 @@
         client.stream.write_all(&vec![b'x'; 1 << 18]).unwrap();
         let _ = client.stream.shutdown(std::net::Shutdown::Both);
     }
-    assert_eq!(sidecar.ask(&once("usual")).status(), 200);
-    assert!(server.requests.all().iter().all(|(_, m)| m.header("x-request-id") == Some("usual")));
+    assert_eq!(sidecar.request(&once_request("usual")).status(), 200);
+    assert!(
+        server.requests.all().iter().all(|request| request.message.header("x-request-id") == Some("usual"))
+    );
 }
 
 /// Guards what servers are sent: the next attempt once got the part that was held, as if it were all.
@@ -219,7 +221,7 @@
     client.send(&told);
     let mut stream = client.stream.try_clone().unwrap();
     let writer = thread::spawn(move || stream.write_all(&vec![b'x'; LONG]).is_ok());
-    let answer = client.answer_or_end();
+    let answer = client.read_response_or_close();
     assert!(answer.is_none_or(|answer| answer.status() == 503), "it never ran");
     drop(client);
     writer.join().unwrap();
@@ -236,7 +238,7 @@
         head(&mut stream);
         let mut part = [0; 1000];
         let _ = stream.read(&mut part);
-        let _ = stays.lock().unwrap().recv_timeout(2 * PATIENCE);
+        let _ = stays.lock().unwrap().recv_timeout(2 * WAIT_TIMEOUT);
     })
     .start();
     let mut client = sidecar.connect();
@@ -246,7 +248,7 @@
     let mut stream = client.stream.try_clone().unwrap();
     let writer = thread::spawn(move || stream.write_all(&vec![b'x'; LONG]).is_ok());
     // Its last byte was never written: it ran nowhere.
-    assert_eq!(client.answer().status(), 503);
+    assert_eq!(client.read_response().status(), 503);
     drop(client);
     let _ = writer.join();
     let_go.send(()).unwrap();
--- a/crates/sidecar/tests/churn.rs
+++ b/crates/sidecar/tests/churn.rs
@@ -8,15 +8,15 @@
 
 #[test]
 fn memory_and_descriptors_level_off_while_servers_are_replaced() {
-    let server = Server::start(|_, _| ok("x"));
-    let discovery = Discovery::start();
+    let server = FakeServer::start(|_, _| ok("x"));
+    let discovery = StubDiscovery::start();
     let mut setup = Setup::new(vec![]).discovery(&discovery).set("/sidecar/log", json!("info"));
     for class in 0..3 {
         // So long may a request remember a server.
         setup = setup.set(&format!("/settings/classes/{class}/deadline"), json!(20_000));
     }
     let sidecar = setup.start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     // Long names, so that what is kept shows.
     let name = |n: usize| format!("s-{n:08}-{}", "x".repeat(4000));
     let mut rev = 10;
@@ -24,13 +24,13 @@
         for n in (from..to).step_by(50) {
             let come = (n..n + 50).map(|n| entry(&name(n), server.address, "up"));
             let go = (n..n + 50).map(|n| entry(&name(n), server.address, "removed"));
-            discovery.send(rev + 1, false, come.collect());
-            sidecar.logged(&format!("revision {}: ", rev + 1));
-            discovery.send(rev + 2, false, go.collect());
-            sidecar.logged(&format!("revision {}: ", rev + 2));
+            discovery.publish_changes(rev + 1, come.collect());
+            sidecar.wait_for_log(&format!("revision {}: ", rev + 1));
+            discovery.publish_changes(rev + 2, go.collect());
+            sidecar.wait_for_log(&format!("revision {}: ", rev + 2));
             rev += 2;
         }
-        (sidecar.memory(), sidecar.descriptors())
+        (sidecar.resident_memory(), sidecar.open_descriptors())
     };
     let (memory, descriptors) = replace(0, 3000);
     let (memory_later, descriptors_later) = replace(3000, 9000);
@@ -41,33 +41,34 @@
 
 #[test]
 fn a_new_server_at_an_old_ones_address_gets_connections_of_its_own() {
-    let server = Server::start(|_, _| ok("x"));
-    let discovery = Discovery::start();
+    let server = FakeServer::start(|_, _| ok("x"));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
-    assert_eq!(sidecar.ask(&once("r1")).status(), 200);
-    discovery.send(8, false, vec![entry("s1", server.address, "removed"), entry("s2", server.address, "up")]);
-    sidecar.logged("revision 8: ");
+    discovery.watches.wait(1, "watches");
+    assert_eq!(sidecar.request(&once_request("r1")).status(), 200);
+    discovery
+        .publish_changes(8, vec![entry("s1", server.address, "removed"), entry("s2", server.address, "up")]);
+    sidecar.wait_for_log("revision 8: ");
     server.closed.wait(1, "closed connections");
-    assert_eq!(sidecar.ask(&once("r2")).status(), 200);
+    assert_eq!(sidecar.request(&once_request("r2")).status(), 200);
     assert_eq!(server.opened.len(), 2);
 }
 
 #[test]
 fn a_server_that_is_gone_with_a_request_out_still_answers_it() {
-    let (gate, wait) = latch("finished");
-    let server = Server::start(move |_, _| wait.clone());
-    let discovery = Discovery::start();
+    let (gate, wait) = gated_ok("finished");
+    let server = FakeServer::start(move |_, _| wait.clone());
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     let mut client = sidecar.connect();
-    client.send(&once("r1"));
+    client.send(&once_request("r1"));
     server.requests.wait(1, "requests");
     for rev in 8..30 {
-        let fresh = entry(&format!("s{rev}"), own_address(), "removed");
-        discovery.send(rev, false, vec![entry("s1", server.address, "removed"), fresh]);
+        let fresh = entry(&format!("s{rev}"), unique_address(), "removed");
+        discovery.publish_changes(rev, vec![entry("s1", server.address, "removed"), fresh]);
     }
-    sidecar.logged("revision 29: ");
+    sidecar.wait_for_log("revision 29: ");
     gate.send(()).unwrap();
-    assert_eq!(client.answer().text(), "finished");
+    assert_eq!(client.read_response().text(), "finished");
 }
--- a/crates/sidecar/tests/clients.rs
+++ b/crates/sidecar/tests/clients.rs
@@ -9,11 +9,11 @@
 
 /// Asks until a usual client is served: on the way there the bound may still be full.
 fn served(sidecar: &Sidecar) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         let mut client = sidecar.connect();
-        client.send(&read("usual"));
-        if client.answer_or_end().is_some_and(|answer| answer.status() == 200) {
+        client.send(&read_request("usual"));
+        if client.read_response_or_close().is_some_and(|answer| answer.status() == 200) {
             return;
         }
         assert!(Instant::now() < end, "a usual client is kept out");
@@ -22,27 +22,27 @@
 
 #[test]
 fn a_copy_of_a_request_in_hand_is_turned_away_and_the_request_goes_on() {
-    let (gate, wait) = latch("once");
-    let server = Server::start(move |n, _| if n == 0 { wait.clone() } else { ok("again") });
+    let (gate, wait) = gated_ok("once");
+    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("again") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let mut client = sidecar.connect();
-    client.send(&once("r1"));
+    client.send(&once_request("r1"));
     server.requests.wait(1, "requests");
-    assert_eq!(sidecar.ask(&once("r1")).status(), 409);
-    assert_eq!(sidecar.ask(&read("r1")).status(), 409);
+    assert_eq!(sidecar.request(&once_request("r1")).status(), 409);
+    assert_eq!(sidecar.request(&read_request("r1")).status(), 409);
     gate.send(()).unwrap();
-    assert_eq!(client.answer().text(), "once");
-    assert_eq!(server.count(), 1);
+    assert_eq!(client.read_response().text(), "once");
+    assert_eq!(server.request_count(), 1);
     // Its name is free once it is answered.
-    assert_eq!(sidecar.ask(&once("r1")).text(), "again");
+    assert_eq!(sidecar.request(&once_request("r1")).text(), "again");
 }
 
 #[test]
 fn a_request_whose_length_is_in_doubt_hides_no_other() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let head = "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r1\r\n";
-    let hidden = read("hidden");
+    let hidden = read_request("hidden");
     let chunked = "Transfer-Encoding: chunked\r\n";
     for lengths in [
         format!("Content-Length: 5\r\n{chunked}"),
@@ -63,16 +63,18 @@
     ] {
         let mut client = sidecar.connect();
         client.send(&format!("{head}{lengths}\r\n0\r\n\r\n{hidden}"));
-        assert!(client.answer_or_end().is_none_or(|answer| answer.status() == 400), "{lengths}");
-        client.ended();
+        assert!(client.read_response_or_close().is_none_or(|answer| answer.status() == 400), "{lengths}");
+        client.wait_for_close();
     }
     served(&sidecar);
-    assert!(server.requests.all().iter().all(|(_, m)| m.header("x-request-id") == Some("usual")));
+    assert!(
+        server.requests.all().iter().all(|request| request.message.header("x-request-id") == Some("usual"))
+    );
 }
 
 #[test]
 fn clients_that_send_no_whole_request_are_closed() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_request_ms", json!(300))
         .start();
@@ -93,53 +95,53 @@
         .collect();
     // After a whole request the next one has its time as well.
     let mut second = sidecar.connect();
-    second.send(&read("r1"));
-    assert_eq!(second.answer().status(), 200);
+    second.send(&read_request("r1"));
+    assert_eq!(second.read_response().status(), 200);
     second.send("GET /re");
     clients.push(second);
     // Whoever has begun is told that nothing of it was sent on.
     for (n, client) in clients.iter_mut().enumerate() {
-        let told = client.answer_or_end().map(|answer| answer.status());
+        let told = client.read_response_or_close().map(|answer| answer.status());
         assert_eq!(told, (n > 0).then_some(503), "client {n}");
     }
-    assert_eq!(server.count(), 1);
+    assert_eq!(server.request_count(), 1);
 }
 
 #[test]
 fn a_request_in_hand_is_not_ended_by_the_times_of_a_client() {
-    let (gate, wait) = latch("slow");
-    let server = Server::start(move |_, _| wait.clone());
+    let (gate, wait) = gated_ok("slow");
+    let server = FakeServer::start(move |_, _| wait.clone());
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_request_ms", json!(100))
         .set("/settings/classes/1/aim", json!(60_000_000))
         .set("/settings/classes/1/deadline", json!(60_000_000))
         .start();
     let mut client = sidecar.connect();
-    client.send(&once("r1").replace("X-Timeout: 0.9", "X-Timeout: 60"));
+    client.send(&once_request("r1").replace("X-Timeout: 0.9", "X-Timeout: 60"));
     server.requests.wait(1, "requests");
     // By the time this one is closed, the first has outlasted that time as well.
     let mut silent = sidecar.connect();
-    silent.ended();
+    silent.wait_for_close();
     gate.send(()).unwrap();
-    assert_eq!(client.answer().text(), "slow");
+    assert_eq!(client.read_response().text(), "slow");
 }
 
 #[test]
 fn an_idle_client_is_closed_but_not_before_two_seconds() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let setup = Setup::new(vec![entry("s1", server.address, "up")]);
     let sidecar = setup.set("/sidecar/client_idle_ms", json!(2000)).start();
     let mut client = sidecar.connect();
-    client.send(&read("r1"));
-    assert_eq!(client.answer().status(), 200);
+    client.send(&read_request("r1"));
+    assert_eq!(client.read_response().status(), 200);
     let answered = Instant::now();
-    client.ended();
+    client.wait_for_close();
     assert!(answered.elapsed() >= Duration::from_millis(1990), "closed after {:?}", answered.elapsed());
 }
 
 #[test]
 fn those_that_connect_and_say_nothing_keep_nobody_out() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_connections", json!(4))
         // Their own time would not end them while this test waits.
@@ -152,7 +154,7 @@
 
 #[test]
 fn those_that_asked_once_and_stay_keep_nobody_out() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_connections", json!(4))
         .set("/sidecar/client_idle_ms", json!(600_000))
@@ -160,8 +162,8 @@
     let mut stay = Vec::new();
     for n in 0..30 {
         let mut client = sidecar.connect();
-        client.send(&read(&format!("r{n}")));
-        let end = client.answer_or_end().is_none_or(|answer| answer.status() == 503);
+        client.send(&read_request(&format!("r{n}")));
+        let end = client.read_response_or_close().is_none_or(|answer| answer.status() == 503);
         stay.push((client, end));
     }
     served(&sidecar);
@@ -170,7 +172,7 @@
 #[test]
 fn many_that_ask_once_and_stay_are_all_served() {
     // Each keeps its connection, and none may be closed as idle within the time of this test.
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_connections", json!(20))
         .set("/sidecar/client_idle_ms", json!(600_000))
@@ -179,24 +181,24 @@
     let start = Instant::now();
     for n in 0..100 {
         let mut client = sidecar.connect();
-        client.send(&read(&format!("r{n}")));
-        assert_eq!(client.answer().status(), 200, "client {n}");
+        client.send(&read_request(&format!("r{n}")));
+        assert_eq!(client.read_response().status(), 200, "client {n}");
         stay.push(client);
     }
-    assert!(start.elapsed() < PATIENCE, "too slow to tell");
+    assert!(start.elapsed() < WAIT_TIMEOUT, "too slow to tell");
     // The first of them were not told to close, and still are served.
-    stay[0].send(&read("again"));
-    assert!(stay[0].answer_or_end().is_none_or(|answer| answer.status() == 200));
+    stay[0].send(&read_request("again"));
+    assert!(stay[0].read_response_or_close().is_none_or(|answer| answer.status() == 200));
 }
 
 #[test]
 fn a_flood_on_one_connection_costs_the_others_nothing() {
-    let server = Server::start(|n, _| if n == 0 { Act::Hang } else { ok("x") });
+    let server = FakeServer::start(|n, _| if n == 0 { Action::Hang } else { ok("x") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up"), entry("s2", server.address, "up")])
         .set("/settings/limits/try_limit", json!(1))
         .start();
     let mut flood = sidecar.connect();
-    let many: String = (0..4000).map(|n| read(&format!("r{n}"))).collect();
+    let many: String = (0..4000).map(|n| read_request(&format!("r{n}"))).collect();
     let mut stream = flood.stream.try_clone().unwrap();
     let writer = std::thread::spawn(move || {
         let _ = stream.write_all(many.as_bytes());
@@ -204,13 +206,13 @@
     server.requests.wait(1, "requests");
     served(&sidecar);
     // While its first request is in hand the rest waits, unread beyond a bound; it was once polled without end.
-    let (start, used) = (Instant::now(), sidecar.processor_time());
-    assert!(matches!(flood.answer().status(), 502 | 503), "the first ends at its deadline");
-    let (took, used) = (start.elapsed(), sidecar.processor_time() - used);
+    let (start, used) = (Instant::now(), sidecar.cpu_time());
+    assert!(matches!(flood.read_response().status(), 502 | 503), "the first ends at its deadline");
+    let (took, used) = (start.elapsed(), sidecar.cpu_time() - used);
     assert!(took > Duration::from_millis(500) && used < took / 2, "{used:?} of {took:?}");
     // The rest is answered in its turn.
     for n in 1..100 {
-        assert!(matches!(flood.answer().status(), 200 | 503), "request {n}");
+        assert!(matches!(flood.read_response().status(), 200 | 503), "request {n}");
     }
     drop(flood);
     writer.join().unwrap();
@@ -219,41 +221,43 @@
 
 #[test]
 fn hundreds_of_bad_requests_at_once_are_turned_away() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let mut flood = sidecar.connect();
     flood.send(&"GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n".repeat(700));
-    let answer = flood.answer();
+    let answer = flood.read_response();
     assert_eq!((answer.status(), answer.header("connection")), (404, Some("close")));
     served(&sidecar);
 }
 
 #[test]
 fn odd_figures_are_turned_away_or_bounded() {
-    let server = Server::start(|_, m| if m.target() == "/read/hang" { Act::Hang } else { ok("x") });
+    let server = FakeServer::start(|_, m| if m.target() == "/read/hang" { Action::Hang } else { ok("x") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
-    let with = |name: &str, value: &str| read("r1").replace("X-Tenant-Id: acme", &format!("{name}: {value}"));
+    let with = |name: &str, value: &str| {
+        read_request("r1").replace("X-Tenant-Id: acme", &format!("{name}: {value}"))
+    };
     for wait in ["NaN", "-0.1", "inf", "-inf", "1e999", "", "soon", "0x10"] {
         let request = with("X-Cost", "1").replace("X-Timeout: 0.9", &format!("X-Timeout: {wait}"));
-        assert_eq!(sidecar.ask(&request).status(), 400, "X-Timeout: {wait}");
+        assert_eq!(sidecar.request(&request).status(), 400, "X-Timeout: {wait}");
     }
     for cost in ["NaN", "-5", "inf", "-1e308", "1e308", "many"] {
-        assert_eq!(sidecar.ask(&with("X-Cost", cost)).status(), 200, "X-Cost: {cost}");
+        assert_eq!(sidecar.request(&with("X-Cost", cost)).status(), 200, "X-Cost: {cost}");
     }
     for tenant in ["nobody", "-1", "99999999999", "\u{e9}"] {
-        assert_eq!(sidecar.ask(&with("X-Tenant-Id", tenant)).status(), 200, "X-Tenant-Id: {tenant}");
+        assert_eq!(sidecar.request(&with("X-Tenant-Id", tenant)).status(), 200, "X-Tenant-Id: {tenant}");
     }
     // However long it says it waits: the class allows one second over all tries.
     let long =
         with("X-Cost", "1").replace("X-Timeout: 0.9", "X-Timeout: 1e300").replace("/read", "/read/hang");
     let start = Instant::now();
-    assert_eq!(sidecar.ask(&long).status(), 503);
-    assert!(start.elapsed() < PATIENCE / 2);
+    assert_eq!(sidecar.request(&long).status(), 503);
+    assert!(start.elapsed() < WAIT_TIMEOUT / 2);
 }
 
 #[test]
 fn connections_of_bad_clients_are_given_back() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     served(&sidecar);
     for _ in 0..50 {
@@ -261,12 +265,12 @@
             let mut client = sidecar.connect();
             client.send(bad);
             if bad.ends_with('\n') {
-                client.answer_or_end();
+                client.read_response_or_close();
             }
         }
     }
-    let end = Instant::now() + PATIENCE;
-    while sidecar.descriptors() > 30 {
-        assert!(Instant::now() < end, "{} descriptors are held", sidecar.descriptors());
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while sidecar.open_descriptors() > 30 {
+        assert!(Instant::now() < end, "{} descriptors are held", sidecar.open_descriptors());
     }
 }
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the application, the servers and discovery, and a handle on the program under test. All of
-//! them live on loopback; each wait is for a condition and fails after `PATIENCE`.
+//! Test client, fake servers, stub discovery and a handle on the sidecar process under test. All of them use
+//! loopback addresses; each wait is for a condition and fails after `WAIT_TIMEOUT`.
 
 #![allow(dead_code)]
 
@@ -16,13 +16,13 @@
 use std::time::{Duration, Instant};
 
 /// How long a condition may take on a busy machine before the test fails.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A message of HTTP/1.1 as it came.
+/// An HTTP/1.1 message as received.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// Request line or status line.
-    pub line: String,
+    pub start_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
@@ -33,15 +33,15 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
     pub fn method(&self) -> &str {
-        self.line.split(' ').next().unwrap_or_default()
+        self.start_line.split(' ').next().unwrap_or_default()
     }
 
     pub fn target(&self) -> &str {
-        self.line.split(' ').nth(1).unwrap_or_default()
+        self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
     pub fn text(&self) -> String {
@@ -49,13 +49,13 @@
     }
 }
 
-/// Reads one message; none where the connection ended before it began.
+/// Reads one message; `None` if the connection was closed before its first byte.
 pub fn read_message(input: &mut impl BufRead) -> std::io::Result<Option<Message>> {
     let mut message = Message::default();
-    if input.read_line(&mut message.line)? == 0 {
+    if input.read_line(&mut message.start_line)? == 0 {
         return Ok(None);
     }
-    message.line.truncate(message.line.trim_end().len());
+    message.start_line.truncate(message.start_line.trim_end().len());
     loop {
         let mut line = String::new();
         if input.read_line(&mut line)? == 0 {
@@ -70,407 +70,491 @@
     Ok(Some(message))
 }
 
-/// A count or list that tests wait on.
-pub struct Seen<T>(Arc<(Mutex<Vec<T>>, Condvar)>);
+/// A thread-safe list of observed events whose length tests can wait for.
+pub struct Recorder<T>(Arc<RecorderState<T>>);
 
-impl<T> Clone for Seen<T> {
+struct RecorderState<T> {
+    events: Mutex<Vec<T>>,
+    changed: Condvar,
+}
+
+impl<T> Clone for Recorder<T> {
     fn clone(&self) -> Self {
-        Seen(self.0.clone())
+        Recorder(self.0.clone())
     }
 }
 
-impl<T: Clone> Seen<T> {
-    pub fn new() -> Seen<T> {
-        Seen(Arc::new((Mutex::new(Vec::new()), Condvar::new())))
+impl<T: Clone> Recorder<T> {
+    pub fn new() -> Recorder<T> {
+        Recorder(Arc::new(RecorderState { events: Mutex::new(Vec::new()), changed: Condvar::new() }))
     }
 
-    pub fn push(&self, value: T) {
-        self.0.0.lock().unwrap().push(value);
-        self.0.1.notify_all();
+    /// Appends an event and returns its index.
+    pub fn push(&self, event: T) -> usize {
+        let mut events = self.0.events.lock().unwrap();
+        events.push(event);
+        self.0.changed.notify_all();
+        events.len() - 1
     }
 
     pub fn all(&self) -> Vec<T> {
-        self.0.0.lock().unwrap().clone()
+        self.0.events.lock().unwrap().clone()
     }
 
     pub fn len(&self) -> usize {
-        self.0.0.lock().unwrap().len()
+        self.0.events.lock().unwrap().len()
     }
 
-    /// Waits until so many were seen and gives them.
+    /// Waits until at least `count` events were recorded and returns all of them.
     pub fn wait(&self, count: usize, what: &str) -> Vec<T> {
-        let end = Instant::now() + PATIENCE;
-        let mut seen = self.0.0.lock().unwrap();
-        while seen.len() < count {
+        let end = Instant::now() + WAIT_TIMEOUT;
+        let mut events = self.0.events.lock().unwrap();
+        while events.len() < count {
             let left = end.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "{what}: {} of {count} came", seen.len());
-            seen = self.0.1.wait_timeout(seen, left).unwrap().0;
+            assert!(!left.is_zero(), "{what}: {} of {count} observed", events.len());
+            events = self.0.changed.wait_timeout(events, left).unwrap().0;
         }
-        seen.clone()
+        events.clone()
     }
 }
 
-/// What a server does with a request.
+/// What a fake server does with a request.
 #[derive(Clone)]
-pub enum Act {
-    /// Answers with this status, these headers and this body.
-    Reply(u16, Vec<(&'static str, String)>, String),
-    /// Says nothing until the other side closes.
+pub enum Action {
+    /// Responds with this status, these headers and this body.
+    Reply { status: u16, headers: Vec<(&'static str, String)>, body: String },
+    /// Sends nothing until the other side closes the connection.
     Hang,
-    /// Ends the connection without an answer.
-    Break,
-    /// Writes these bytes and keeps the connection, or ends it.
-    Raw(String, Then),
-    /// Does this once the test lets it.
-    Wait(Arc<Mutex<Receiver<()>>>, Box<Act>),
-    /// Does one, then the other where the connection is not over.
-    Both(Box<Act>, Box<Act>),
+    /// Closes the connection without a response.
+    Close,
+    /// Writes these bytes and then keeps or closes the connection.
+    Raw(String, AfterWrite),
+    /// Performs the action once the test opens the gate.
+    Gated(Arc<Mutex<Receiver<()>>>, Box<Action>),
+    /// Performs the first action, then the second one if the connection is still open.
+    Sequence(Box<Action>, Box<Action>),
 }
 
-/// What becomes of the connection.
+/// What happens to the connection after a raw write.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Then {
-    Keep,
-    End,
+pub enum AfterWrite {
+    KeepOpen,
+    Close,
+}
+
+/// A response without headers of its own and with an empty body.
+pub fn status_only(status: u16) -> Action {
+    Action::Reply { status, headers: vec![], body: String::new() }
 }
 
-pub fn ok(body: &str) -> Act {
-    Act::Reply(200, vec![], body.to_owned())
+pub fn ok(body: &str) -> Action {
+    Action::Reply { status: 200, headers: vec![], body: body.to_owned() }
 }
 
-/// A latch: the act waits until something is sent.
-pub fn latch(body: &str) -> (Sender<()>, Act) {
-    held(ok(body))
+/// A response with status 200 that waits until something is sent on the gate.
+pub fn gated_ok(body: &str) -> (Sender<()>, Action) {
+    gated(ok(body))
 }
 
-/// The same before any act.
-pub fn held(act: Act) -> (Sender<()>, Act) {
+/// Any action that waits until something is sent on the gate.
+pub fn gated(action: Action) -> (Sender<()>, Action) {
     let (sender, receiver) = channel();
-    (sender, Act::Wait(Arc::new(Mutex::new(receiver)), Box::new(act)))
+    (sender, Action::Gated(Arc::new(Mutex::new(receiver)), Box::new(action)))
 }
 
-/// Turns a request away, which never ran.
-pub fn turned_away(status: u16) -> Act {
-    Act::Reply(status, vec![("X-Not-Processed", "1".into())], String::new())
+/// Rejects a request and states that it was not processed.
+pub fn rejected(status: u16) -> Action {
+    Action::Reply { status, headers: vec![("X-Not-Processed", "1".into())], body: String::new() }
+}
+
+/// A request other than a probe, as a fake server received it.
+#[derive(Clone)]
+pub struct ReceivedRequest {
+    /// Number of the connection that it came on.
+    pub connection: usize,
+    pub message: Message,
+}
+
+/// The moment at which the last byte of a request arrived, which is when its attempt began.
+#[derive(Clone)]
+pub struct Arrival {
+    pub request_id: String,
+    pub at: Instant,
+}
+
+/// A connection that the other side closed.
+#[derive(Clone)]
+pub struct ClosedConnection {
+    pub connection: usize,
+    /// Time since the last response on it.
+    pub idle: Duration,
 }
 
-/// A server that the sidecar sends to.
-pub struct Server {
+/// A server that the sidecar sends requests to.
+pub struct FakeServer {
     pub address: SocketAddr,
-    /// Requests other than probes, in the order in which their last byte came, with their connection.
-    pub requests: Seen<(usize, Message)>,
-    /// Their names, each with the moment at which its last byte came: that of the beginning of an attempt.
-    pub begun: Seen<(String, Instant)>,
+    /// Requests other than probes, in the order in which their last byte arrived.
+    pub requests: Recorder<ReceivedRequest>,
+    pub arrivals: Recorder<Arrival>,
     /// Paths of probes.
-    pub probes: Seen<String>,
-    /// Connections opened.
-    pub opened: Seen<usize>,
-    /// Connections that the other side ended, and how long after the last answer.
-    pub closed: Seen<(usize, Duration)>,
+    pub probes: Recorder<String>,
+    /// Numbers of the connections opened.
+    pub opened: Recorder<usize>,
+    pub closed: Recorder<ClosedConnection>,
 }
 
-impl Server {
-    /// A server that does as told by the number of the request, from 0.
-    pub fn start(act: impl Fn(usize, &Message) -> Act + Send + Sync + 'static) -> Server {
-        Server::with_load(act, || r#"{"inflight":0,"queue":0,"util":0.0}"#.to_owned())
+impl FakeServer {
+    /// Starts a server that performs the action chosen by the number of the request, counted from 0.
+    pub fn start(action: impl Fn(usize, &Message) -> Action + Send + Sync + 'static) -> FakeServer {
+        FakeServer::start_with_load(action, || r#"{"inflight":0,"queue":0,"util":0.0}"#.to_owned())
     }
 
     /// The same with a load report for its probes.
-    pub fn with_load(
-        act: impl Fn(usize, &Message) -> Act + Send + Sync + 'static,
+    pub fn start_with_load(
+        action: impl Fn(usize, &Message) -> Action + Send + Sync + 'static,
         load: impl Fn() -> String + Send + Sync + 'static,
-    ) -> Server {
-        Server::on(TcpListener::bind("127.0.0.1:0").unwrap(), act, load)
+    ) -> FakeServer {
+        FakeServer::start_on(TcpListener::bind("127.0.0.1:0").unwrap(), action, load)
     }
 
-    /// The same behind this listener.
-    fn on(
+    /// The same on this listener.
+    fn start_on(
         listener: TcpListener,
-        act: impl Fn(usize, &Message) -> Act + Send + Sync + 'static,
+        action: impl Fn(usize, &Message) -> Action + Send + Sync + 'static,
         load: impl Fn() -> String + Send + Sync + 'static,
-    ) -> Server {
-        let address = listener.local_addr().unwrap();
-        let (requests, probes, begun) = (Seen::new(), Seen::new(), Seen::new());
-        let (opened, closed) = (Seen::new(), Seen::new());
-        let server = Server {
-            address,
-            requests: requests.clone(),
-            begun: begun.clone(),
-            probes: probes.clone(),
-            opened: opened.clone(),
-            closed: closed.clone(),
+    ) -> FakeServer {
+        let recorders = ServerRecorders::new();
+        let server = FakeServer {
+            address: listener.local_addr().unwrap(),
+            requests: recorders.requests.clone(),
+            arrivals: recorders.arrivals.clone(),
+            probes: recorders.probes.clone(),
+            opened: recorders.opened.clone(),
+            closed: recorders.closed.clone(),
         };
-        let (act, load) = (Arc::new(act), Arc::new(load));
+        let action = Arc::new(action);
+        let load = Arc::new(load);
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
                 let Ok(stream) = stream else { return };
-                opened.push(connection);
-                let (requests, probes, closed) = (requests.clone(), probes.clone(), closed.clone());
-                let (act, load, begun) = (act.clone(), load.clone(), begun.clone());
-                thread::spawn(move || {
-                    let mut last = Instant::now();
-                    let mut input = BufReader::new(stream.try_clone().unwrap());
-                    while let Ok(Some(message)) = read_message(&mut input) {
-                        if matches!(message.target(), "/load" | "/healthz") {
-                            probes.push(message.target().to_owned());
-                            let body = load();
-                            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-                            let _ = (&stream).write_all((head + &body).as_bytes());
-                            last = Instant::now();
-                            continue;
-                        }
-                        let id = message.header("x-request-id").unwrap_or_default().to_owned();
-                        begun.push((id, Instant::now()));
-                        let number = {
-                            let mut seen = requests.0.0.lock().unwrap();
-                            seen.push((connection, message.clone()));
-                            requests.0.1.notify_all();
-                            seen.len() - 1
-                        };
-                        if !perform(&stream, act(number, &message)) {
-                            break;
-                        }
-                        last = Instant::now();
-                    }
-                    closed.push((connection, last.elapsed()));
-                });
+                recorders.opened.push(connection);
+                let recorders = recorders.clone();
+                let action = action.clone();
+                let load = load.clone();
+                thread::spawn(move || recorders.serve(connection, stream, &*action, &*load));
             }
         });
         server
     }
 
-    pub fn count(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// The names of the requests that came, in their order.
-    pub fn ids(&self) -> Vec<String> {
+    /// The ids of the requests received, in order of arrival.
+    pub fn request_ids(&self) -> Vec<String> {
         let id = |message: &Message| message.header("x-request-id").unwrap_or_default().to_owned();
-        self.requests.all().iter().map(|(_, message)| id(message)).collect()
+        self.requests.all().iter().map(|request| id(&request.message)).collect()
     }
 }
 
-/// A server to which connections come up only once the test lets them: its queue is full until then.
-pub struct Late {
+/// The recorders of a fake server, shared with the threads of its connections.
+#[derive(Clone)]
+struct ServerRecorders {
+    requests: Recorder<ReceivedRequest>,
+    arrivals: Recorder<Arrival>,
+    probes: Recorder<String>,
+    opened: Recorder<usize>,
+    closed: Recorder<ClosedConnection>,
+}
+
+impl ServerRecorders {
+    fn new() -> ServerRecorders {
+        ServerRecorders {
+            requests: Recorder::new(),
+            arrivals: Recorder::new(),
+            probes: Recorder::new(),
+            opened: Recorder::new(),
+            closed: Recorder::new(),
+        }
+    }
+
+    /// Serves one connection until either side closes it.
+    fn serve(
+        &self,
+        connection: usize,
+        stream: TcpStream,
+        action: &impl Fn(usize, &Message) -> Action,
+        load: &impl Fn() -> String,
+    ) {
+        let mut last_response = Instant::now();
+        let mut input = BufReader::new(stream.try_clone().unwrap());
+        while let Ok(Some(message)) = read_message(&mut input) {
+            if matches!(message.target(), "/load" | "/healthz") {
+                self.probes.push(message.target().to_owned());
+                let body = load();
+                let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+                let _ = (&stream).write_all((head + &body).as_bytes());
+                last_response = Instant::now();
+                continue;
+            }
+            let request_id = message.header("x-request-id").unwrap_or_default().to_owned();
+            self.arrivals.push(Arrival { request_id, at: Instant::now() });
+            let number = self.requests.push(ReceivedRequest { connection, message: message.clone() });
+            if !perform(&stream, action(number, &message)) {
+                break;
+            }
+            last_response = Instant::now();
+        }
+        self.closed.push(ClosedConnection { connection, idle: last_response.elapsed() });
+    }
+}
+
+/// A listener whose accept queue is full: connections to it are not established until it is opened.
+pub struct SaturatedListener {
     listener: TcpListener,
-    held: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
     pub address: SocketAddr,
 }
 
-impl Late {
-    pub fn new() -> Late {
+impl SaturatedListener {
+    pub fn new() -> SaturatedListener {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(1).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        let mut held = Vec::new();
+        let mut queued = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-            held.push(stream);
+            queued.push(stream);
         }
-        Late { listener, held, address }
+        SaturatedListener { listener, queued, address }
     }
 
-    /// Lets connections come up from here on, to discovery.
-    pub fn open_discovery(self) -> Discovery {
-        drop(self.held);
-        Discovery::on(self.listener)
+    /// Accepts connections from here on, as stub discovery.
+    pub fn open_as_discovery(self) -> StubDiscovery {
+        drop(self.queued);
+        StubDiscovery::start_on(self.listener)
     }
 
-    /// Lets connections come up from here on.
-    pub fn open(self, act: impl Fn(usize, &Message) -> Act + Send + Sync + 'static) -> Server {
-        drop(self.held);
-        Server::on(self.listener, act, || String::from("{}"))
+    /// Accepts connections from here on, as a fake server.
+    pub fn open_as_server(
+        self,
+        action: impl Fn(usize, &Message) -> Action + Send + Sync + 'static,
+    ) -> FakeServer {
+        drop(self.queued);
+        FakeServer::start_on(self.listener, action, || String::from("{}"))
     }
 }
 
-/// Carries an act out; false where the connection is over.
-fn perform(mut stream: &TcpStream, act: Act) -> bool {
-    match act {
-        Act::Reply(status, headers, body) => {
+/// Performs an action; returns false if the connection is closed afterwards.
+fn perform(mut stream: &TcpStream, action: Action) -> bool {
+    match action {
+        Action::Reply { status, headers, body } => {
             let mut head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n", body.len());
             for (name, value) in headers {
                 head += &format!("{name}: {value}\r\n");
             }
             stream.write_all((head + "\r\n" + &body).as_bytes()).is_ok()
         }
-        Act::Hang => {
+        Action::Hang => {
             let _ = stream.read(&mut [0; 1]);
             false
         }
-        Act::Break => {
+        Action::Close => {
             let _ = stream.shutdown(std::net::Shutdown::Both);
             false
         }
-        Act::Raw(bytes, then) => {
+        Action::Raw(bytes, after_write) => {
             let _ = stream.write_all(bytes.as_bytes());
-            if then == Then::End {
+            if after_write == AfterWrite::Close {
                 let _ = stream.shutdown(std::net::Shutdown::Both);
             }
-            then == Then::Keep
+            after_write == AfterWrite::KeepOpen
         }
-        Act::Wait(latch, act) => {
-            let _ = latch.lock().unwrap().recv_timeout(PATIENCE);
-            perform(stream, *act)
+        Action::Gated(gate, action) => {
+            let _ = gate.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
+            perform(stream, *action)
         }
-        Act::Both(first, then) => perform(stream, *first) && perform(stream, *then),
+        Action::Sequence(first, second) => perform(stream, *first) && perform(stream, *second),
     }
 }
 
-/// An address of loopback that no other test of this run has, so that no port is taken in between: one that
-/// was free a moment ago once belonged to another test's stand-in by the time it was used.
-pub fn own_address() -> SocketAddr {
+/// A loopback address that no other test of this run uses. A port that was merely free a moment ago could be
+/// taken by another test's fake server before it is bound.
+pub fn unique_address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
     SocketAddr::from(([127, 128 | high, low, NEXT.fetch_add(1, Ordering::SeqCst)], 5000))
 }
 
-/// Discovery: takes watches and sends the lines that a test gives it.
-pub struct Discovery {
+/// Discovery that accepts watches and sends the lines that a test gives it.
+pub struct StubDiscovery {
     pub address: SocketAddr,
-    /// The targets of the watches, and of calls for the whole list.
-    pub calls: Seen<String>,
-    pub lists: Seen<String>,
-    /// What a call for the whole list is answered with; while there is nothing, it gets no answer.
-    whole: Arc<Mutex<Option<String>>>,
-    /// Watches that the other side ended.
-    pub ended: Seen<usize>,
-    streams: Arc<Mutex<Vec<TcpStream>>>,
-    /// It says nothing: neither a first line nor signs of life.
-    silent: Arc<AtomicBool>,
-}
-
-/// How often a watch brings a sign of life; the program under test is told of 2 s.
+    /// Request targets of the watches.
+    pub watches: Recorder<String>,
+    /// Request targets of the calls for the full list.
+    pub list_calls: Recorder<String>,
+    /// Numbers of the connections that the other side closed.
+    pub closed: Recorder<usize>,
+    state: Arc<DiscoveryState>,
+}
+
+/// State that a stub discovery shares with its threads.
+#[derive(Default)]
+struct DiscoveryState {
+    /// Response to calls for the full list; while there is none, they get no response.
+    full_list: Mutex<Option<String>>,
+    /// Open watches.
+    streams: Mutex<Vec<TcpStream>>,
+    /// Sends neither a first line nor heartbeats.
+    silent: AtomicBool,
+}
+
+/// Interval of the heartbeats on a watch; the sidecar is configured to expect one every 2 s.
 const HEARTBEAT: Duration = Duration::from_millis(200);
 
 fn chunk(bytes: &str) -> Vec<u8> {
     format!("{:x}\r\n{bytes}\r\n", bytes.len()).into_bytes()
 }
 
-impl Discovery {
-    pub fn start() -> Discovery {
-        Discovery::on(TcpListener::bind("127.0.0.1:0").unwrap())
+impl StubDiscovery {
+    pub fn start() -> StubDiscovery {
+        StubDiscovery::start_on(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// The same behind this listener.
-    pub fn on(listener: TcpListener) -> Discovery {
-        let (calls, lists, ended) = (Seen::new(), Seen::new(), Seen::new());
-        let (streams, whole) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(None)));
-        let silent = Arc::new(AtomicBool::new(false));
-        let streams: Arc<Mutex<Vec<TcpStream>>> = streams;
-        let address = listener.local_addr().unwrap();
-        let discovery = Discovery {
-            address,
-            calls: calls.clone(),
-            lists: lists.clone(),
-            whole: whole.clone(),
-            ended: ended.clone(),
-            streams: streams.clone(),
-            silent: silent.clone(),
+    /// The same on this listener.
+    pub fn start_on(listener: TcpListener) -> StubDiscovery {
+        let discovery = StubDiscovery {
+            address: listener.local_addr().unwrap(),
+            watches: Recorder::new(),
+            list_calls: Recorder::new(),
+            closed: Recorder::new(),
+            state: Arc::default(),
         };
-        let (beating, beat) = (streams.clone(), silent.clone());
+        let state = discovery.state.clone();
         thread::spawn(move || {
             loop {
                 thread::sleep(HEARTBEAT);
-                if !beat.load(Ordering::SeqCst) {
-                    let mut streams = beating.lock().unwrap();
+                if !state.silent.load(Ordering::SeqCst) {
+                    let mut streams = state.streams.lock().unwrap();
                     streams.iter_mut().for_each(|stream| drop(stream.write_all(&chunk("\n"))));
                 }
             }
         });
+        let watches = discovery.watches.clone();
+        let list_calls = discovery.list_calls.clone();
+        let closed = discovery.closed.clone();
+        let state = discovery.state.clone();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let Ok(mut stream) = stream else { return };
-                let (calls, lists, ended) = (calls.clone(), lists.clone(), ended.clone());
-                let silent = silent.clone();
-                let (whole, streams): (Arc<Mutex<Option<String>>>, _) = (whole.clone(), streams.clone());
+                let Ok(stream) = stream else { return };
+                let watches = watches.clone();
+                let list_calls = list_calls.clone();
+                let closed = closed.clone();
+                let state = state.clone();
                 thread::spawn(move || {
-                    let mut input = BufReader::new(stream.try_clone().unwrap());
-                    while let Ok(Some(call)) = read_message(&mut input) {
-                        if call.target().contains("watch=1") {
-                            let _ =
-                                stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                            if !silent.load(Ordering::SeqCst) {
-                                let after = call.target().split_once("after=").map_or("0", |(_, rest)| rest);
-                                let after = after.split('&').next().unwrap_or("0");
-                                let first = format!("{{\"rev\":{after},\"all\":false,\"targets\":[]}}\n");
-                                let _ = stream.write_all(&chunk(&first));
-                            }
-                            streams.lock().unwrap().push(stream.try_clone().unwrap());
-                            calls.push(call.target().to_owned());
-                            continue;
-                        }
-                        lists.push(call.target().to_owned());
-                        if let Some(list) = whole.lock().unwrap().as_ref() {
-                            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
-                            let _ = stream.write_all((head + list).as_bytes());
-                        }
-                    }
-                    ended.push(connection);
+                    state.serve(&stream, &watches, &list_calls);
+                    closed.push(connection);
                 });
             }
         });
         discovery
     }
 
-    /// Sets what a call for the whole list is answered with.
-    pub fn hold(&self, rev: u64, targets: Vec<Value>) {
+    /// Sets the response to calls for the full list.
+    pub fn set_full_list(&self, rev: u64, targets: Vec<Value>) {
         let list = json!({"rev": rev, "all": true, "targets": targets}).to_string();
-        *self.whole.lock().unwrap() = Some(list);
+        *self.state.full_list.lock().unwrap() = Some(list);
     }
 
-    /// Sends bytes on every watch that is open.
+    /// Sends bytes on every open watch.
     pub fn send_raw(&self, bytes: &str) {
-        let mut streams = self.streams.lock().unwrap();
+        let mut streams = self.state.streams.lock().unwrap();
         let reached = streams.iter_mut().filter_map(|stream| stream.write_all(&chunk(bytes)).ok());
         assert!(reached.count() > 0, "no watch is open");
     }
 
-    /// Sends a list or changes as one line on every watch.
-    pub fn send(&self, rev: u64, whole: bool, targets: Vec<Value>) {
-        self.send_raw(&format!("{}\n", json!({"rev": rev, "all": whole, "targets": targets})));
+    /// Sends changes to the list as one line on every watch.
+    pub fn publish_changes(&self, rev: u64, targets: Vec<Value>) {
+        self.publish(rev, false, targets);
+    }
+
+    /// Sends a full list as one line on every watch.
+    pub fn publish_full_list(&self, rev: u64, targets: Vec<Value>) {
+        self.publish(rev, true, targets);
+    }
+
+    fn publish(&self, rev: u64, full: bool, targets: Vec<Value>) {
+        self.send_raw(&format!("{}\n", json!({"rev": rev, "all": full, "targets": targets})));
     }
 
-    /// Says nothing from now on, or speaks again.
-    pub fn silence(&self, silent: bool) {
-        self.silent.store(silent, Ordering::SeqCst);
+    /// Stops or resumes first lines and heartbeats.
+    pub fn set_silent(&self, silent: bool) {
+        self.state.silent.store(silent, Ordering::SeqCst);
     }
 
-    /// Resets all watches: what was written to them and not read is lost with them.
-    pub fn reset(&self) {
-        for stream in self.streams.lock().unwrap().drain(..) {
+    /// Resets all watches: data written to them and not yet read is lost.
+    pub fn reset_watches(&self) {
+        for stream in self.state.streams.lock().unwrap().drain(..) {
             socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
-            // Its thread lets go of it, and the last to do so resets it.
+            // The thread of the connection then drops its handle; dropping the last one sends the reset.
             let _ = stream.shutdown(std::net::Shutdown::Read);
         }
     }
 
-    /// Ends all watches.
-    pub fn break_off(&self) {
-        for stream in self.streams.lock().unwrap().drain(..) {
+    /// Closes all watches.
+    pub fn close_watches(&self) {
+        for stream in self.state.streams.lock().unwrap().drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 }
 
-/// How long a connection to a server rests after an answer before it is used again.
-pub const REST: Duration = Duration::from_millis(10);
+impl DiscoveryState {
+    /// Serves one connection until the other side closes it.
+    fn serve(&self, mut stream: &TcpStream, watches: &Recorder<String>, list_calls: &Recorder<String>) {
+        let mut input = BufReader::new(stream.try_clone().unwrap());
+        while let Ok(Some(call)) = read_message(&mut input) {
+            if call.target().contains("watch=1") {
+                let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                if !self.silent.load(Ordering::SeqCst) {
+                    let after = call.target().split_once("after=").map_or("0", |(_, rest)| rest);
+                    let after = after.split('&').next().unwrap_or("0");
+                    let first = format!("{{\"rev\":{after},\"all\":false,\"targets\":[]}}\n");
+                    let _ = stream.write_all(&chunk(&first));
+                }
+                self.streams.lock().unwrap().push(stream.try_clone().unwrap());
+                watches.push(call.target().to_owned());
+                continue;
+            }
+            list_calls.push(call.target().to_owned());
+            if let Some(list) = self.full_list.lock().unwrap().as_ref() {
+                let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
+                let _ = stream.write_all((head + list).as_bytes());
+            }
+        }
+    }
+}
+
+/// How long a connection to a server rests after a response before it is reused.
+pub const CONNECTION_REST: Duration = Duration::from_millis(10);
 
-/// Waits until what was answered by now has rested: its connection is to be used again from here on.
-pub fn rested() {
+/// Waits until connections with a response received by now may be reused.
+pub fn wait_for_connection_rest() {
     let answered = Instant::now();
-    while answered.elapsed() <= REST {
+    while answered.elapsed() <= CONNECTION_REST {
         thread::yield_now();
     }
 }
 
-/// An entry of a list.
+/// A server entry of a discovery list.
 pub fn entry(uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "m", "pod_group": 0,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// Settings with a class of each kind, no probes and room for two attempts.
+/// Settings with one class of each kind and no probes.
 pub fn settings() -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "aim": 400_000, "deadline": 1_000_000, "gain": 1.0, "group": "all",
@@ -485,51 +569,61 @@
            "safety": {"drain_grace": 1_000_000, "cold": 8_000_000, "cold_from": 0.3}})
 }
 
-/// How to start the program.
+/// Builder for a sidecar process.
 pub struct Setup {
     pub config: Value,
     pub env: Vec<(&'static str, String)>,
-    /// The limit of the machine on its descriptors, where the test sets one.
-    pub descriptors: Option<usize>,
+    /// The operating system's limit on descriptors (`ulimit -n`), if the test sets one.
+    pub descriptor_limit: Option<usize>,
 }
 
 impl Setup {
-    /// With these servers known and no discovery listening.
+    /// Uses these servers as the initial list; nothing listens at the address of discovery.
     pub fn new(known: Vec<Value>) -> Setup {
-        let listen = own_address();
-        let discovery = own_address();
+        let listen = unique_address();
+        let discovery = unique_address();
         let config = json!({
             "name": "n0", "listen": listen.to_string(), "discovery": discovery.to_string(),
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"rev": 7, "all": true, "targets": known}, "settings": settings(),
             "sidecar": {"log": "debug"},
         });
-        Setup { config, env: Vec::new(), descriptors: None }
+        Setup { config, env: Vec::new(), descriptor_limit: None }
     }
 
-    pub fn discovery(mut self, discovery: &Discovery) -> Setup {
+    pub fn discovery(mut self, discovery: &StubDiscovery) -> Setup {
         self.config["discovery"] = json!(discovery.address.to_string());
         self
     }
 
-    /// Sets a part of the configuration, by its JSON pointer.
+    /// Sets a value of the configuration, by its JSON pointer.
     pub fn set(mut self, pointer: &str, value: Value) -> Setup {
         let (parent, key) = pointer.rsplit_once('/').unwrap();
         self.config.pointer_mut(parent).unwrap_or_else(|| panic!("no {parent}"))[key] = value;
         self
     }
 
-    /// Starts the program without waiting for it to serve.
+    /// Makes connect timeouts, aims and deadlines so long (60 s) that none expires during a test.
+    pub fn long_timeouts(self) -> Setup {
+        let long = json!(60_000_000);
+        let setup = self.set("/settings/limits/connect_timeout", long.clone());
+        (0..3).fold(setup, |setup, n| {
+            let of = |key: &str| format!("/settings/classes/{n}/{key}");
+            setup.set(&of("aim"), long.clone()).set(&of("deadline"), long.clone())
+        })
+    }
+
+    /// Starts the process without waiting for it to serve.
     pub fn spawn(self) -> Sidecar {
         let file = tempfile::NamedTempFile::new().unwrap();
         std::fs::write(file.path(), self.config.to_string()).unwrap();
         let program = env!("CARGO_BIN_EXE_dunlincleat-sidecar");
-        let mut command = match self.descriptors {
+        let mut command = match self.descriptor_limit {
             None => Command::new(program),
-            // In its place: the limit is there before its first line, and its number is that of the shell.
-            Some(most) => {
+            // `exec` keeps the process id of the shell, and the limit is set before the sidecar starts.
+            Some(limit) => {
                 let mut shell = Command::new("sh");
-                shell.args(["-c", &format!("ulimit -n {most} && exec \"$0\""), program]);
+                shell.args(["-c", &format!("ulimit -n {limit} && exec \"$0\""), program]);
                 shell
             }
         };
@@ -538,33 +632,44 @@
         }
         command.env("EDGE_CONFIG", file.path()).envs(self.env).stderr(Stdio::piped()).stdout(Stdio::null());
         let mut child = command.spawn().unwrap();
-        let log = Seen::new();
-        let (lines, stderr) = (log.clone(), child.stderr.take().unwrap());
-        let (reading, parked) = (Arc::new(Mutex::new(())), Arc::new(AtomicBool::new(false)));
-        let (reads, parks) = (reading.clone(), parked.clone());
-        let reader = thread::spawn(move || {
+        let log = Recorder::new();
+        let lines = log.clone();
+        let stderr = child.stderr.take().unwrap();
+        let log_reading = Arc::new(Mutex::new(()));
+        let reader_blocked = Arc::new(AtomicBool::new(false));
+        let reading = log_reading.clone();
+        let blocked = reader_blocked.clone();
+        let log_reader = thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                parks.store(true, Ordering::SeqCst);
-                drop(reads.lock());
-                parks.store(false, Ordering::SeqCst);
+                blocked.store(true, Ordering::SeqCst);
+                drop(reading.lock());
+                blocked.store(false, Ordering::SeqCst);
                 lines.push(line);
             }
         });
         let listen = self.config["listen"].as_str().and_then(|l| l.parse().ok());
         let listen = listen.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
-        let (reader, config) = (Some(reader), self.config);
-        Sidecar { child, listen, log, reader, reading, parked, file, config }
+        Sidecar {
+            child,
+            listen,
+            log,
+            log_reader: Some(log_reader),
+            log_reading,
+            reader_blocked,
+            file,
+            config: self.config,
+        }
     }
 
-    /// Starts the program and waits until it serves.
+    /// Starts the process and waits until it serves.
     pub fn start(self) -> Sidecar {
         let sidecar = self.spawn();
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Ok(stream) = TcpStream::connect(sidecar.listen) {
-                let mut client = Client::on(stream);
+                let mut client = Client::new(stream);
                 client.send("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-                assert_eq!(client.answer().status(), 200);
+                assert_eq!(client.read_response().status(), 200);
                 return sidecar;
             }
             assert!(Instant::now() < end, "the sidecar does not listen: {:?}", sidecar.log.all());
@@ -573,29 +678,30 @@
     }
 }
 
-/// The program under test, killed at the end.
+/// The sidecar process under test, killed on drop.
 pub struct Sidecar {
     child: Child,
     pub listen: SocketAddr,
-    pub log: Seen<String>,
-    reader: Option<thread::JoinHandle<()>>,
-    /// Held while its log is not read, and whether the reader waits for that.
-    reading: Arc<Mutex<()>>,
-    parked: Arc<AtomicBool>,
+    pub log: Recorder<String>,
+    log_reader: Option<thread::JoinHandle<()>>,
+    /// While a test locks this, the log is not read.
+    log_reading: Arc<Mutex<()>>,
+    /// Whether the log reader waits for `log_reading`.
+    reader_blocked: Arc<AtomicBool>,
     file: tempfile::NamedTempFile,
     pub config: Value,
 }
 
 impl Sidecar {
     pub fn connect(&self) -> Client {
-        Client::on(TcpStream::connect(self.listen).unwrap())
+        Client::new(TcpStream::connect(self.listen).unwrap())
     }
 
-    /// One request on a connection of its own.
-    pub fn ask(&self, request: &str) -> Message {
+    /// Sends one request on a new connection and returns its response.
+    pub fn request(&self, request: &str) -> Message {
         let mut client = self.connect();
         client.send(request);
-        client.answer()
+        client.read_response()
     }
 
     pub fn signal(&self, signal: &str) {
@@ -603,61 +709,61 @@
         assert!(Command::new("kill").args(["-s", signal, &pid]).status().unwrap().success());
     }
 
-    /// Until this is dropped its log is not read, and the pipe is full: the next line that it writes has it stand still, in
-    /// the midst of what it does. What happens meanwhile it then finds in one moment.
-    pub fn stands_still_at_its_next_line(&self) -> MutexGuard<'_, ()> {
-        let unread = self.reading.lock().unwrap();
-        // Of Linux; not shared with the program's own end of the pipe.
+    /// Stops reading the log and fills its pipe, so that the process blocks in the middle of its work when it writes
+    /// its next log line. After the guard is dropped it finds all that happened meanwhile at one moment.
+    pub fn block_on_next_log_line(&self) -> MutexGuard<'_, ()> {
+        let guard = self.log_reading.lock().unwrap();
+        // Linux value; opening the pipe anew does not set the flag on the process's own end.
         const O_NONBLOCK: i32 = 0o4000;
         let pipe = format!("/proc/{}/fd/2", self.child.id());
         let mut pipe = std::fs::OpenOptions::new().write(true).custom_flags(O_NONBLOCK).open(pipe).unwrap();
-        let end = Instant::now() + PATIENCE;
-        // A block at a time, then what is left: byte by byte alone it took longer than the order can wait for.
+        let end = Instant::now() + WAIT_TIMEOUT;
+        // Whole blocks first, then single bytes: single bytes alone take longer than the tests can wait.
         while pipe.write(&[b'\n'; 4096]).is_ok()
             || pipe.write(b"\n").is_ok()
-            || !self.parked.load(Ordering::SeqCst)
+            || !self.reader_blocked.load(Ordering::SeqCst)
         {
-            assert!(Instant::now() < end, "the pipe of its log is never full");
+            assert!(Instant::now() < end, "the log pipe did not fill up");
         }
-        unread
+        guard
     }
 
-    /// Replaces the file of the configuration and tells the program so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(self.file.path(), config).unwrap();
         self.signal("HUP");
     }
 
-    /// Waits for the end of the program and gives what it wrote.
-    pub fn end(mut self) -> (ExitStatus, String) {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until the process exits and returns its log.
+    pub fn wait_for_exit(mut self) -> (ExitStatus, String) {
+        let end = Instant::now() + WAIT_TIMEOUT;
         let status = loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 break status;
             }
-            assert!(Instant::now() < end, "the sidecar does not end");
+            assert!(Instant::now() < end, "the sidecar did not exit");
             thread::yield_now();
         };
-        self.reader.take().unwrap().join().unwrap();
+        self.log_reader.take().unwrap().join().unwrap();
         (status, self.log.all().join("\n"))
     }
 
-    /// The processor time that the program has used.
-    pub fn processor_time(&self) -> Duration {
+    /// CPU time used by the process.
+    pub fn cpu_time(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
-        // In hundredths of a second, the unit of Linux's user interface.
+        // In clock ticks of 10 ms (USER_HZ on Linux).
         let ticks = fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap();
         Duration::from_millis(ticks * 10)
     }
 
-    /// The descriptors that the program holds.
-    pub fn descriptors(&self) -> usize {
+    /// Number of open descriptors of the process.
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// How many of them are datagram sockets, and how many threads the program has.
-    pub fn datagram_sockets_and_threads(&self) -> (usize, usize) {
+    /// Counts the datagram sockets and threads of the process.
+    pub fn resource_counts(&self) -> ResourceCounts {
         let of = |path: &str| format!("/proc/{}/{path}", self.child.id());
         let table = std::fs::read_to_string(of("net/udp")).unwrap();
         let sockets: Vec<&str> =
@@ -668,19 +774,22 @@
             let link = link.display().to_string();
             link.strip_prefix("socket:[").is_some_and(|rest| sockets.contains(&rest.trim_end_matches(']')))
         };
-        (links.filter(datagram).count(), std::fs::read_dir(of("task")).unwrap().count())
+        ResourceCounts {
+            datagram_sockets: links.filter(datagram).count(),
+            threads: std::fs::read_dir(of("task")).unwrap().count(),
+        }
     }
 
-    /// The memory that the program holds, in bytes.
-    pub fn memory(&self) -> usize {
+    /// Resident memory of the process, in bytes.
+    pub fn resident_memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap();
         line.trim().trim_end_matches(" kB").parse::<usize>().unwrap() * 1024
     }
 
-    /// Waits for a line of the log that holds this.
-    pub fn logged(&self, what: &str) {
-        let end = Instant::now() + PATIENCE;
+    /// Waits for a log line that contains this text.
+    pub fn wait_for_log(&self, what: &str) {
+        let end = Instant::now() + WAIT_TIMEOUT;
         let mut seen = 0;
         loop {
             let lines = self.log.wait(seen, "log lines");
@@ -703,15 +812,21 @@
     }
 }
 
-/// A connection of the application's.
+/// What a process holds of the operating system's resources.
+pub struct ResourceCounts {
+    pub datagram_sockets: usize,
+    pub threads: usize,
+}
+
+/// A client connection to the sidecar.
 pub struct Client {
     pub stream: TcpStream,
     input: BufReader<TcpStream>,
 }
 
 impl Client {
-    fn on(stream: TcpStream) -> Client {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    fn new(stream: TcpStream) -> Client {
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let input = BufReader::new(stream.try_clone().unwrap());
         Client { stream, input }
     }
@@ -720,33 +835,33 @@
         self.stream.write_all(request.as_bytes()).unwrap();
     }
 
-    pub fn answer(&mut self) -> Message {
-        read_message(&mut self.input).unwrap().expect("the connection ended without an answer")
+    pub fn read_response(&mut self) -> Message {
+        read_message(&mut self.input).unwrap().expect("the connection was closed without a response")
     }
 
-    /// Waits for an answer or the end of the connection.
-    pub fn answer_or_end(&mut self) -> Option<Message> {
+    /// Waits for a response or until the connection is closed.
+    pub fn read_response_or_close(&mut self) -> Option<Message> {
         match read_message(&mut self.input) {
             Ok(message) => message,
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => None,
-            Err(error) => panic!("neither an answer nor an end: {error}"),
+            Err(error) => panic!("neither a response nor a closed connection: {error}"),
         }
     }
 
-    /// Goes as a process that dies does: what it had not read or written is lost.
+    /// Resets the connection, as when the process of the client is killed: unread and unwritten data is lost.
     pub fn reset(self) {
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// Waits until the other side ends the connection; no byte may come before.
-    pub fn ended(&mut self) {
+    /// Waits until the other side closes the connection; no further byte may arrive.
+    pub fn wait_for_close(&mut self) {
         let mut rest = Vec::new();
         match self.input.read_to_end(&mut rest) {
             Ok(_) => {}
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => {}
-            Err(error) => panic!("the connection did not end: {error}"),
+            Err(error) => panic!("the connection was not closed: {error}"),
         }
-        assert_eq!(String::from_utf8_lossy(&rest), "", "bytes came after the answer");
+        assert_eq!(String::from_utf8_lossy(&rest), "", "bytes after the response");
     }
 }
 
@@ -758,17 +873,32 @@
     )
 }
 
-/// A request of the class that is safe to repeat.
-pub fn read(id: &str) -> String {
+/// A request of the class whose requests are safe to repeat.
+pub fn read_request(id: &str) -> String {
     request("GET", "/read", id, "", "")
 }
 
-/// One of the class that must not run twice.
-pub fn once(id: &str) -> String {
+/// A request of the class whose requests must not run twice.
+pub fn once_request(id: &str) -> String {
     request("POST", "/once", id, "", "body")
 }
 
-/// One of the class that carries a key.
-pub fn pay(id: &str) -> String {
+/// A request of the class whose requests carry an idempotency key.
+pub fn pay_request(id: &str) -> String {
     request("POST", "/pay", id, "Idempotency-Key: k1\r\n", "body")
 }
+
+/// Lets a request wait for up to 60 s; goes with `Setup::long_timeouts`.
+pub fn with_long_timeout(request: String) -> String {
+    request.replace("X-Timeout: 0.9", "X-Timeout: 60")
+}
+
+/// Sends one line to the console and returns its reply.
+pub fn console_call(console: SocketAddr, line: &[u8]) -> String {
+    let mut stream = TcpStream::connect(console).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+    stream.write_all(line).unwrap();
+    let mut reply = String::new();
+    stream.read_to_string(&mut reply).unwrap();
+    reply
+}
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -11,20 +11,6 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Connections may take long to come up, and clients wait for long.
-fn patient(setup: Setup) -> Setup {
-    let long = json!(60_000_000);
-    let setup = setup.set("/settings/limits/connect_timeout", long.clone());
-    (0..3).fold(setup, |setup, n| {
-        let of = |key: &str| format!("/settings/classes/{n}/{key}");
-        setup.set(&of("aim"), long.clone()).set(&of("deadline"), long.clone())
-    })
-}
-
-fn waits(request: String) -> String {
-    request.replace("X-Timeout: 0.9", "X-Timeout: 60")
-}
-
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
 enum Leaves {
@@ -49,13 +35,14 @@
         (false, Leaves::FloodsAndCloses),
         (false, Leaves::WithinItsBody),
     ] {
-        let late = Late::new();
-        let sidecar = patient(Setup::new(vec![entry("s1", late.address, "up")]))
+        let late = SaturatedListener::new();
+        let sidecar = Setup::new(vec![entry("s1", late.address, "up")])
+            .long_timeouts()
             .set("/settings/limits/cancel", json!(cancel))
             .set("/sidecar/requests", json!(1))
             .start();
         let mut client = sidecar.connect();
-        let request = waits(once("left"));
+        let request = with_long_timeout(once_request("left"));
         match leaves {
             Leaves::WithinItsBody => {
                 let half = request.replace("Content-Length: 4", "Content-Length: 200000");
@@ -63,68 +50,68 @@
             }
             _ => client.send(&request),
         }
-        sidecar.logged("attempt 0 of request 0 goes out");
+        sidecar.wait_for_log("attempt 0 of request 0 goes out");
         match leaves {
             Leaves::Closes | Leaves::WithinItsBody => drop(client),
             Leaves::HalfCloses => client.stream.shutdown(Shutdown::Write).unwrap(),
             Leaves::Resets => client.reset(),
             Leaves::FloodsAndCloses => {
-                client.send(&read("ahead").repeat(10_000));
+                client.send(&read_request("ahead").repeat(10_000));
                 drop(client);
             }
         }
-        sidecar.logged("attempt 0 of request 0 at s1: NotSent");
+        sidecar.wait_for_log("attempt 0 of request 0 at s1: NotSent");
         // Its one place is free, and its server has nothing of it, however long the connection takes to come up.
-        let server = late.open(|_, _| ok("x"));
-        assert_eq!(sidecar.ask(&waits(read("next"))).status(), 200, "{leaves:?}");
-        assert_eq!(server.ids(), ["next"], "{leaves:?}, cancel {cancel}");
+        let server = late.open_as_server(|_, _| ok("x"));
+        assert_eq!(sidecar.request(&with_long_timeout(read_request("next"))).status(), 200, "{leaves:?}");
+        assert_eq!(server.request_ids(), ["next"], "{leaves:?}, cancel {cancel}");
     }
 }
 
 /// The same for a wait before a repeat: the first attempt is turned away when the client has left.
 #[test]
 fn what_is_turned_away_after_its_client_has_left_is_not_tried_again() {
-    let (gate, wait) = held(turned_away(503));
+    let (gate, wait) = gated(rejected(503));
     let servers = [(), ()].map(|()| {
         let wait = wait.clone();
-        Server::start(move |_, m| match m.header("x-request-id") {
+        FakeServer::start(move |_, m| match m.header("x-request-id") {
             Some("left") => wait.clone(),
             _ => ok("x"),
         })
     });
     let known = vec![entry("s1", servers[0].address, "up"), entry("s2", servers[1].address, "up")];
-    let sidecar = patient(Setup::new(known)).set("/sidecar/requests", json!(1)).start();
+    let sidecar = Setup::new(known).long_timeouts().set("/sidecar/requests", json!(1)).start();
     let mut client = sidecar.connect();
-    client.send(&waits(once("left")));
-    sidecar.logged("attempt 0 of request 0 goes out");
+    client.send(&with_long_timeout(once_request("left")));
+    sidecar.wait_for_log("attempt 0 of request 0 goes out");
     drop(client);
     // Its one place is free: that it left has been seen.
-    let end = Instant::now() + PATIENCE;
-    while sidecar.ask(&waits(read("next"))).status() != 200 {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while sidecar.request(&with_long_timeout(read_request("next"))).status() != 200 {
         assert!(Instant::now() < end, "its place is not given back");
     }
     gate.send(()).unwrap();
-    sidecar.logged("Rejected after");
-    assert_eq!(sidecar.ask(&waits(read("after"))).status(), 200);
-    let left = servers.iter().flat_map(Server::ids).filter(|id| id == "left").count();
+    sidecar.wait_for_log("Rejected after");
+    assert_eq!(sidecar.request(&with_long_timeout(read_request("after"))).status(), 200);
+    let left = servers.iter().flat_map(FakeServer::request_ids).filter(|id| id == "left").count();
     assert_eq!(left, 1);
 }
 
 /// The same where nothing of the request was read before its client had gone: it stood in the queue of the machine.
 #[test]
 fn what_waits_to_be_accepted_is_not_sent_on_when_its_client_has_left() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     // The connection that it has to the server is one that it could write to at once.
-    assert_eq!(sidecar.ask(&read("before")).status(), 200);
+    assert_eq!(sidecar.request(&read_request("before")).status(), 200);
     sidecar.signal("STOP");
     for n in 0..20 {
         let mut client = sidecar.connect();
-        client.send(&once(&format!("left{n}")));
+        client.send(&once_request(&format!("left{n}")));
     }
     sidecar.signal("CONT");
-    assert_eq!(sidecar.ask(&read("next")).status(), 200);
-    assert_eq!(server.ids(), ["before", "next"]);
+    assert_eq!(sidecar.request(&read_request("next")).status(), 200);
+    assert_eq!(server.request_ids(), ["before", "next"]);
 }
 
 /// Guards a request that was taken: bytes behind it that can't be read ended its connection, and it with that.
@@ -133,17 +120,18 @@
     let long = format!("GET /read HTTP/1.1\r\nX: {}", "x".repeat(200_000));
     for behind in ["\0 no HTTP\r\n\r\n", "GET /read HTTP/9.9\r\n\r\n", long.as_str()] {
         for at_once in [true, false] {
-            let (gate, wait) = latch("served");
-            let server = Server::start(move |_, _| wait.clone());
+            let (gate, wait) = gated_ok("served");
+            let server = FakeServer::start(move |_, _| wait.clone());
             let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
             let mut client = sidecar.connect();
-            let (first, second) = if at_once { (once("r1") + behind, "") } else { (once("r1"), behind) };
+            let (first, second) =
+                if at_once { (once_request("r1") + behind, "") } else { (once_request("r1"), behind) };
             client.send(&first);
             server.requests.wait(1, "requests");
             client.send(second);
             gate.send(()).unwrap();
-            assert_eq!(client.answer().text(), "served", "{behind:.20}, at once: {at_once}");
-            let after = client.answer_or_end().map(|answer| answer.status());
+            assert_eq!(client.read_response().text(), "served", "{behind:.20}, at once: {at_once}");
+            let after = client.read_response_or_close().map(|answer| answer.status());
             // What is more than is held of it counts as one that does not come whole.
             assert!(matches!(after, None | Some(400 | 431 | 503)), "{after:?}");
         }
@@ -154,13 +142,13 @@
 /// with it. It has its answer on the way, and what crosses that does not reset it.
 #[test]
 fn a_slow_request_is_told_so_and_its_last_byte_may_cross_that() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_request_ms", json!(200))
         .start();
-    for (request, body) in [(read("slow"), 2), (once("slow"), 4)] {
+    for (request, body) in [(read_request("slow"), 2), (once_request("slow"), 4)] {
         let (first, last) = request.split_at(request.len() - body);
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         let mut client = loop {
             assert!(Instant::now() < end, "this machine never gave the time to force the order");
             let (mut client, begun) = (sidecar.connect(), Instant::now());
@@ -178,26 +166,26 @@
         assert!(told.starts_with("HTTP/1.1 503 ") && told.ends_with("\r\n\r\n"), "{told}");
         assert!(told.contains("\r\nConnection: close\r\n"), "{told}");
     }
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 /// Guards a request that crosses the closing of its idle connection at the end: closed together with the listener, it
 /// found nowhere to come again.
 #[test]
 fn at_the_end_idle_connections_are_closed_while_new_ones_are_still_taken() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/accept_after_term_ms", json!(6000))
         .set("/sidecar/end_after_term_ms", json!(60_000))
         .set("/sidecar/client_idle_ms", json!(600_000))
         .start();
     let mut idle = sidecar.connect();
-    idle.send(&read("r1"));
-    assert_eq!(idle.answer().status(), 200);
+    idle.send(&read_request("r1"));
+    assert_eq!(idle.read_response().status(), 200);
     sidecar.signal("TERM");
-    idle.ended();
-    let _ = idle.stream.write_all(read("r2").as_bytes());
-    let again = sidecar.ask(&read("r2"));
+    idle.wait_for_close();
+    let _ = idle.stream.write_all(read_request("r2").as_bytes());
+    let again = sidecar.request(&read_request("r2"));
     assert_eq!((again.status(), again.header("connection")), (200, Some("close")));
 }
 
@@ -206,15 +194,15 @@
 fn ends_and_its_listener_is_gone(sidecar: &Sidecar) {
     let mut silent = sidecar.connect();
     sidecar.signal("TERM");
-    silent.ended();
-    let end = Instant::now() + PATIENCE;
+    silent.wait_for_close();
+    let end = Instant::now() + WAIT_TIMEOUT;
     while TcpStream::connect(sidecar.listen).is_ok() {
         assert!(Instant::now() < end, "it listens on");
     }
 }
 
 fn ends_well(sidecar: Sidecar) {
-    let (status, log) = sidecar.end();
+    let (status, log) = sidecar.wait_for_exit();
     assert!(status.success() && !log.contains("still open"), "{status}: {log}");
 }
 
@@ -222,95 +210,97 @@
 /// and one to read the file anew come in between. Taken for a lack of places, the wait for the last connections had it closed.
 #[test]
 fn a_body_half_in_at_the_end_is_served_whatever_else_is_signalled() {
-    let server = Server::start(|_, m| if m.target() == "/read/hang" { Act::Hang } else { ok(&m.text()) });
-    let sidecar = patient(Setup::new(vec![entry("s1", server.address, "up")])).start();
-    let request = waits(once("r1"));
+    let server =
+        FakeServer::start(|_, m| if m.target() == "/read/hang" { Action::Hang } else { ok(&m.text()) });
+    let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).long_timeouts().start();
+    let request = with_long_timeout(once_request("r1"));
     let (first, last) = request.split_at(request.len() - 2);
     let mut client = sidecar.connect();
     client.send(first);
     // It has been read: another on a connection behind it is answered.
-    assert_eq!(sidecar.ask(&read("r2")).status(), 200);
+    assert_eq!(sidecar.request(&read_request("r2")).status(), 200);
     let mut hangs = sidecar.connect();
-    hangs.send(&read("r3").replace("/read", "/read/hang").replace("X-Timeout: 0.9", "X-Timeout: 1.8"));
+    hangs
+        .send(&read_request("r3").replace("/read", "/read/hang").replace("X-Timeout: 0.9", "X-Timeout: 1.8"));
     server.requests.wait(2, "requests");
     sidecar.signal("TERM");
-    sidecar.logged("told to end");
+    sidecar.wait_for_log("told to end");
     sidecar.signal("HUP");
     ends_and_its_listener_is_gone(&sidecar);
     // More than a second after that.
-    assert_eq!(hangs.answer().status(), 503);
+    assert_eq!(hangs.read_response().status(), 503);
     client.send(last);
-    let answer = client.answer();
+    let answer = client.read_response();
     assert_eq!((answer.text().as_str(), answer.header("connection")), ("body", Some("close")));
-    client.ended();
+    client.wait_for_close();
     ends_well(sidecar);
 }
 
 /// The end against an attempt that waits for its connection, which comes up when the listener has gone.
 #[test]
 fn an_attempt_that_waits_for_its_connection_at_the_end_goes_out_and_is_answered() {
-    let late = Late::new();
-    let sidecar = patient(Setup::new(vec![entry("s1", late.address, "up")])).start();
+    let late = SaturatedListener::new();
+    let sidecar = Setup::new(vec![entry("s1", late.address, "up")]).long_timeouts().start();
     let mut client = sidecar.connect();
-    client.send(&waits(once("r1")));
-    sidecar.logged("attempt 0 of request 0 goes out");
+    client.send(&with_long_timeout(once_request("r1")));
+    sidecar.wait_for_log("attempt 0 of request 0 goes out");
     ends_and_its_listener_is_gone(&sidecar);
-    let server = late.open(|_, _| ok("x"));
-    assert_eq!(client.answer().text(), "x");
-    client.ended();
+    let server = late.open_as_server(|_, _| ok("x"));
+    assert_eq!(client.read_response().text(), "x");
+    client.wait_for_close();
     ends_well(sidecar);
-    assert_eq!(server.ids(), ["r1"]);
+    assert_eq!(server.request_ids(), ["r1"]);
 }
 
 /// The end against a repeat that becomes due after it, and a drain that is told after it: the repeat goes out, and not to
 /// the server that leaves.
 #[test]
 fn a_repeat_due_after_the_end_was_told_goes_to_a_server_that_stays() {
-    let (gate, wait) = held(turned_away(503));
+    let (gate, wait) = gated(rejected(503));
     let asked = Arc::new(AtomicUsize::new(0));
     let servers = [(), (), ()].map(|()| {
         let (asked, wait) = (asked.clone(), wait.clone());
-        Server::start(move |_, _| match asked.fetch_add(1, Ordering::SeqCst) {
+        FakeServer::start(move |_, _| match asked.fetch_add(1, Ordering::SeqCst) {
             0 => wait.clone(),
             _ => ok("served"),
         })
     });
-    let discovery = Discovery::start();
+    let discovery = StubDiscovery::start();
     let known: Vec<_> =
         servers.iter().enumerate().map(|(n, s)| entry(&format!("s{n}"), s.address, "up")).collect();
-    let sidecar = patient(Setup::new(known)).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
+    let sidecar = Setup::new(known).long_timeouts().discovery(&discovery).start();
+    discovery.watches.wait(1, "watches");
     let mut client = sidecar.connect();
-    client.send(&waits(once("r1")));
-    let end = Instant::now() + PATIENCE;
+    client.send(&with_long_timeout(once_request("r1")));
+    let end = Instant::now() + WAIT_TIMEOUT;
     let first = loop {
-        if let Some(n) = servers.iter().position(|s| s.count() > 0) {
+        if let Some(n) = servers.iter().position(|s| s.request_count() > 0) {
             break n;
         }
         assert!(Instant::now() < end, "no attempt");
     };
     ends_and_its_listener_is_gone(&sidecar);
     let leaves = (first + 1) % 3;
-    discovery.send(9, false, vec![entry(&format!("s{leaves}"), servers[leaves].address, "draining")]);
-    sidecar.logged("0 up, 1 draining");
+    discovery.publish_changes(9, vec![entry(&format!("s{leaves}"), servers[leaves].address, "draining")]);
+    sidecar.wait_for_log("0 up, 1 draining");
     gate.send(()).unwrap();
-    assert_eq!(client.answer().text(), "served");
+    assert_eq!(client.read_response().text(), "served");
     ends_well(sidecar);
-    assert_eq!(servers[leaves].count(), 0, "it was told to leave before the repeat");
-    assert_eq!(servers[(first + 2) % 3].ids(), ["r1"]);
+    assert_eq!(servers[leaves].request_count(), 0, "it was told to leave before the repeat");
+    assert_eq!(servers[(first + 2) % 3].request_ids(), ["r1"]);
 }
 
 /// The end under settings whose deadlines a reload has shortened: a request taken before has its own time still.
 #[test]
 fn a_reload_that_shortens_deadlines_leaves_a_request_in_hand_its_time_at_the_end() {
-    let server = Server::start(|_, _| Act::Hang);
+    let server = FakeServer::start(|_, _| Action::Hang);
     let mut setup = Setup::new(vec![entry("s1", server.address, "up")]);
     for n in 0..3 {
         setup = setup.set(&format!("/settings/classes/{n}/deadline"), json!(3_000_000));
     }
     let sidecar = setup.start();
     let mut client = sidecar.connect();
-    client.send(&once("r1").replace("X-Timeout: 0.9", "X-Timeout: 2.5"));
+    client.send(&once_request("r1").replace("X-Timeout: 0.9", "X-Timeout: 2.5"));
     server.requests.wait(1, "requests");
     let mut config = sidecar.config.clone();
     for n in 0..3 {
@@ -318,9 +308,9 @@
         config["settings"]["classes"][n]["deadline"] = json!(300_000);
     }
     sidecar.reload(&config.to_string());
-    sidecar.logged("SIGHUP: new configuration");
+    sidecar.wait_for_log("SIGHUP: new configuration");
     sidecar.signal("TERM");
-    assert_eq!(client.answer_or_end().map(|answer| answer.status()), Some(502));
+    assert_eq!(client.read_response_or_close().map(|answer| answer.status()), Some(502));
     ends_well(sidecar);
 }
 
@@ -331,7 +321,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (come_late, late) = std::sync::mpsc::channel();
-    let given_up = Seen::new();
+    let given_up = Recorder::new();
     let closed = given_up.clone();
     std::thread::spawn(move || {
         let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{body}");
@@ -340,7 +330,7 @@
             assert!(matches!(asked, Ok(Some(_))));
             stream.write_all(answer(if n == 0 { "first" } else { "other" }).as_bytes()).unwrap();
             if n == 0 {
-                late.recv_timeout(PATIENCE).unwrap();
+                late.recv_timeout(WAIT_TIMEOUT).unwrap();
                 stream.write_all(answer("first").as_bytes()).unwrap();
                 // A reset says the same: what it was sent is not read.
                 let _ = stream.read(&mut [0]);
@@ -349,10 +339,10 @@
         }
     });
     let sidecar = Setup::new(vec![entry("s1", address, "up")]).start();
-    assert_eq!(sidecar.ask(&once("r1")).text(), "first");
+    assert_eq!(sidecar.request(&once_request("r1")).text(), "first");
     come_late.send(()).unwrap();
     given_up.wait(1, "connections given up");
-    assert_eq!(sidecar.ask(&once("r2")).text(), "other");
+    assert_eq!(sidecar.request(&once_request("r2")).text(), "other");
 }
 
 /// A second answer that comes behind the next request can't be told from that one's own. Once any server has sent more than
@@ -388,7 +378,7 @@
     let sidecar = Setup::new(vec![entry("s1", address, "up")]).start();
     for n in 0..100 {
         let id = format!("r{n}");
-        assert_eq!(sidecar.ask(&once(&id)).text(), id);
+        assert_eq!(sidecar.request(&once_request(&id)).text(), id);
     }
 }
 
@@ -424,8 +414,8 @@
         let mut client = sidecar.connect();
         for id in [format!("first{n}"), format!("second{n}")] {
             let asked = Instant::now();
-            client.send(&once(&id));
-            let answer = client.answer();
+            client.send(&once_request(&id));
+            let answer = client.read_response();
             assert_eq!(answer.text(), id, "asked {:?} after", asked.elapsed());
         }
     }
@@ -435,23 +425,23 @@
 /// as it leads to the process that is no more, of which nothing may have told.
 #[test]
 fn a_connection_in_use_while_its_server_started_anew_is_not_used_again() {
-    let (gate, wait) = latch("old");
-    let server = Server::start(move |n, _| if n == 0 { wait.clone() } else { ok("new") });
-    let discovery = Discovery::start();
+    let (gate, wait) = gated_ok("old");
+    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("new") });
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery);
-    let sidecar = patient(sidecar).start();
-    discovery.calls.wait(1, "watches");
+    let sidecar = sidecar.long_timeouts().start();
+    discovery.watches.wait(1, "watches");
     let mut client = sidecar.connect();
-    client.send(&waits(once("r1")));
+    client.send(&with_long_timeout(once_request("r1")));
     server.requests.wait(1, "requests");
     let mut anew = entry("s1", server.address, "up");
     anew["boot_ms"] = json!(1_000);
-    discovery.send(9, false, vec![anew]);
-    sidecar.logged("list changes revision 9");
+    discovery.publish_changes(9, vec![anew]);
+    sidecar.wait_for_log("list changes revision 9");
     gate.send(()).unwrap();
-    assert_eq!(client.answer().text(), "old");
-    assert_eq!(sidecar.ask(&once("r2")).text(), "new");
-    let connections: Vec<usize> = server.requests.all().iter().map(|(connection, _)| *connection).collect();
+    assert_eq!(client.read_response().text(), "old");
+    assert_eq!(sidecar.request(&once_request("r2")).text(), "new");
+    let connections: Vec<usize> = server.requests.all().iter().map(|request| request.connection).collect();
     assert_eq!(connections, [0, 1]);
 }
 
@@ -459,80 +449,82 @@
 /// server's by now, is drawn again.
 #[test]
 fn what_waits_for_its_connection_to_a_server_that_moved_is_drawn_again() {
-    let late = Late::new();
-    let new = Server::start(|_, _| ok("new"));
-    let discovery = Discovery::start();
-    let sidecar = patient(Setup::new(vec![entry("s1", late.address, "up")])).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
+    let late = SaturatedListener::new();
+    let new = FakeServer::start(|_, _| ok("new"));
+    let discovery = StubDiscovery::start();
+    let sidecar =
+        Setup::new(vec![entry("s1", late.address, "up")]).long_timeouts().discovery(&discovery).start();
+    discovery.watches.wait(1, "watches");
     let mut client = sidecar.connect();
-    client.send(&waits(once("r1")));
-    sidecar.logged("attempt 0 of request 0 goes out");
-    let other = Server::start(|_, _| ok("new"));
-    discovery.send(9, false, vec![entry("s1", new.address, "up"), entry("s2", other.address, "up")]);
-    assert_eq!(client.answer().text(), "new");
-    assert_eq!(late.open(|_, _| ok("old")).ids(), Vec::<String>::new());
+    client.send(&with_long_timeout(once_request("r1")));
+    sidecar.wait_for_log("attempt 0 of request 0 goes out");
+    let other = FakeServer::start(|_, _| ok("new"));
+    discovery.publish_changes(9, vec![entry("s1", new.address, "up"), entry("s2", other.address, "up")]);
+    assert_eq!(client.read_response().text(), "new");
+    assert_eq!(late.open_as_server(|_, _| ok("old")).request_ids(), Vec::<String>::new());
 }
 
 /// A client that comes again under the same key, with a new name, while its first request is in hand: each has its own one
 /// answer, and carries the key by which the servers know the two for one.
 #[test]
 fn a_second_request_under_a_key_in_hand_has_an_answer_of_its_own() {
-    let (gate, wait) = latch("first");
-    let server = Server::start(move |n, _| if n == 0 { wait.clone() } else { ok("second") });
-    let sidecar = patient(Setup::new(vec![entry("s1", server.address, "up")])).start();
+    let (gate, wait) = gated_ok("first");
+    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("second") });
+    let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).long_timeouts().start();
     let mut first = sidecar.connect();
-    first.send(&waits(pay("r1")));
+    first.send(&with_long_timeout(pay_request("r1")));
     server.requests.wait(1, "requests");
-    assert_eq!(sidecar.ask(&waits(pay("r2"))).text(), "second");
+    assert_eq!(sidecar.request(&with_long_timeout(pay_request("r2"))).text(), "second");
     gate.send(()).unwrap();
-    assert_eq!(first.answer().text(), "first");
-    assert_eq!(server.ids(), ["r1", "r2"]);
+    assert_eq!(first.read_response().text(), "first");
+    assert_eq!(server.request_ids(), ["r1", "r2"]);
     let requests = server.requests.all();
-    assert!(requests.iter().all(|(_, message)| message.header("idempotency-key") == Some("k1")));
+    assert!(requests.iter().all(|request| request.message.header("idempotency-key") == Some("k1")));
 }
 
 /// A repeat under a key whose connection comes up only when the key is forgotten: it is not sent.
 #[test]
 fn a_repeat_whose_connection_outlasts_its_window_is_not_sent() {
-    let (gate, wait) = held(Act::Reply(500, vec![], String::new()));
-    let first = Server::start(move |_, _| wait.clone());
-    let late = Late::new();
-    let discovery = Discovery::start();
-    let sidecar = patient(Setup::new(vec![entry("s1", first.address, "up")]))
+    let (gate, wait) = gated(status_only(500));
+    let first = FakeServer::start(move |_, _| wait.clone());
+    let late = SaturatedListener::new();
+    let discovery = StubDiscovery::start();
+    let sidecar = Setup::new(vec![entry("s1", first.address, "up")])
+        .long_timeouts()
         .set("/settings/classes/2/window", json!(3_000_000))
         .discovery(&discovery)
         .start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     let mut client = sidecar.connect();
-    client.send(&waits(pay("r1")));
+    client.send(&with_long_timeout(pay_request("r1")));
     first.requests.wait(1, "requests");
-    discovery.send(9, false, vec![entry("s2", late.address, "up")]);
-    sidecar.logged("list changes revision 9");
+    discovery.publish_changes(9, vec![entry("s2", late.address, "up")]);
+    sidecar.wait_for_log("list changes revision 9");
     gate.send(()).unwrap();
-    sidecar.logged("attempt 1 of request 0 goes out");
-    assert_eq!(client.answer().status(), 503);
-    assert_eq!(late.open(|_, _| ok("twice")).ids(), Vec::<String>::new());
+    sidecar.wait_for_log("attempt 1 of request 0 goes out");
+    assert_eq!(client.read_response().status(), 503);
+    assert_eq!(late.open_as_server(|_, _| ok("twice")).request_ids(), Vec::<String>::new());
 }
 
 /// An answer and its deadline in one instant: the program stands still while the answer comes and the time runs out, and finds
 /// both at once. The answer is there: it counts, and is the only one.
 #[test]
 fn an_answer_and_its_deadline_in_one_instant_are_one_answer() {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         assert!(Instant::now() < end, "this machine never gave the time to force the order");
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let sidecar = Setup::new(vec![entry("s1", listener.local_addr().unwrap(), "up")]).start();
         let mut client = sidecar.connect();
         let sent = Instant::now();
-        client.send(&once("r1"));
+        client.send(&once_request("r1"));
         let (mut server, _) = listener.accept().unwrap();
         let mut input = std::io::BufReader::new(server.try_clone().unwrap());
         assert!(matches!(read_message(&mut input), Ok(Some(_))));
-        sidecar.logged("attempt 0 of request 0 goes out");
-        let stands_still = sidecar.stands_still_at_its_next_line();
+        sidecar.wait_for_log("attempt 0 of request 0 goes out");
+        let stands_still = sidecar.block_on_next_log_line();
         let mut other = sidecar.connect();
-        other.send(&waits(read("other")));
+        other.send(&with_long_timeout(read_request("other")));
         // It stands once another is not turned to, though all that it takes is there; until its next line it does not.
         let mut asked = Vec::new();
         let mut stands = false;
@@ -547,14 +539,14 @@
         server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1").unwrap();
         std::thread::sleep((sent + Duration::from_millis(1000)).saturating_duration_since(Instant::now()));
         drop(stands_still);
-        let answer = client.answer();
+        let answer = client.read_response();
         if !stands || !in_time {
             continue;
         }
         assert_eq!((answer.status(), answer.text().as_str()), (200, "r1"));
         // Nothing of a second one stands before the next request's.
         client.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-        assert_eq!(client.answer().text(), "ok\n");
+        assert_eq!(client.read_response().text(), "ok\n");
         return;
     }
 }
--- a/crates/sidecar/tests/descriptors.rs
+++ b/crates/sidecar/tests/descriptors.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use serde_json::json;
-use std::io::{Read, Write};
+use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
@@ -19,16 +19,6 @@
 const GRACE: Duration = Duration::from_secs(6);
 const TRIES: Duration = Duration::from_secs(4);
 
-/// One call of the console.
-fn call(console: SocketAddr, line: &str) -> String {
-    let mut stream = TcpStream::connect(console).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    stream.write_all(line.as_bytes()).unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
-}
-
 /// How discovery is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outage {
@@ -40,14 +30,14 @@
 
 enum Down {
     Refuses(SocketAddr),
-    Hangs(Late),
+    Hangs(SaturatedListener),
 }
 
 impl Down {
     fn new(outage: Outage) -> Down {
         match outage {
-            Outage::Refuses => Down::Refuses(own_address()),
-            Outage::Hangs => Down::Hangs(Late::new()),
+            Outage::Refuses => Down::Refuses(unique_address()),
+            Outage::Hangs => Down::Hangs(SaturatedListener::new()),
         }
     }
 
@@ -58,10 +48,10 @@
         }
     }
 
-    fn returns(self) -> Discovery {
+    fn returns(self) -> StubDiscovery {
         match self {
-            Down::Refuses(address) => Discovery::on(TcpListener::bind(address).unwrap()),
-            Down::Hangs(late) => late.open_discovery(),
+            Down::Refuses(address) => StubDiscovery::start_on(TcpListener::bind(address).unwrap()),
+            Down::Hangs(late) => late.open_as_discovery(),
         }
     }
 }
@@ -79,7 +69,7 @@
             full.store(true, Ordering::SeqCst);
             continue;
         };
-        let request = read(&format!("crowd{n}"));
+        let request = read_request(&format!("crowd{n}"));
         let _ = stream.write_all(match n % 3 {
             0 => b"",
             1 => &request.as_bytes()[..20],
@@ -95,11 +85,11 @@
 
 /// Asks until it is served, and by whom.
 fn served(sidecar: &Sidecar, id: &str) -> String {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         let mut client = sidecar.connect();
-        client.send(&read(id));
-        if let Some(answer) = client.answer_or_end().filter(|answer| answer.status() == 200) {
+        client.send(&read_request(id));
+        if let Some(answer) = client.read_response_or_close().filter(|answer| answer.status() == 200) {
             return answer.text();
         }
         assert!(Instant::now() < end, "a usual client is kept out");
@@ -109,13 +99,13 @@
 /// The list is followed at once when discovery returns, its change is acted on, servers are reached and the console answers,
 /// with a crowd of idle clients that takes every place there is.
 fn all_keep_their_places(outage: Outage, sockets: usize, machine: Option<usize>) {
-    let (gate, wait) = latch("in hand");
-    let old = Server::start(move |_, message| match message.target() {
+    let (gate, wait) = gated_ok("in hand");
+    let old = FakeServer::start(move |_, message| match message.target() {
         "/read/held" => wait.clone(),
         _ => ok("old"),
     });
-    let new = Server::start(|_, _| ok("new"));
-    let (down, console) = (Down::new(outage), own_address());
+    let new = FakeServer::start(|_, _| ok("new"));
+    let (down, console) = (Down::new(outage), unique_address());
     let mut setup = Setup::new(vec![entry("s1", old.address, "up")])
         .set("/discovery", json!(down.address().to_string()))
         .set("/console", json!(console.to_string()))
@@ -130,22 +120,24 @@
         let (clients, servers) = (json!(CLIENTS), json!(4));
         setup = setup.set("/sidecar/client_connections", clients).set("/sidecar/server_connections", servers);
     }
-    setup.descriptors = machine;
+    setup.descriptor_limit = machine;
     let sidecar = setup.start();
     let mut kept = sidecar.connect();
-    kept.send(&read("kept0"));
-    assert_eq!(kept.answer().text(), "old");
+    kept.send(&read_request("kept0"));
+    assert_eq!(kept.read_response().text(), "old");
     let mut held = sidecar.connect();
     held.send(
-        &read("held").replace("GET /read", "GET /read/held").replace("X-Timeout: 0.9", "X-Timeout: 60"),
+        &read_request("held")
+            .replace("GET /read", "GET /read/held")
+            .replace("X-Timeout: 0.9", "X-Timeout: 60"),
     );
     old.requests.wait(2, "requests");
     let most = machine.unwrap_or(sockets).min(sockets);
     let (full, stop) = (AtomicBool::new(false), AtomicBool::new(false));
     let fits = || {
-        let holds = sidecar.descriptors();
+        let holds = sidecar.open_descriptors();
         assert!(holds <= most, "{holds} descriptors of {most}");
-        assert_eq!(call(console, "status\n"), "YES active\n");
+        assert_eq!(console_call(console, b"status\n"), "YES active\n");
     };
     // However this ends, the crowd goes home.
     struct Home<'a>(&'a AtomicBool);
@@ -157,7 +149,7 @@
     thread::scope(|scope| {
         let _home = Home(&stop);
         scope.spawn(|| crowd(sidecar.listen, &full, &stop));
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !full.load(Ordering::SeqCst) {
             assert!(Instant::now() < end, "the places are never full");
             fits();
@@ -171,22 +163,22 @@
         }
         let back = Instant::now();
         let discovery = down.returns();
-        discovery.calls.wait(1, "watches");
+        discovery.watches.wait(1, "watches");
         let asked = back.elapsed();
         assert!(asked <= TRIES, "{outage:?}: asked {asked:?} after the return of discovery");
-        sidecar.logged("open after revision 7");
+        sidecar.wait_for_log("open after revision 7");
         let (leaves, comes) = (entry("s1", old.address, "draining"), entry("s2", new.address, "up"));
         let told = Instant::now();
-        discovery.send(9, false, vec![leaves, comes]);
-        sidecar.logged("list changes revision 9: 1 up, 1 draining");
+        discovery.publish_changes(9, vec![leaves, comes]);
+        sidecar.wait_for_log("list changes revision 9: 1 up, 1 draining");
         let acted = told.elapsed();
         assert!(acted <= GRACE, "{outage:?}: a drain acted on {acted:?} after it was told");
         fits();
         // What was held is served, and a new server is reached.
         gate.send(()).unwrap();
-        assert_eq!(held.answer().text(), "in hand");
-        let _ = kept.stream.write_all(read("kept1").as_bytes());
-        assert!(kept.answer_or_end().is_none_or(|answer| answer.text() == "new"));
+        assert_eq!(held.read_response().text(), "in hand");
+        let _ = kept.stream.write_all(read_request("kept1").as_bytes());
+        assert!(kept.read_response_or_close().is_none_or(|answer| answer.text() == "new"));
         assert_eq!(served(&sidecar, "after"), "new");
         fits();
     });
@@ -219,14 +211,14 @@
 /// own time: the log said that the bound was reached while nothing was in hand, and other servers were never asked.
 #[test]
 fn idle_connections_at_the_bound_make_room_for_other_servers() {
-    let servers = ["one", "two", "three", "four"].map(|name| Server::start(move |_, _| ok(name)));
+    let servers = ["one", "two", "three", "four"].map(|name| FakeServer::start(move |_, _| ok(name)));
     let uids = ["s1", "s2", "s3", "s4"];
     let known = servers.iter().zip(uids).map(|(server, uid)| entry(uid, server.address, "up")).collect();
     let sidecar = Setup::new(known).set("/sidecar/server_connections", json!(2)).start();
     for n in 0..100 {
-        assert_eq!(sidecar.ask(&read(&format!("r{n}"))).status(), 200, "request {n}");
+        assert_eq!(sidecar.request(&read_request(&format!("r{n}"))).status(), 200, "request {n}");
     }
-    let asked: Vec<usize> = servers.iter().map(Server::count).collect();
+    let asked: Vec<usize> = servers.iter().map(FakeServer::request_count).collect();
     assert!(asked.iter().all(|asked| *asked > 0), "requests by server: {asked:?}");
     let refused = sidecar.log.all().iter().any(|line| line.contains("bound on server connections"));
     assert!(!refused, "nothing was in hand, and no place was found");
--- a/crates/sidecar/tests/duties.rs
+++ b/crates/sidecar/tests/duties.rs
@@ -35,19 +35,16 @@
     let folder = tempfile::tempdir().unwrap();
     let none = folder.path().join("none.toml");
     std::fs::write(&none, "version = 1").unwrap();
-    let at = [own_address(), own_address(), own_address()];
-    let seen: Vec<(usize, usize)> = [none.display().to_string(), file(folder.path(), 0, &at)]
-        .into_iter()
-        .map(|file| {
-            let mut setup = Setup::new(vec![]);
-            setup.env.push(("EDGE_LIMITS", file));
-            let sidecar = setup.start();
-            sidecar.logged("listening on");
-            sidecar.datagram_sockets_and_threads()
-        })
-        .collect();
-    assert_eq!((seen[0].0, seen[1].0), (0, 1));
-    assert_eq!(seen[0].1, seen[1].1, "the fleet has no thread of its own");
+    let at = [unique_address(), unique_address(), unique_address()];
+    let [without, with] = [none.display().to_string(), file(folder.path(), 0, &at)].map(|file| {
+        let mut setup = Setup::new(vec![]);
+        setup.env.push(("EDGE_LIMITS", file));
+        let sidecar = setup.start();
+        sidecar.wait_for_log("listening on");
+        sidecar.resource_counts()
+    });
+    assert_eq!((without.datagram_sockets, with.datagram_sockets), (0, 1));
+    assert_eq!(without.threads, with.threads, "the fleet has no thread of its own");
 }
 
 /// Three members: one holds the duty and calls once a period, the others name it; it goes where it is handed. When two are gone the
@@ -55,9 +52,9 @@
 #[test]
 fn one_of_three_holds_it_hands_it_on_and_the_last_alone_serves_without() {
     let folder = tempfile::tempdir().unwrap();
-    let server = Server::start(|_, _| ok("x"));
-    let at = [own_address(), own_address(), own_address()];
-    let consoles = [own_address(), own_address(), own_address()];
+    let server = FakeServer::start(|_, _| ok("x"));
+    let at = [unique_address(), unique_address(), unique_address()];
+    let consoles = [unique_address(), unique_address(), unique_address()];
     let start = |n: usize| {
         let mut setup = Setup::new(vec![entry("s1", server.address, "up")]);
         setup = setup.set("/name", json!(format!("n{n}"))).set("/console", json!(consoles[n].to_string()));
@@ -70,7 +67,7 @@
         let lines = lines.lines().map(|line| serde_json::from_str::<Value>(line).unwrap());
         lines.into_iter().find(|line| line["duty"] == duty).unwrap()
     };
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     // Nobody is asked for who holds it at one moment: a lease may be on its way. All come to name the same one.
     let agreed = |but: Option<&str>| loop {
         let names: Vec<Value> = (0..3).map(|n| seen(n, "settle")["holder"].clone()).collect();
@@ -87,7 +84,7 @@
     assert!(duties(&[], consoles[0]).contains(&format!("settle: held by {after} under fence")));
     // Calls came, each period once.
     let calls = server.requests.wait(3, "calls");
-    let periods = calls.iter().filter_map(|call| call.1.header("x-duty-period")?.parse::<u64>().ok());
+    let periods = calls.iter().filter_map(|call| call.message.header("x-duty-period")?.parse::<u64>().ok());
     let periods: Vec<u64> = periods.collect();
     assert_eq!(periods.len(), calls.len(), "each call says its period");
     assert!(periods.is_sorted_by(|a, b| a < b), "a period was called twice: {periods:?}");
@@ -96,5 +93,5 @@
     while seen(0, "settle")["holder"].is_string() {
         assert!(Instant::now() < end, "it holds alone");
     }
-    assert_eq!(last.ask(&read("r1")).status(), 200);
+    assert_eq!(last.request(&read_request("r1")).status(), 200);
 }
--- a/crates/sidecar/tests/gone.rs
+++ b/crates/sidecar/tests/gone.rs
@@ -82,12 +82,12 @@
     }
 
     /// No attempt of this request began more than the bound later.
-    fn nothing_begins<'a>(&self, id: &str, servers: impl IntoIterator<Item = &'a Server>, moment: &str) {
+    fn nothing_begins<'a>(&self, id: &str, servers: impl IntoIterator<Item = &'a FakeServer>, moment: &str) {
         for server in servers {
-            for (of, at) in server.begun.all() {
-                let late = at.saturating_duration_since(self.at);
+            for arrival in server.arrivals.all() {
+                let late = arrival.at.saturating_duration_since(self.at);
                 assert!(
-                    of != id || late <= BOUND,
+                    arrival.request_id != id || late <= BOUND,
                     "{moment}, {:?}: an attempt begins {late:?} later",
                     self.way
                 );
@@ -97,7 +97,7 @@
 }
 
 fn answers(sidecar: &Sidecar) {
-    let health = sidecar.ask("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+    let health = sidecar.request("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     assert_eq!(health.status(), 200);
 }
 
@@ -109,30 +109,16 @@
     came.is_err()
 }
 
-/// All times are long, but for what the test sets after this.
-fn patient(known: Vec<Value>) -> Setup {
-    let long = json!(60_000_000);
-    let setup = Setup::new(known).set("/settings/limits/connect_timeout", long.clone());
-    (0..3).fold(setup, |setup, n| {
-        let of = |key: &str| format!("/settings/classes/{n}/{key}");
-        setup.set(&of("aim"), long.clone()).set(&of("deadline"), long.clone())
-    })
-}
-
-fn waits(request: String) -> String {
-    request.replace("X-Timeout: 0.9", "X-Timeout: 60")
-}
-
-fn listed(servers: &[Server]) -> Vec<Value> {
+fn listed(servers: &[FakeServer]) -> Vec<Value> {
     servers.iter().enumerate().map(|(n, s)| entry(&format!("s{n}"), s.address, "up")).collect()
 }
 
 /// Two servers that do this with the first attempt of each request of these names, and serve all else.
-fn do_first(names: &'static [&'static str], act: Act) -> Vec<Server> {
+fn do_first(names: &'static [&'static str], act: Action) -> Vec<FakeServer> {
     let met = Arc::new(Mutex::new(HashSet::new()));
     let server = |_| {
         let (met, act) = (met.clone(), act.clone());
-        Server::start(move |_, message| {
+        FakeServer::start(move |_, message| {
             let id = message.header("x-request-id").unwrap_or_default().to_owned();
             if names.contains(&id.as_str()) && met.lock().unwrap().insert(id) { act.clone() } else { ok("x") }
         })
@@ -141,9 +127,9 @@
 }
 
 /// Waits until an attempt of this request has begun.
-fn begins(id: &str, servers: &[Server]) {
-    let end = Instant::now() + PATIENCE;
-    while !servers.iter().any(|server| server.begun.all().iter().any(|(of, _)| of == id)) {
+fn begins(id: &str, servers: &[FakeServer]) {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while !servers.iter().any(|server| server.arrivals.all().iter().any(|arrival| arrival.request_id == id)) {
         assert!(Instant::now() < end, "no attempt of {id}");
         thread::yield_now();
     }
@@ -152,27 +138,27 @@
 #[test]
 fn between_two_tries() {
     type Class = fn(&str) -> String;
-    let failed = |status| Act::Reply(status, vec![], String::new());
-    let ends: [(&str, Class, Act); 5] = [
-        ("turned away", once, turned_away(503)),
-        ("turned away", read, turned_away(503)),
-        ("failed", read, failed(500)),
-        ("reset", read, Act::Break),
-        ("reset under its key", pay, Act::Break),
+    let failed = |status| status_only(status);
+    let ends: [(&str, Class, Action); 5] = [
+        ("turned away", once_request, rejected(503)),
+        ("turned away", read_request, rejected(503)),
+        ("failed", read_request, failed(500)),
+        ("reset", read_request, Action::Close),
+        ("reset under its key", pay_request, Action::Close),
     ];
     for (moment, class, act) in ends {
         for way in WAYS {
-            let (gate, wait): (Sender<()>, Act) = held(act.clone());
+            let (gate, wait): (Sender<()>, Action) = gated(act.clone());
             let servers = do_first(&["left"], wait);
-            let sidecar = patient(listed(&servers)).start();
+            let sidecar = Setup::new(listed(&servers)).long_timeouts().start();
             let mut client = sidecar.connect();
-            client.send(&waits(class("left")));
+            client.send(&with_long_timeout(class("left")));
             begins("left", &servers);
             let gone = goes(client, way);
             gone.passes(&sidecar);
             gate.send(()).unwrap();
-            sidecar.logged("attempt 0 of request 0 at ");
-            assert_eq!(sidecar.ask(&waits(read("after"))).status(), 200);
+            sidecar.wait_for_log("attempt 0 of request 0 at ");
+            assert_eq!(sidecar.request(&with_long_timeout(read_request("after"))).status(), 200);
             gone.nothing_begins("left", &servers, moment);
         }
     }
@@ -190,15 +176,15 @@
 
 /// One request goes; another that came after it, and stays, shows that the time has come at which the first had its next
 /// attempt.
-fn one_goes_one_stays(sidecar: &Sidecar, servers: &[Server], way: Way, moment: &str) {
+fn one_goes_one_stays(sidecar: &Sidecar, servers: &[FakeServer], way: Way, moment: &str) {
     let mut client = sidecar.connect();
-    client.send(&waits(read("left")));
+    client.send(&with_long_timeout(read_request("left")));
     begins("left", servers);
     let gone = goes(client, way);
     answers(sidecar);
-    assert_eq!(sidecar.ask(&waits(read("stays"))).text(), "x", "{moment}, {way:?}");
+    assert_eq!(sidecar.request(&with_long_timeout(read_request("stays"))).text(), "x", "{moment}, {way:?}");
     // A second attempt is what served it.
-    let of = |id: &str| servers.iter().flat_map(Server::ids).filter(|of| of == id).count();
+    let of = |id: &str| servers.iter().flat_map(FakeServer::request_ids).filter(|of| of == id).count();
     assert!(of("stays") >= 2, "{moment}, {way:?}");
     gone.nothing_begins("left", servers, moment);
 }
@@ -206,8 +192,9 @@
 #[test]
 fn before_the_time_of_a_try_is_over() {
     for way in WAYS {
-        let servers = do_first(&["left", "stays"], Act::Hang);
-        let (setup, _folder) = limits(patient(listed(&servers)), "[defaults]\nattempt_timeout = '400ms'");
+        let servers = do_first(&["left", "stays"], Action::Hang);
+        let (setup, _folder) =
+            limits(Setup::new(listed(&servers)).long_timeouts(), "[defaults]\nattempt_timeout = '400ms'");
         one_goes_one_stays(&setup.start(), &servers, way, "an attempt's time over");
     }
 }
@@ -215,8 +202,9 @@
 #[test]
 fn before_a_hedge_is_due() {
     for way in WAYS {
-        let servers = do_first(&["left", "stays"], Act::Hang);
-        let setup = patient(listed(&servers)).set("/settings/limits/parallel_tries", json!(true));
+        let servers = do_first(&["left", "stays"], Action::Hang);
+        let setup =
+            Setup::new(listed(&servers)).long_timeouts().set("/settings/limits/parallel_tries", json!(true));
         let (setup, _folder) = limits(
             setup,
             "[[route]]\nname = 'reads'\nmatch = { class = 'read' }\nsecond_copy = { after = '400ms' }",
@@ -228,8 +216,9 @@
 #[test]
 fn before_a_hedge_of_the_modules_own_is_due() {
     for way in WAYS {
-        let servers = do_first(&["left", "stays"], Act::Hang);
-        let sidecar = patient(listed(&servers))
+        let servers = do_first(&["left", "stays"], Action::Hang);
+        let sidecar = Setup::new(listed(&servers))
+            .long_timeouts()
             .set("/settings/limits/parallel_tries", json!(true))
             // A hedge is due after half of it.
             .set("/settings/classes/0/aim", json!(1_000_000))
@@ -237,8 +226,8 @@
         // One first attempt in ten may have a hedge: enough of them for both requests.
         let mut usual = sidecar.connect();
         for n in 0..30 {
-            usual.send(&waits(read(&format!("w{n}"))));
-            assert_eq!(usual.answer().status(), 200);
+            usual.send(&with_long_timeout(read_request(&format!("w{n}"))));
+            assert_eq!(usual.read_response().status(), 200);
         }
         one_goes_one_stays(&sidecar, &servers, way, "a hedge due");
     }
@@ -248,28 +237,32 @@
 /// answer. What it waits for has come once one that came after it, and waited for the same, is served.
 fn goes_in_a_wait(
     sidecar: &Sidecar,
-    server: &Server,
+    server: &FakeServer,
     (way, moment): (Way, &str),
     number: impl Fn(usize) -> usize,
     before: impl Fn(usize),
     after: impl Fn(),
 ) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     for n in 0.. {
         assert!(Instant::now() < end, "{moment}: this machine never gave the time to force the order");
         before(n);
         let id = format!("left{n}");
         let mut client = sidecar.connect();
-        client.send(&waits(read(&id)));
+        client.send(&with_long_timeout(read_request(&id)));
         answers(sidecar);
         let in_a_wait = unanswered(&client);
         let gone = goes(client, way);
         gone.passes(sidecar);
         after();
-        assert_eq!(sidecar.ask(&waits(read(&format!("stays{n}")))).status(), 200, "{moment}, {way:?}");
-        sidecar.logged(&format!("attempt 0 of request {} at ", number(n) + 1));
+        assert_eq!(
+            sidecar.request(&with_long_timeout(read_request(&format!("stays{n}")))).status(),
+            200,
+            "{moment}, {way:?}"
+        );
+        sidecar.wait_for_log(&format!("attempt 0 of request {} at ", number(n) + 1));
         if !gone.first_went_out(sidecar, number(n), moment) && in_a_wait {
-            assert!(!server.ids().contains(&id), "{moment}, {way:?}");
+            assert!(!server.request_ids().contains(&id), "{moment}, {way:?}");
             return;
         }
     }
@@ -279,12 +272,14 @@
 fn while_the_module_holds_its_request_for_a_server() {
     for way in WAYS {
         // One that turned a request away gets nothing new for a second, and the next waits for it.
-        let server = Server::start(|_, message| match message.header("x-request-id") {
-            Some(id) if id.starts_with("away") => turned_away(503),
+        let server = FakeServer::start(|_, message| match message.header("x-request-id") {
+            Some(id) if id.starts_with("away") => rejected(503),
             _ => ok("x"),
         });
-        let sidecar = patient(vec![entry("s1", server.address, "up")]).start();
-        let turns_away = |n| assert_eq!(sidecar.ask(&waits(read(&format!("away{n}")))).status(), 503);
+        let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).long_timeouts().start();
+        let turns_away = |n| {
+            assert_eq!(sidecar.request(&with_long_timeout(read_request(&format!("away{n}")))).status(), 503)
+        };
         goes_in_a_wait(&sidecar, &server, (way, "held for a server"), |n| 3 * n + 1, turns_away, || {});
     }
 }
@@ -298,8 +293,9 @@
             drop(answered.lock());
             r#"{"inflight":0,"queue":0,"util":0.0}"#.to_owned()
         };
-        let server = Server::with_load(|_, _| ok("x"), load);
-        let mut setup = patient(vec![entry("s1", server.address, "up")])
+        let server = FakeServer::start_with_load(|_, _| ok("x"), load);
+        let mut setup = Setup::new(vec![entry("s1", server.address, "up")])
+            .long_timeouts()
             .set("/settings/limits/probes", json!(true))
             .set("/sidecar/probe_ms", json!(20_000));
         for class in 0..3 {
@@ -322,31 +318,31 @@
 fn while_the_connection_of_an_attempt_comes_up() {
     for (attempt, moment) in [(0, "the first attempt connects"), (1, "a further attempt connects")] {
         for way in WAYS {
-            let late = Late::new();
-            let (gate, wait) = held(turned_away(503));
-            let first = Server::start(move |_, _| wait.clone());
+            let late = SaturatedListener::new();
+            let (gate, wait) = gated(rejected(503));
+            let first = FakeServer::start(move |_, _| wait.clone());
             let (of_first, of_late) = (entry("s1", first.address, "up"), entry("s2", late.address, "up"));
-            let discovery = Discovery::start();
+            let discovery = StubDiscovery::start();
             let known = if attempt == 0 { of_late.clone() } else { of_first };
-            let sidecar = patient(vec![known]).discovery(&discovery).start();
-            discovery.calls.wait(1, "watches");
+            let sidecar = Setup::new(vec![known]).long_timeouts().discovery(&discovery).start();
+            discovery.watches.wait(1, "watches");
             let mut client = sidecar.connect();
-            client.send(&waits(once("left")));
+            client.send(&with_long_timeout(once_request("left")));
             if attempt > 0 {
                 first.requests.wait(1, "requests");
-                discovery.send(9, false, vec![of_late]);
-                sidecar.logged("list changes revision 9");
+                discovery.publish_changes(9, vec![of_late]);
+                sidecar.wait_for_log("list changes revision 9");
                 gate.send(()).unwrap();
             }
-            sidecar.logged(&format!("attempt {attempt} of request 0 goes out"));
+            sidecar.wait_for_log(&format!("attempt {attempt} of request 0 goes out"));
             let gone = goes(client, way);
             gone.passes(&sidecar);
             drop(gate);
-            let server = late.open(|_, _| ok("x"));
-            let end = Instant::now() + PATIENCE;
-            while server.count() == 0 {
+            let server = late.open_as_server(|_, _| ok("x"));
+            let end = Instant::now() + WAIT_TIMEOUT;
+            while server.request_count() == 0 {
                 assert!(Instant::now() < end, "{moment}: no connection came up");
-                sidecar.ask(&waits(read("after")));
+                sidecar.request(&with_long_timeout(read_request("after")));
             }
             gone.nothing_begins("left", [&first, &server], moment);
         }
@@ -357,22 +353,22 @@
 #[test]
 fn while_its_connection_waits_to_be_accepted() {
     for way in WAYS {
-        let server = Server::start(|_, _| ok("x"));
-        let sidecar = patient(vec![entry("s1", server.address, "up")]).start();
+        let server = FakeServer::start(|_, _| ok("x"));
+        let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).long_timeouts().start();
         // The connection that it has to the server is one that it could write to at once.
-        assert_eq!(sidecar.ask(&read("before")).status(), 200);
+        assert_eq!(sidecar.request(&read_request("before")).status(), 200);
         sidecar.signal("STOP");
         let gone: Vec<Gone> = (0..20)
             .map(|n| {
                 let mut client = sidecar.connect();
-                client.send(&once(&format!("left{n}")));
+                client.send(&once_request(&format!("left{n}")));
                 goes(client, way)
             })
             .collect();
         thread::sleep(BOUND);
         sidecar.signal("CONT");
-        assert_eq!(sidecar.ask(&read("after")).status(), 200);
-        assert_eq!(server.ids(), ["before", "after"], "{way:?}");
+        assert_eq!(sidecar.request(&read_request("after")).status(), 200);
+        assert_eq!(server.request_ids(), ["before", "after"], "{way:?}");
         drop(gone);
     }
 }
@@ -381,17 +377,17 @@
 #[test]
 fn while_a_request_before_it_on_its_connection_is_in_hand() {
     for way in WAYS {
-        let (gate, wait) = held(ok("first"));
-        let server = Server::start(move |n, _| if n == 0 { wait.clone() } else { ok("x") });
-        let sidecar = patient(vec![entry("s1", server.address, "up")]).start();
+        let (gate, wait) = gated(ok("first"));
+        let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("x") });
+        let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).long_timeouts().start();
         let mut client = sidecar.connect();
-        client.send(&(waits(read("first")) + &waits(read("left"))));
+        client.send(&(with_long_timeout(read_request("first")) + &with_long_timeout(read_request("left"))));
         server.requests.wait(1, "requests");
         let gone = goes(client, way);
         gone.passes(&sidecar);
         gate.send(()).unwrap();
-        sidecar.logged("attempt 0 of request 0 at ");
-        assert_eq!(sidecar.ask(&waits(read("after"))).status(), 200);
+        sidecar.wait_for_log("attempt 0 of request 0 at ");
+        assert_eq!(sidecar.request(&with_long_timeout(read_request("after"))).status(), 200);
         gone.nothing_begins("left", [&server], "behind a request in hand");
     }
 }
--- a/crates/sidecar/tests/life.rs
+++ b/crates/sidecar/tests/life.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn what_was_taken_is_answered_after_sigterm_and_new_connections_are_served_for_a_while() {
-    let (gate, wait) = latch("slow");
-    let server = Server::start(move |n, _| if n == 0 { wait.clone() } else { ok("late") });
+    let (gate, wait) = gated_ok("slow");
+    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("late") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/settings/classes/1/aim", json!(60_000_000))
         .set("/settings/classes/1/deadline", json!(60_000_000))
@@ -17,27 +17,27 @@
         .set("/sidecar/end_after_term_ms", json!(60_000))
         .start();
     let mut taken = sidecar.connect();
-    taken.send(&once("r1").replace("X-Timeout: 0.9", "X-Timeout: 60"));
+    taken.send(&once_request("r1").replace("X-Timeout: 0.9", "X-Timeout: 60"));
     server.requests.wait(1, "requests");
     let mut kept = sidecar.connect();
-    kept.send(&read("r2"));
-    assert_eq!(kept.answer().header("connection"), None);
+    kept.send(&read_request("r2"));
+    assert_eq!(kept.read_response().header("connection"), None);
     let mut idle = sidecar.connect();
     sidecar.signal("TERM");
-    sidecar.logged("told to end");
+    sidecar.wait_for_log("told to end");
     // A connection kept and a new one are served, and told to end.
-    kept.send(&read("r3"));
-    let answer = kept.answer();
+    kept.send(&read_request("r3"));
+    let answer = kept.read_response();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    kept.ended();
-    let answer = sidecar.ask(&read("r4"));
+    kept.wait_for_close();
+    let answer = sidecar.request(&read_request("r4"));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     // The idle one is closed when the time is over, and what was taken is still answered after it.
-    idle.ended();
+    idle.wait_for_close();
     gate.send(()).unwrap();
-    assert_eq!(taken.answer().text(), "slow");
-    taken.ended();
-    let (status, log) = sidecar.end();
+    assert_eq!(taken.read_response().text(), "slow");
+    taken.wait_for_close();
+    let (status, log) = sidecar.wait_for_exit();
     assert!(status.success(), "{status}: {log}");
 }
 
@@ -51,7 +51,7 @@
 }
 
 fn answered_out_of_the_queue(places: usize) {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_connections", json!(places))
         .set("/sidecar/accept_after_term_ms", json!(0))
@@ -60,7 +60,7 @@
     sidecar.signal("STOP");
     let ask = |n| {
         let mut client = sidecar.connect();
-        client.send(&read(&format!("r{n}")));
+        client.send(&read_request(&format!("r{n}")));
         client
     };
     // So many that they cannot all be accepted before the program comes to see the signal, and more than a
@@ -70,11 +70,11 @@
     sidecar.signal("CONT");
     for mut client in clients {
         // The rules may refuse some of so many at once; what counts is that each gets its answer.
-        let status = client.answer().status();
+        let status = client.read_response().status();
         assert!(matches!(status, 200 | 503), "{status}");
-        client.ended();
+        client.wait_for_close();
     }
-    let (status, log) = sidecar.end();
+    let (status, log) = sidecar.wait_for_exit();
     assert!(status.success(), "{status}: {log}");
 }
 
@@ -82,7 +82,7 @@
 fn an_interrupt_ends_it_in_the_same_way() {
     let sidecar = Setup::new(vec![]).set("/sidecar/accept_after_term_ms", json!(0)).start();
     sidecar.signal("INT");
-    let (status, log) = sidecar.end();
+    let (status, log) = sidecar.wait_for_exit();
     assert!(status.success() && log.contains("sidecar n0 ends"), "{status}: {log}");
 }
 
@@ -90,7 +90,7 @@
 /// taken, and does not hold the end up.
 #[test]
 fn what_is_in_hand_at_the_last_is_answered_and_it_ends_by_itself() {
-    let server = Server::start(|_, _| Act::Hang);
+    let server = FakeServer::start(|_, _| Action::Hang);
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/settings/classes/0/aim", json!(60_000_000))
         .set("/settings/classes/0/deadline", json!(60_000_000))
@@ -98,23 +98,23 @@
         .set("/sidecar/end_after_term_ms", json!(1000))
         .start();
     let mut client = sidecar.connect();
-    client.send(&read("r1").replace("X-Timeout: 0.9", "X-Timeout: 60"));
+    client.send(&read_request("r1").replace("X-Timeout: 0.9", "X-Timeout: 60"));
     server.requests.wait(1, "requests");
     let mut half = sidecar.connect();
     half.send("GET /read HTTP/1.1\r\nHost: x\r\nX-Req");
     sidecar.signal("TERM");
-    let answer = client.answer();
+    let answer = client.read_response();
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")));
-    client.ended();
-    half.ended();
-    let (status, log) = sidecar.end();
+    client.wait_for_close();
+    half.wait_for_close();
+    let (status, log) = sidecar.wait_for_exit();
     assert!(status.success(), "{status}");
     assert!(log.contains("connections still open"), "{log}");
 }
 
 /// Starts the program with one thing wrong; it must end with a message that names it.
 fn fails(setup: Setup, message: &str) {
-    let (status, log) = setup.spawn().end();
+    let (status, log) = setup.spawn().wait_for_exit();
     assert!(!status.success(), "it started: {message}");
     assert!(log.contains(message), "'{message}' is not in: {log}");
 }
@@ -171,7 +171,7 @@
 
 #[test]
 fn unknown_keys_are_passed_over_and_variables_go_before_the_file() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let mut setup = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/settings/new", json!({"a": 1}))
         .set("/new", json!(1))
@@ -179,6 +179,6 @@
         .set("/known/targets/0/new", json!(1));
     setup.env.push(("EDGE_NAME", "other".to_owned()));
     let sidecar = setup.start();
-    sidecar.logged("sidecar other starts");
-    assert_eq!(sidecar.ask(&read("r1")).status(), 200);
+    sidecar.wait_for_log("sidecar other starts");
+    assert_eq!(sidecar.request(&read_request("r1")).status(), 200);
 }
--- a/crates/sidecar/tests/limits.rs
+++ b/crates/sidecar/tests/limits.rs
@@ -19,24 +19,24 @@
 #[test]
 fn a_route_has_its_attempts_and_others_keep_theirs() {
     // Each attempt may have run, so reads are repeated, but not on the route.
-    let (first, second) = (Server::start(|_, _| Act::Break), Server::start(|_, _| Act::Break));
+    let (first, second) = (FakeServer::start(|_, _| Action::Close), FakeServer::start(|_, _| Action::Close));
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("limits.toml");
     std::fs::write(&file, "[[route]]\nname = 'once'\nattempts = 1\nmatch = { path = '/read/once' }").unwrap();
     let known = vec![entry("s1", first.address, "up"), entry("s2", second.address, "up")];
     let sidecar = with_limits(Setup::new(known), &file).start();
-    sidecar.logged("taken up: 1 routes, 0 pools");
-    let attempts = || first.count() + second.count();
-    sidecar.ask(&read("r1").replace("GET /read", "GET /read/once"));
+    sidecar.wait_for_log("taken up: 1 routes, 0 pools");
+    let attempts = || first.request_count() + second.request_count();
+    sidecar.request(&read_request("r1").replace("GET /read", "GET /read/once"));
     assert_eq!(attempts(), 1);
-    sidecar.ask(&read("r2"));
+    sidecar.request(&read_request("r2"));
     assert!(attempts() > 2, "the route's limit acts on another");
 }
 
 #[test]
 fn a_full_route_refuses_and_another_is_served() {
-    let (gate, wait) = latch("slow");
-    let server = Server::start(
+    let (gate, wait) = gated_ok("slow");
+    let server = FakeServer::start(
         move |_, message| if message.target() == "/read/slow" { wait.clone() } else { ok("x") },
     );
     let folder = tempfile::tempdir().unwrap();
@@ -44,15 +44,15 @@
     std::fs::write(&file, "[[route]]\nname = 'slow'\nmax_in_hand = 1\nmatch = { path = '/read/slow' }")
         .unwrap();
     let sidecar = with_limits(Setup::new(vec![entry("s1", server.address, "up")]), &file).start();
-    let slow = |id| read(id).replace("GET /read", "GET /read/slow");
+    let slow = |id| read_request(id).replace("GET /read", "GET /read/slow");
     let mut client = sidecar.connect();
     client.send(&slow("r1"));
     server.requests.wait(1, "requests");
-    assert_eq!(sidecar.ask(&slow("r2")).status(), 503);
-    assert_eq!(sidecar.ask(&read("r3")).status(), 200);
+    assert_eq!(sidecar.request(&slow("r2")).status(), 503);
+    assert_eq!(sidecar.request(&read_request("r3")).status(), 200);
     gate.send(()).unwrap();
-    assert_eq!(client.answer().text(), "slow");
-    assert_eq!(server.count(), 2, "the refused request reached a server");
+    assert_eq!(client.read_response().text(), "slow");
+    assert_eq!(server.request_count(), 2, "the refused request reached a server");
 }
 
 #[test]
@@ -62,7 +62,8 @@
         "[defaults]\nattempts = 2\n[[route]]\nname = 'r'\nmatch = { class = 'read' }\npool = 'p'\n[[pool]]\nname = 'p'\nzones = ['a']",
     ];
     const BAD: &str = "[defaults]\nattempts = 0\ntimeout = '9s'";
-    let servers: Vec<Server> = (0..3).map(|_| Server::start(|_, message| ok(message.target()))).collect();
+    let servers: Vec<FakeServer> =
+        (0..3).map(|_| FakeServer::start(|_, message| ok(message.target()))).collect();
     let known = servers.iter().enumerate().map(|(n, s)| entry(&format!("s{n}"), s.address, "up")).collect();
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("limits.toml");
@@ -77,8 +78,8 @@
                 let mut client = sidecar.connect();
                 let (mut asked, mut lost) = (0, HashMap::new());
                 while asked < 1250 || !done.load(Ordering::SeqCst) {
-                    client.send(&read(&format!("w{worker}-{asked}")));
-                    let answer = client.answer();
+                    client.send(&read_request(&format!("w{worker}-{asked}")));
+                    let answer = client.read_response();
                     if answer.status() != 200 || !answer.text().starts_with("/read") {
                         *lost.entry(answer.status()).or_insert(0) += 1;
                     }
@@ -95,7 +96,7 @@
             sidecar.signal("HUP");
             // Each is taken up or refused before the next.
             let said = if bad { "going on with the old configuration" } else { "taken up: " };
-            let end = std::time::Instant::now() + PATIENCE;
+            let end = std::time::Instant::now() + WAIT_TIMEOUT;
             while !sidecar.log.all()[seen..].iter().any(|line| line.contains(said)) {
                 if std::time::Instant::now() >= end {
                     // Else the workers would ask on for good.
@@ -121,7 +122,7 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("limits.toml");
     std::fs::write(&file, "[defaults]\nattempts = 0\ntimeout = 3").unwrap();
-    let (status, log) = with_limits(Setup::new(vec![]), &file).spawn().end();
+    let (status, log) = with_limits(Setup::new(vec![]), &file).spawn().wait_for_exit();
     assert!(!status.success());
     assert!(log.contains("2 faults") && log.contains("DL005") && log.contains("DL003"), "{log}");
 }
--- a/crates/sidecar/tests/lists.rs
+++ b/crates/sidecar/tests/lists.rs
@@ -1,4 +1,4 @@
-//! Discovery's side: the list as last held, watches, drains and servers that move or start anew.
+//! StubDiscovery's side: the list as last held, watches, drains and servers that move or start anew.
 
 mod common;
 
@@ -12,64 +12,64 @@
 
 /// Asks until the answer is this.
 fn ask_until(sidecar: &Sidecar, what: &str) {
-    let end = Instant::now() + PATIENCE;
-    while sidecar.ask(&read("u")).text() != what {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while sidecar.request(&read_request("u")).text() != what {
         assert!(Instant::now() < end, "no answer '{what}' comes");
     }
 }
 
 /// Waits until the sidecar has read a list of this revision.
 fn read_revision(sidecar: &Sidecar, rev: u64) {
-    sidecar.logged(&format!("revision {rev}: "));
+    sidecar.wait_for_log(&format!("revision {rev}: "));
 }
 
 #[test]
 fn the_list_as_last_held_serves_until_discovery_speaks() {
-    let server = Server::start(|_, _| ok("known"));
+    let server = FakeServer::start(|_, _| ok("known"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
-    assert_eq!(sidecar.ask(&read("r1")).text(), "known");
+    assert_eq!(sidecar.request(&read_request("r1")).text(), "known");
 }
 
 #[test]
 fn a_watch_asks_for_what_came_after_the_list_held() {
-    let discovery = Discovery::start();
+    let discovery = StubDiscovery::start();
     let _sidecar = Setup::new(vec![]).discovery(&discovery).start();
-    assert_eq!(discovery.calls.wait(1, "watches")[0], "/v1/servers?watch=1&after=7");
+    assert_eq!(discovery.watches.wait(1, "watches")[0], "/v1/servers?watch=1&after=7");
 }
 
 #[test]
 fn changes_bring_servers_in_and_take_them_out() {
-    let (old, new) = (Server::start(|_, _| ok("old")), Server::start(|_, _| ok("new")));
-    let discovery = Discovery::start();
+    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
-    discovery.send(8, false, vec![entry("s2", new.address, "up")]);
+    discovery.watches.wait(1, "watches");
+    discovery.publish_changes(8, vec![entry("s2", new.address, "up")]);
     ask_until(&sidecar, "new");
     for (rev, state) in [(9, "draining"), (10, "removed")] {
-        discovery.send(rev, false, vec![entry("s1", old.address, state)]);
+        discovery.publish_changes(rev, vec![entry("s1", old.address, state)]);
         read_revision(&sidecar, rev);
-        let before = old.count();
+        let before = old.request_count();
         for n in 0..20 {
-            assert_eq!(sidecar.ask(&read(&format!("r{n}"))).text(), "new");
+            assert_eq!(sidecar.request(&read_request(&format!("r{n}"))).text(), "new");
         }
-        assert_eq!(old.count(), before, "a {state} server got a request");
+        assert_eq!(old.request_count(), before, "a {state} server got a request");
     }
 }
 
 #[test]
 fn a_request_in_work_at_a_draining_server_is_finished() {
-    let (gate, wait) = latch("finished");
-    let server = Server::start(move |_, _| wait.clone());
-    let discovery = Discovery::start();
+    let (gate, wait) = gated_ok("finished");
+    let server = FakeServer::start(move |_, _| wait.clone());
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     let mut client = sidecar.connect();
-    client.send(&once("r1"));
+    client.send(&once_request("r1"));
     server.requests.wait(1, "requests");
-    discovery.send(8, false, vec![entry("s1", server.address, "draining")]);
+    discovery.publish_changes(8, vec![entry("s1", server.address, "draining")]);
     read_revision(&sidecar, 8);
     gate.send(()).unwrap();
-    assert_eq!(client.answer().text(), "finished");
+    assert_eq!(client.read_response().text(), "finished");
 }
 
 #[test]
@@ -82,7 +82,7 @@
     while let Ok(s) = std::net::TcpStream::connect_timeout(&address, std::time::Duration::from_millis(300)) {
         held.push(s);
     }
-    let discovery = Discovery::start();
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", address, "up")])
         .discovery(&discovery)
         .set("/settings/safety/drain_grace", json!(20_000_000))
@@ -90,14 +90,14 @@
         .set("/settings/classes/0/aim", json!(30_000_000))
         .set("/settings/classes/0/deadline", json!(30_000_000))
         .start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     let mut client = sidecar.connect();
-    client.send(&read("r1").replace("X-Timeout: 0.9", "X-Timeout: 30"));
-    sidecar.logged("attempt 0 of request 0");
-    discovery.send(8, false, vec![entry("s1", address, "draining")]);
+    client.send(&read_request("r1").replace("X-Timeout: 0.9", "X-Timeout: 30"));
+    sidecar.wait_for_log("attempt 0 of request 0");
+    discovery.publish_changes(8, vec![entry("s1", address, "draining")]);
     read_revision(&sidecar, 8);
     // It was never sent, so it is refused, while the connection is still waited for.
-    assert_eq!(client.answer().status(), 503);
+    assert_eq!(client.read_response().status(), 503);
     drop(held);
     let reached = std::thread::spawn(move || {
         let mut requests = 0;
@@ -117,105 +117,105 @@
 
 #[test]
 fn a_whole_list_takes_out_what_it_lacks() {
-    let (old, new) = (Server::start(|_, _| ok("old")), Server::start(|_, _| ok("new")));
-    let discovery = Discovery::start();
+    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
-    discovery.send(8, true, vec![entry("s2", new.address, "up")]);
+    discovery.watches.wait(1, "watches");
+    discovery.publish_full_list(8, vec![entry("s2", new.address, "up")]);
     read_revision(&sidecar, 8);
     for n in 0..20 {
-        assert_eq!(sidecar.ask(&read(&format!("r{n}"))).text(), "new");
+        assert_eq!(sidecar.request(&read_request(&format!("r{n}"))).text(), "new");
     }
 }
 
 #[test]
 fn a_watch_that_breaks_is_made_again_from_the_last_version() {
-    let discovery = Discovery::start();
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
-    discovery.send(12, false, vec![]);
+    discovery.watches.wait(1, "watches");
+    discovery.publish_changes(12, vec![]);
     read_revision(&sidecar, 12);
-    discovery.break_off();
-    assert_eq!(discovery.calls.wait(2, "watches")[1], "/v1/servers?watch=1&after=12");
+    discovery.close_watches();
+    assert_eq!(discovery.watches.wait(2, "watches")[1], "/v1/servers?watch=1&after=12");
 }
 
 #[test]
 fn beside_a_watch_that_falls_silent_further_ones_are_opened_and_the_first_to_speak_is_followed() {
     // The first watch once was waited on for 7 s: a drain that was written to the next one meanwhile was not heard.
-    let (old, new) = (Server::start(|_, _| ok("old")), Server::start(|_, _| ok("new")));
-    let discovery = Discovery::start();
+    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")])
         .discovery(&discovery)
         .set("/sidecar/watch_silence_ms", json!(1000))
         .set("/sidecar/watch_call_ms", json!(300))
         .start();
-    sidecar.logged("open after revision 7");
-    discovery.silence(true);
-    discovery.calls.wait(4, "watches");
-    discovery.silence(false);
-    sidecar.logged("open after revision 7, unheard for 1");
-    discovery.send(8, true, vec![entry("s2", new.address, "up")]);
+    sidecar.wait_for_log("open after revision 7");
+    discovery.set_silent(true);
+    discovery.watches.wait(4, "watches");
+    discovery.set_silent(false);
+    sidecar.wait_for_log("open after revision 7, unheard for 1");
+    discovery.publish_full_list(8, vec![entry("s2", new.address, "up")]);
     read_revision(&sidecar, 8);
-    assert_eq!(sidecar.ask(&read("r1")).text(), "new");
-    discovery.ended.wait(3, "the silent watches ended");
+    assert_eq!(sidecar.request(&read_request("r1")).text(), "new");
+    discovery.closed.wait(3, "the silent watches ended");
 }
 
 #[test]
 fn a_drain_written_to_a_watch_that_is_reset_unread_is_heard_with_the_next() {
-    let (old, new) = (Server::start(|_, _| ok("old")), Server::start(|_, _| ok("new")));
-    let discovery = Discovery::start();
+    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let discovery = StubDiscovery::start();
     let entries = vec![entry("s1", old.address, "up"), entry("s2", new.address, "up")];
     let sidecar = Setup::new(entries).discovery(&discovery).start();
-    sidecar.logged("open after revision 7");
+    sidecar.wait_for_log("open after revision 7");
     // The stand-in may not have noted the watch that it has just written to.
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     // Half of the drain's line is written when the watch is reset: nothing of it counts.
     discovery.send_raw("{\"rev\":8,\"all\":false,\"targets\":[{\"uid\":\"s1\",");
-    discovery.reset();
-    sidecar.logged("ConnectionReset");
-    discovery.calls.wait(2, "watches");
-    discovery.send(8, false, vec![entry("s1", old.address, "draining")]);
+    discovery.reset_watches();
+    sidecar.wait_for_log("ConnectionReset");
+    discovery.watches.wait(2, "watches");
+    discovery.publish_changes(8, vec![entry("s1", old.address, "draining")]);
     read_revision(&sidecar, 8);
     for n in 0..20 {
-        assert_eq!(sidecar.ask(&read(&format!("r{n}"))).text(), "new");
+        assert_eq!(sidecar.request(&read_request(&format!("r{n}"))).text(), "new");
     }
 }
 
 #[test]
 fn a_drain_counts_even_where_the_rest_of_its_entry_cannot_be_read() {
-    let (old, new) = (Server::start(|_, _| ok("old")), Server::start(|_, _| ok("new")));
-    let discovery = Discovery::start();
+    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let discovery = StubDiscovery::start();
     let entries = vec![entry("s1", old.address, "up"), entry("s2", new.address, "up")];
     let sidecar = Setup::new(entries).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     let odd = json!({"uid": "s1", "state": "draining", "endpoint": 7, "boot_ms": []});
-    discovery.send(8, false, vec![odd, json!("x")]);
-    sidecar.logged("server s1: only its state 'draining' can be read");
+    discovery.publish_changes(8, vec![odd, json!("x")]);
+    sidecar.wait_for_log("server s1: only its state 'draining' can be read");
     read_revision(&sidecar, 8);
     for n in 0..20 {
-        assert_eq!(sidecar.ask(&read(&format!("r{n}"))).text(), "new");
+        assert_eq!(sidecar.request(&read_request(&format!("r{n}"))).text(), "new");
     }
 }
 
 #[test]
 fn the_list_is_kept_on_disk_and_a_damaged_file_is_refused() {
-    let server = Server::start(|_, _| ok("kept"));
+    let server = FakeServer::start(|_, _| ok("kept"));
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("list");
-    let discovery = Discovery::start();
+    let discovery = StubDiscovery::start();
     let setup = || Setup::new(vec![]).set("/sidecar/list_file", json!(file.to_str().unwrap()));
     let sidecar = setup().discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
-    discovery.send(9, false, vec![entry("s1", server.address, "up")]);
+    discovery.watches.wait(1, "watches");
+    discovery.publish_changes(9, vec![entry("s1", server.address, "up")]);
     let kept = || std::fs::read_to_string(&file).unwrap_or_default();
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !kept().contains("\"rev\":9") {
         assert!(Instant::now() < end, "the list is not kept");
     }
     drop(sidecar);
     let sidecar = setup().start();
-    sidecar.logged("revision 9, ");
-    assert_eq!(sidecar.ask(&read("r1")).text(), "kept");
+    sidecar.wait_for_log("revision 9, ");
+    assert_eq!(sidecar.request(&read_request("r1")).text(), "kept");
     drop(sidecar);
     let whole = kept();
     for (damaged, said) in [
@@ -226,48 +226,48 @@
     ] {
         std::fs::write(&file, damaged).unwrap();
         let sidecar = setup().start();
-        sidecar.logged(said);
-        assert_eq!(sidecar.ask(&read("r1")).status(), 503, "a damaged list was used");
+        sidecar.wait_for_log(said);
+        assert_eq!(sidecar.request(&read_request("r1")).status(), 503, "a damaged list was used");
     }
 }
 
 #[test]
 fn what_is_no_list_is_passed_over_and_asked_for_again() {
-    let server = Server::start(|_, _| ok("x"));
-    let discovery = Discovery::start();
+    let server = FakeServer::start(|_, _| ok("x"));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     // Asked for after the same version, it would come again: the whole list is asked for.
-    discovery.hold(7, vec![entry("s1", server.address, "up")]);
+    discovery.set_full_list(7, vec![entry("s1", server.address, "up")]);
     discovery.send_raw("\n{\"rev\":9,\"targets\":\n");
-    discovery.lists.wait(1, "calls for the whole list");
-    assert_eq!(discovery.calls.wait(2, "watches")[1], "/v1/servers?watch=1&after=7");
-    assert_eq!(sidecar.ask(&read("r1")).text(), "x");
+    discovery.list_calls.wait(1, "calls for the whole list");
+    assert_eq!(discovery.watches.wait(2, "watches")[1], "/v1/servers?watch=1&after=7");
+    assert_eq!(sidecar.request(&read_request("r1")).text(), "x");
 }
 
 #[test]
 fn an_entry_that_cannot_be_read_keeps_no_other_back() {
-    let (old, new) = (Server::start(|_, _| ok("old")), Server::start(|_, _| ok("new")));
-    let discovery = Discovery::start();
+    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     let mut lost = entry("s9", new.address, "up");
     lost["endpoint"] = json!("nowhere");
     let odd = entry("s1", old.address, "resting");
-    discovery.send(8, false, vec![lost, odd, entry("s2", new.address, "up")]);
+    discovery.publish_changes(8, vec![lost, odd, entry("s2", new.address, "up")]);
     read_revision(&sidecar, 8);
     // Nothing more goes to a server in a state that is not known.
     for n in 0..20 {
-        assert_eq!(sidecar.ask(&read(&format!("r{n}"))).text(), "new");
+        assert_eq!(sidecar.request(&read_request(&format!("r{n}"))).text(), "new");
     }
 }
 
 #[test]
 fn lines_may_come_in_pieces() {
-    let server = Server::start(|_, _| ok("x"));
-    let discovery = Discovery::start();
+    let server = FakeServer::start(|_, _| ok("x"));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     let line = format!("\n{}\n\n", json!({"rev": 9, "targets": [entry("s1", server.address, "up")]}));
     for piece in line.as_bytes().chunks(7) {
         discovery.send_raw(std::str::from_utf8(piece).unwrap());
@@ -278,44 +278,44 @@
 /// Guards a watch whose lists are indented: each was taken for garbage, and the watch for broken.
 #[test]
 fn a_list_over_several_lines_is_taken_as_one() {
-    let server = Server::start(|_, _| ok("x"));
-    let discovery = Discovery::start();
+    let server = FakeServer::start(|_, _| ok("x"));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     let list = json!({"rev": 9, "all": true, "targets": [entry("s1", server.address, "up")]});
     discovery.send_raw(&format!("{}\n", serde_json::to_string_pretty(&list).unwrap()));
     read_revision(&sidecar, 9);
     ask_until(&sidecar, "x");
-    assert_eq!(discovery.calls.len(), 1, "the watch is good");
+    assert_eq!(discovery.watches.len(), 1, "the watch is good");
 }
 
 #[test]
 fn where_lists_come_on_request_the_first_call_is_made_at_once_and_again_after_a_break() {
     // The module's first call once came before the way to discovery stood and was lost; the next is due only
     // after a quarter of `ask_within`, here far beyond the patience of this test.
-    let discovery = Discovery::start();
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![])
         .discovery(&discovery)
         .set("/settings/discovery", json!("on_request"))
         .set("/settings/safety/ask_within", json!(4_000_000_000_u64))
         .start();
-    discovery.calls.wait(1, "watches");
-    discovery.send(8, true, vec![]);
+    discovery.watches.wait(1, "watches");
+    discovery.publish_full_list(8, vec![]);
     read_revision(&sidecar, 8);
-    discovery.break_off();
-    assert_eq!(discovery.calls.wait(2, "watches")[1], "/v1/servers?watch=1&after=8");
+    discovery.close_watches();
+    assert_eq!(discovery.watches.wait(2, "watches")[1], "/v1/servers?watch=1&after=8");
 }
 
 #[test]
 fn a_server_is_known_by_its_uid_and_reached_where_the_list_says() {
-    let (before, after) = (Server::start(|_, _| ok("before")), Server::start(|_, _| ok("after")));
-    let discovery = Discovery::start();
+    let (before, after) = (FakeServer::start(|_, _| ok("before")), FakeServer::start(|_, _| ok("after")));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", before.address, "up")]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
-    assert_eq!(sidecar.ask(&read("r1")).text(), "before");
-    discovery.send(8, false, vec![entry("s1", after.address, "up")]);
+    discovery.watches.wait(1, "watches");
+    assert_eq!(sidecar.request(&read_request("r1")).text(), "before");
+    discovery.publish_changes(8, vec![entry("s1", after.address, "up")]);
     read_revision(&sidecar, 8);
-    assert_eq!(sidecar.ask(&read("r2")).text(), "after");
+    assert_eq!(sidecar.request(&read_request("r2")).text(), "after");
     before.closed.wait(1, "closed connections");
 }
 
@@ -323,17 +323,17 @@
 fn a_server_that_started_anew_gets_new_connections() {
     // Its old process took the old ones with it, though nothing may have told of that: a request written to
     // one of them could end as one that may have run.
-    let server = Server::start(|_, _| ok("x"));
-    let discovery = Discovery::start();
+    let server = FakeServer::start(|_, _| ok("x"));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
-    assert_eq!(sidecar.ask(&read("r1")).status(), 200);
+    discovery.watches.wait(1, "watches");
+    assert_eq!(sidecar.request(&read_request("r1")).status(), 200);
     let mut restarted: Value = entry("s1", server.address, "up");
     restarted["boot_ms"] = json!(1_700_000_000_000_u64);
-    discovery.send(8, false, vec![restarted]);
+    discovery.publish_changes(8, vec![restarted]);
     read_revision(&sidecar, 8);
     server.closed.wait(1, "closed connections");
-    assert_eq!(sidecar.ask(&read("r2")).status(), 200);
+    assert_eq!(sidecar.request(&read_request("r2")).status(), 200);
     assert_eq!(server.opened.len(), 2);
 }
 
@@ -357,8 +357,8 @@
     list: Arc<Mutex<Value>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
     /// Calls that it took in each mood but the first, and calls left to hang that the other side has given up.
-    taken: Seen<Mood>,
-    given_up: Seen<()>,
+    taken: Recorder<Mood>,
+    given_up: Recorder<()>,
 }
 
 impl Told {
@@ -403,9 +403,9 @@
 impl Moody {
     fn start(list: Value) -> Moody {
         let (mood, watches) = (Arc::new(Mutex::new(Mood::Tells)), Arc::default());
-        let (list, taken, given_up) = (Arc::new(Mutex::new(list)), Seen::new(), Seen::new());
+        let (list, taken, given_up) = (Arc::new(Mutex::new(list)), Recorder::new(), Recorder::new());
         let told = Told { mood, list, watches, taken, given_up };
-        let mut moody = Moody { address: own_address(), told, listens: None };
+        let mut moody = Moody { address: unique_address(), told, listens: None };
         moody.becomes(Mood::Tells);
         moody
     }
@@ -443,7 +443,7 @@
         let (were_refused, taken) = (refused(), self.told.taken.len());
         let were_given_up = self.told.given_up.len();
         self.becomes(mood);
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         match mood {
             Mood::Tells => {}
             Mood::Refuses => {
@@ -463,7 +463,7 @@
 }
 
 /// A list of these servers, of which the first so many drain.
-fn draining(rev: u64, servers: &[Server], first: usize) -> Value {
+fn draining(rev: u64, servers: &[FakeServer], first: usize) -> Value {
     let state = |n| if n < first { "draining" } else { "up" };
     let entries = servers.iter().enumerate().map(|(n, s)| entry(&format!("s{n}"), s.address, state(n)));
     json!({"rev": rev, "all": true, "targets": entries.collect::<Vec<_>>()})
@@ -472,7 +472,7 @@
 /// Has discovery lose calls in each of these orders with a drain in its midst, and asserts that it is acted on in time.
 fn drains_are_acted_on(mode: &str, orders: &[&[Mood]], given_up: bool) {
     let names = (0..=orders.len()).map(|n| format!("server {n}"));
-    let servers: Vec<Server> = names.map(|name| Server::start(move |_, _| ok(&name))).collect();
+    let servers: Vec<FakeServer> = names.map(|name| FakeServer::start(move |_, _| ok(&name))).collect();
     let mut discovery = Moody::start(draining(7, &servers, 0));
     let known = draining(7, &servers, 0)["targets"].as_array().unwrap().clone();
     let sidecar = Setup::new(known)
@@ -481,7 +481,7 @@
         // The module asks again beside a call that hangs only after a quarter of it.
         .set("/settings/safety/ask_within", json!(60_000_000))
         .start();
-    sidecar.logged("in whole revision 7: ");
+    sidecar.wait_for_log("in whole revision 7: ");
     for (n, order) in orders.iter().enumerate() {
         let rev = 8 + n as u64;
         for (at, mood) in order.iter().enumerate() {
@@ -497,12 +497,12 @@
         println!("{mode}, {order:?}: {} ms", late.as_millis());
         // What it had counts as told 6 s after it could be reached, and the grace is a second.
         assert!(late < Duration::from_secs(7), "{order:?}: acted on after {late:?}");
-        let before = servers[n].count();
+        let before = servers[n].request_count();
         for _ in 0..10 {
             // Whether a busy machine's servers answer in time is not what is asked here.
-            sidecar.ask(&read("r"));
+            sidecar.request(&read_request("r"));
         }
-        assert_eq!(servers[n].count(), before, "{order:?}: a server that drains got a request");
+        assert_eq!(servers[n].request_count(), before, "{order:?}: a server that drains got a request");
     }
 }
 
--- a/crates/sidecar/tests/operators.rs
+++ b/crates/sidecar/tests/operators.rs
@@ -10,23 +10,13 @@
 use std::time::Instant;
 
 fn with_console(setup: Setup) -> (Setup, SocketAddr) {
-    let console = own_address();
+    let console = unique_address();
     (setup.set("/console", json!(console.to_string())), console)
 }
 
-/// One call of the console.
-fn call(console: SocketAddr, line: &[u8]) -> String {
-    let mut stream = TcpStream::connect(console).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    stream.write_all(line).unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
-}
-
 /// A figure as the console tells it now.
 fn figure(console: SocketAddr, name: &str) -> i64 {
-    let text = call(console, b"stats\n");
+    let text = console_call(console, b"stats\n");
     assert!(text.ends_with("\nEND\n"), "{text}");
     let line = text.lines().find_map(|line| line.strip_prefix(&format!("svc_{name} ")));
     line.unwrap_or_else(|| panic!("no {name} in\n{text}")).parse().unwrap()
@@ -34,7 +24,7 @@
 
 /// Waits until a figure is as it should be.
 fn figure_becomes(console: SocketAddr, name: &str, value: i64) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while figure(console, name) != value {
         assert!(Instant::now() < end, "{name} is {}, not {value}", figure(console, name));
     }
@@ -53,7 +43,7 @@
         })
         .collect();
     let since = Instant::now();
-    assert_eq!(call(console, b"status\r\n"), "YES active\n");
+    assert_eq!(console_call(console, b"status\r\n"), "YES active\n");
     assert!(since.elapsed().as_secs_f64() < 1.0);
     for (wrong, why) in [
         (&b"\n"[..], "NO the call is empty"),
@@ -61,7 +51,7 @@
         (b"\0\xff\x01\n", "NO no such call"),
         (&[b'x'; 300], "NO the call is too long"),
     ] {
-        let answer = call(console, wrong);
+        let answer = console_call(console, wrong);
         assert!(answer.starts_with(why) && answer.lines().count() == 1, "{answer}");
     }
     // One that ends its side without a line end is told so.
@@ -78,23 +68,24 @@
 /// Guards the figures: what was asked is what ended, under its class and in its way.
 #[test]
 fn each_request_is_counted_once_and_attempts_when_they_are_whole() {
-    let server = Server::start(|n, m| match m.target() {
-        "/once" if n % 2 == 0 => Act::Break,
+    let server = FakeServer::start(|n, m| match m.target() {
+        "/once" if n % 2 == 0 => Action::Close,
         _ => ok("x"),
     });
-    let gone = own_address();
+    let gone = unique_address();
     let known = vec![entry("s1", server.address, "up"), entry("s2", gone, "draining")];
     let (setup, console) = with_console(Setup::new(known));
     let sidecar = setup.start();
     let mut ends = std::collections::HashMap::new();
     for n in 0..30 {
-        let request = if n % 3 == 0 { once(&format!("r{n}")) } else { read(&format!("r{n}")) };
-        let status = sidecar.ask(&request).status();
+        let request =
+            if n % 3 == 0 { once_request(&format!("r{n}")) } else { read_request(&format!("r{n}")) };
+        let status = sidecar.request(&request).status();
         *ends.entry((n % 3 == 0, status)).or_insert(0_i64) += 1;
     }
-    assert_eq!(sidecar.ask("GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n").status(), 404);
+    assert_eq!(sidecar.request("GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n").status(), 404);
     let count = |once, status| ends.get(&(once, status)).copied().unwrap_or(0);
-    let text = call(console, b"stats\n");
+    let text = console_call(console, b"stats\n");
     for (once, class) in [(true, "once"), (false, "read")] {
         for (name, status) in [("passed", 200), ("dropped", 503), ("bad_gateway", 502)] {
             let line = format!("svc_{name}{{category=\"{class}\"}} {}", count(once, status));
@@ -103,43 +94,43 @@
     }
     assert_eq!(ends.values().sum::<i64>(), 30);
     assert!(count(true, 502) > 0 && count(false, 200) > 0);
-    assert_eq!(figure(console, "upstream_tries"), server.count() as i64);
+    assert_eq!(figure(console, "upstream_tries"), server.request_count() as i64);
     assert_eq!((figure(console, "in_progress"), figure(console, "known_endpoints")), (0, 2));
 }
 
 #[test]
 fn standby_sends_clients_away_and_loses_nothing_and_active_ends_it() {
-    let (gate, wait) = latch("finished");
-    let server = Server::start(move |n, _| if n == 1 { wait.clone() } else { ok("x") });
+    let (gate, wait) = gated_ok("finished");
+    let server = FakeServer::start(move |n, _| if n == 1 { wait.clone() } else { ok("x") });
     let (setup, console) = with_console(Setup::new(vec![entry("s1", server.address, "up")]));
     let sidecar = setup.start();
     let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
     let (mut idle, mut busy, mut late) = (sidecar.connect(), sidecar.connect(), sidecar.connect());
-    idle.send(&read("r0"));
-    assert_eq!(idle.answer().status(), 200);
-    busy.send(&once("r1"));
+    idle.send(&read_request("r0"));
+    assert_eq!(idle.read_response().status(), 200);
+    busy.send(&once_request("r1"));
     server.requests.wait(2, "requests");
-    assert_eq!(call(console, b"standby\n"), "YES standby\n");
+    assert_eq!(console_call(console, b"standby\n"), "YES standby\n");
     // The yes came after the no: from here on none is told otherwise.
-    let answer = sidecar.ask(health);
+    let answer = sidecar.request(health);
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
-    assert_eq!(call(console, b"status\n"), "NO standby\n");
-    assert_eq!(call(console, b"standby\n"), "YES standby\n", "an order twice is one");
+    assert_eq!(console_call(console, b"status\n"), "NO standby\n");
+    assert_eq!(console_call(console, b"standby\n"), "YES standby\n", "an order twice is one");
     // Who still asks on an open connection is served, and told to go.
-    late.send(&read("r2"));
-    let answer = late.answer();
+    late.send(&read_request("r2"));
+    let answer = late.read_response();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    idle.ended();
+    idle.wait_for_close();
     gate.send(()).unwrap();
-    let answer = busy.answer();
+    let answer = busy.read_response();
     assert_eq!((answer.text().as_str(), answer.header("connection")), ("finished", Some("close")));
-    busy.ended();
-    assert_eq!(call(console, b"active\n"), "YES active\n");
-    assert_eq!(sidecar.ask(health).status(), 200);
+    busy.wait_for_close();
+    assert_eq!(console_call(console, b"active\n"), "YES active\n");
+    assert_eq!(sidecar.request(health).status(), 200);
     let mut stays = sidecar.connect();
     for n in 3..5 {
-        stays.send(&read(&format!("r{n}")));
-        assert_eq!(stays.answer().header("connection"), None);
+        stays.send(&read_request(&format!("r{n}")));
+        assert_eq!(stays.read_response().header("connection"), None);
     }
 }
 
@@ -151,20 +142,20 @@
 /// Guards open requests: they keep the class that they were taken under, whatever a reload makes of it.
 #[test]
 fn settings_are_taken_up_whole_and_open_requests_keep_their_class() {
-    let (gate, wait) = latch("late");
-    let server = Server::start(move |n, m| match (n, m.target()) {
+    let (gate, wait) = gated_ok("late");
+    let server = FakeServer::start(move |n, m| match (n, m.target()) {
         (0, _) => wait.clone(),
-        (_, "/pay") => Act::Break,
+        (_, "/pay") => Action::Close,
         _ => ok("x"),
     });
-    let other = Server::start(|_, m| if m.target() == "/pay" { Act::Break } else { ok("x") });
+    let other = FakeServer::start(|_, m| if m.target() == "/pay" { Action::Close } else { ok("x") });
     let known = vec![entry("s1", server.address, "up"), entry("s2", other.address, "draining")];
     let (setup, console) = with_console(Setup::new(known));
     let sidecar = setup.start();
     let new = "GET /new HTTP/1.1\r\nHost: x\r\nX-Request-ID: n1\r\n\r\n";
-    assert_eq!(sidecar.ask(new).status(), 404);
+    assert_eq!(sidecar.request(new).status(), 404);
     let mut open = sidecar.connect();
-    open.send(&once("r0"));
+    open.send(&once_request("r0"));
     server.requests.wait(1, "requests");
 
     // A class comes, the open request's class goes, a class becomes one that must not run twice.
@@ -178,17 +169,21 @@
     config["settings"]["limits"]["try_limit"] = json!(2);
     sidecar.reload(&config.to_string());
     figure_becomes(console, "loads", 1);
-    let end = Instant::now() + PATIENCE;
-    while sidecar.ask(new).status() != 200 {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while sidecar.request(new).status() != 200 {
         assert!(Instant::now() < end, "the new class is not known");
     }
-    assert_eq!(sidecar.ask(&once("r1")).status(), 404, "its class is gone");
-    let before = server.count();
-    assert_eq!(sidecar.ask(&pay("r2")).status(), 502, "it may have run, and must not run twice now");
-    assert_eq!(server.count(), before + 1);
+    assert_eq!(sidecar.request(&once_request("r1")).status(), 404, "its class is gone");
+    let before = server.request_count();
+    assert_eq!(
+        sidecar.request(&pay_request("r2")).status(),
+        502,
+        "it may have run, and must not run twice now"
+    );
+    assert_eq!(server.request_count(), before + 1);
     gate.send(()).unwrap();
-    assert_eq!(open.answer().text(), "late");
-    let text = call(console, b"stats\n");
+    assert_eq!(open.read_response().text(), "late");
+    let text = console_call(console, b"stats\n");
     assert!(
         text.contains("svc_passed{category=\"once\"} 1\n"),
         "counts never fall, nor do classes go:\n{text}"
@@ -247,15 +242,15 @@
         sidecar.reload(&file);
         errors += 1;
         figure_becomes(console, "load_errors", errors);
-        sidecar.logged(said);
-        assert_eq!(sidecar.ask(new).status(), 200, "{said}");
+        sidecar.wait_for_log(said);
+        assert_eq!(sidecar.request(new).status(), 200, "{said}");
     }
     assert_eq!(figure(console, "loads"), 1);
 }
 
 /// A listening socket that the processes under test inherit.
 fn platforms_listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind(own_address()).unwrap();
+    let listener = TcpListener::bind(unique_address()).unwrap();
     socket2::SockRef::from(&listener).set_cloexec(false).unwrap();
     let at = listener.local_addr().unwrap();
     (listener, at)
@@ -271,24 +266,24 @@
 /// Guards a new version under load: no request meets a refused, reset or unread connection.
 #[test]
 fn a_second_process_takes_over_and_no_request_is_lost() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let (listener, at) = platforms_listener();
     let known = vec![entry("s1", server.address, "up")];
     let (setup, _) = on(&listener, at, known.clone());
     // What it keeps idle is closed at two thirds of this, long after it is used here.
     let old = setup.set("/sidecar/accept_after_term_ms", json!(6000)).start();
     let mut kept = old.connect();
-    kept.send(&read("k0"));
-    assert_eq!(kept.answer().status(), 200);
+    kept.send(&read_request("k0"));
+    assert_eq!(kept.read_response().status(), 200);
     let stop = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|scope| {
         let asks = |worker: usize| {
             let mut asked = 0;
             while !stop.load(std::sync::atomic::Ordering::SeqCst) {
                 let mut client = TcpStream::connect(at).unwrap();
-                client.set_read_timeout(Some(PATIENCE)).unwrap();
+                client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                 let id = format!("w{worker}-{asked}");
-                let request = read(&id).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+                let request = read_request(&id).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
                 client.write_all(request.as_bytes()).unwrap();
                 let mut answer = String::new();
                 client.read_to_string(&mut answer).unwrap();
@@ -301,19 +296,19 @@
         let (setup, console) = on(&listener, at, known);
         // Its socket answers from the start on: the old process serves it.
         let new = setup.spawn();
-        new.logged("listening on");
-        assert_eq!(call(console, b"status\n"), "YES active\n");
-        old.logged("another process of this sidecar runs: ");
-        new.logged("another process of this sidecar runs: ");
+        new.wait_for_log("listening on");
+        assert_eq!(console_call(console, b"status\n"), "YES active\n");
+        old.wait_for_log("another process of this sidecar runs: ");
+        new.wait_for_log("another process of this sidecar runs: ");
         old.signal("TERM");
         // Who holds a connection of the old one is served on it, and told to go.
-        kept.send(&read("k1"));
-        assert_eq!(kept.answer().header("connection"), Some("close"));
-        let (status, log) = old.end();
+        kept.send(&read_request("k1"));
+        assert_eq!(kept.read_response().header("connection"), Some("close"));
+        let (status, log) = old.wait_for_exit();
         assert!(status.success(), "{log}");
-        new.logged("another process of this sidecar runs no more: ");
+        new.wait_for_log("another process of this sidecar runs no more: ");
         let before = figure(console, "upstream_tries");
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while figure(console, "upstream_tries") < before + 100 {
             assert!(Instant::now() < end, "the new process serves nobody");
         }
@@ -327,28 +322,28 @@
 /// socket that the platform holds, and is served by the new one.
 #[test]
 fn what_comes_between_two_processes_waits_for_the_new_one() {
-    let (gate, wait) = latch("0");
-    let server = Server::start(move |n, _| if n == 0 { wait.clone() } else { ok(&n.to_string()) });
+    let (gate, wait) = gated_ok("0");
+    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok(&n.to_string()) });
     let (listener, at) = platforms_listener();
     let known = vec![entry("s1", server.address, "up")];
     let old = on(&listener, at, known.clone()).0.start();
     let mut under_way = old.connect();
-    under_way.send(&once("r0"));
+    under_way.send(&once_request("r0"));
     server.requests.wait(1, "requests");
     old.signal("TERM");
-    old.logged("told to end");
+    old.wait_for_log("told to end");
     let mut between: Vec<TcpStream> = (1..4)
         .map(|n| {
             let mut client = TcpStream::connect(at).unwrap();
-            client.set_read_timeout(Some(PATIENCE)).unwrap();
-            let request = read(&format!("r{n}")).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+            client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+            let request = read_request(&format!("r{n}")).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
             client.write_all(request.as_bytes()).unwrap();
             client
         })
         .collect();
     gate.send(()).unwrap();
-    assert_eq!(under_way.answer().text(), "0");
-    let (status, log) = old.end();
+    assert_eq!(under_way.read_response().text(), "0");
+    let (status, log) = old.wait_for_exit();
     assert!(status.success(), "{log}");
     let _new = on(&listener, at, known).0.spawn();
     for client in &mut between {
@@ -363,12 +358,12 @@
 #[test]
 fn uploads_and_long_answers_under_way_at_a_hand_over_come_to_their_ends() {
     const LONG: usize = 400_000;
-    let (gate, rest) = held(Act::Raw("x".repeat(LONG / 2), Then::Keep));
-    let server = Server::start(move |_, message| match message.target() {
+    let (gate, rest) = gated(Action::Raw("x".repeat(LONG / 2), AfterWrite::KeepOpen));
+    let server = FakeServer::start(move |_, message| match message.target() {
         "/read/long" => {
             let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n");
-            let half = Act::Raw(told + &"x".repeat(LONG / 2), Then::Keep);
-            Act::Both(Box::new(half), Box::new(rest.clone()))
+            let half = Action::Raw(told + &"x".repeat(LONG / 2), AfterWrite::KeepOpen);
+            Action::Sequence(Box::new(half), Box::new(rest.clone()))
         }
         "/once" => ok(&message.body.len().to_string()),
         _ => ok("x"),
@@ -378,42 +373,42 @@
     let (setup, _) = on(&listener, at, known.clone());
     let old = setup.set("/sidecar/end_after_term_ms", json!(60_000)).start();
     let mut upload = old.connect();
-    upload.send(&once("up").replace("Content-Length: 4", &format!("Content-Length: {LONG}")));
+    upload.send(&once_request("up").replace("Content-Length: 4", &format!("Content-Length: {LONG}")));
     // What is ahead of the body's end by now, with the four bytes that came with the head.
     let mut part = |bytes: usize| upload.stream.write_all("x".repeat(bytes).as_bytes()).unwrap();
     part(LONG / 2);
-    old.logged("attempt 0 of request 0 goes out");
+    old.wait_for_log("attempt 0 of request 0 goes out");
     let mut download = old.connect();
-    download.send(&read("down").replace("GET /read", "GET /read/long"));
+    download.send(&read_request("down").replace("GET /read", "GET /read/long"));
     let mut begun = [0; 1];
     download.stream.read_exact(&mut begun).unwrap();
     let (setup, console) = on(&listener, at, known);
     let new = setup.spawn();
-    new.logged("listening on");
+    new.wait_for_log("listening on");
     part(1000);
     old.signal("TERM");
-    old.logged("told to end");
-    let end = Instant::now() + PATIENCE;
+    old.wait_for_log("told to end");
+    let end = Instant::now() + WAIT_TIMEOUT;
     while figure(console, "upstream_tries") == 0 {
         assert!(Instant::now() < end, "the new process serves nobody");
         let mut client = TcpStream::connect(at).unwrap();
-        client.set_read_timeout(Some(PATIENCE)).unwrap();
-        let request = read("beside").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+        client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        let request = read_request("beside").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
         client.write_all(request.as_bytes()).unwrap();
         let mut answer = String::new();
         client.read_to_string(&mut answer).unwrap();
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
-    assert!(!server.ids().contains(&"up".to_owned()), "the upload was to be under way still");
+    assert!(!server.request_ids().contains(&"up".to_owned()), "the upload was to be under way still");
     part(LONG - LONG / 2 - 1000 - "body".len());
-    let answer = upload.answer();
+    let answer = upload.read_response();
     assert_eq!((answer.text(), answer.header("connection")), (LONG.to_string(), Some("close")));
     gate.send(()).unwrap();
     let mut got = Vec::new();
     download.stream.read_to_end(&mut got).unwrap();
     let body = got.windows(4).position(|bytes| bytes == b"\r\n\r\n").unwrap() + 4;
     assert_eq!(got.len() - body, LONG);
-    let (status, log) = old.end();
+    let (status, log) = old.wait_for_exit();
     assert!(status.success() && !log.contains("still open"), "{log}");
 }
 
@@ -423,7 +418,7 @@
     let (setup, console) = on(&listener, at, vec![]);
     let first = setup.start();
     let fails = |setup: Setup, said: &str| {
-        let (status, log) = setup.spawn().end();
+        let (status, log) = setup.spawn().wait_for_exit();
         assert!(!status.success() && log.contains(said), "{said} is not in {log}");
     };
     for (fd, said) in [
@@ -435,7 +430,7 @@
         setup.env.push(("EDGE_INHERITED_FD", fd.to_owned()));
         fails(setup, said);
     }
-    let (setup, _) = on(&listener, own_address(), vec![]);
+    let (setup, _) = on(&listener, unique_address(), vec![]);
     fails(setup, "right would be");
     let in_use = json!(console.to_string());
     fails(Setup::new(vec![]).set("/console", in_use), &format!("console: '{console}' can't be listened on"));
@@ -443,6 +438,6 @@
     let listen = same.config["listen"].clone();
     fails(same.set("/console", listen), "is where clients connect");
     fails(Setup::new(vec![]).set("/console", json!("here")), "console: 'here' is not an address and port");
-    assert_eq!(call(console, b"status\n"), "YES active\n");
+    assert_eq!(console_call(console, b"status\n"), "YES active\n");
     drop(first);
 }
--- a/crates/sidecar/tests/ready.rs
+++ b/crates/sidecar/tests/ready.rs
@@ -49,7 +49,7 @@
 }
 
 /// The bytes of the file of a list of so many servers, the last of which answer.
-fn list_file(servers: usize, answering: &[Server]) -> Vec<u8> {
+fn list_file(servers: usize, answering: &[FakeServer]) -> Vec<u8> {
     let entries = (0..servers).map(|n| {
         let [_, _, high, low] = (n as u32).to_be_bytes();
         let address = match (servers - n).checked_sub(1).and_then(|n| answering.get(n)) {
@@ -76,11 +76,11 @@
             thread::sleep(Duration::from_millis(2));
             continue;
         };
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let mut input = BufReader::new(stream.try_clone().unwrap());
         while !stop.load(Ordering::SeqCst) {
             let id = format!("r{}", IDS.fetch_add(1, Ordering::SeqCst));
-            if stream.write_all(read(&id).as_bytes()).is_err() {
+            if stream.write_all(read_request(&id).as_bytes()).is_err() {
                 break;
             }
             match read_message(&mut input) {
@@ -117,7 +117,7 @@
 }
 
 /// Starts one process and measures it until it is ready; `servers` are in its list, and discovery never answers at `discovery`.
-fn start(servers: usize, discovery: SocketAddr, answering: &[Server]) -> Start {
+fn start(servers: usize, discovery: SocketAddr, answering: &[FakeServer]) -> Start {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("list");
     std::fs::write(&file, list_file(servers, answering)).unwrap();
@@ -136,14 +136,14 @@
         }
         let (began, wall) = (Instant::now(), SystemTime::now().duration_since(UNIX_EPOCH).unwrap());
         let sidecar = setup.spawn();
-        sidecar.logged("listening on");
+        sidecar.wait_for_log("listening on");
         assert_eq!(
-            sidecar.ask("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").status(),
+            sidecar.request("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").status(),
             200
         );
         let ready = began.elapsed().as_millis() as u64;
         let taken = format!("list as last held revision 9: {servers} up");
-        sidecar.logged(&taken);
+        sidecar.wait_for_log(&taken);
         drop(stopped);
         let lines = sidecar.log.all();
         // A line begins with its Unix time, "seconds.millis".
@@ -178,11 +178,11 @@
 fn a_process_started_under_load_without_discovery_is_ready_in_time() {
     let starts =
         std::env::var("READY_STARTS").map_or(STARTS, |n| n.parse().expect("READY_STARTS is no number"));
-    let answering: Vec<Server> = (0..ANSWERING).map(|_| Server::start(|_, _| ok("x"))).collect();
+    let answering: Vec<FakeServer> = (0..ANSWERING).map(|_| FakeServer::start(|_, _| ok("x"))).collect();
     // It takes connections and never answers.
     let slow = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (down, next) = (own_address(), AtomicUsize::new(0));
-    let measured = Seen::new();
+    let (down, next) = (unique_address(), AtomicUsize::new(0));
+    let measured = Recorder::new();
     thread::scope(|scope| {
         for _ in 0..SIDE_BY_SIDE.min(starts) {
             scope.spawn(|| {
