--- a/crates/sidecar/tests/reload.rs
+++ b/crates/sidecar/tests/reload.rs
@@ -8,59 +8,59 @@
 #[test]
 fn discovery_moves_while_a_request_is_in_hand() {
     // Uncaught, the signal once ended the process with all that it had taken.
-    let (gate, wait) = latch("finished");
-    let old = Server::start(move |_, _| wait.clone());
-    let (before, after) = (Discovery::start(), Discovery::start());
+    let (gate, wait) = gated_ok("finished");
+    let old = FakeServer::start(move |_, _| wait.clone());
+    let (before, after) = (StubDiscovery::start(), StubDiscovery::start());
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&before).start();
-    before.calls.wait(1, "watches");
+    before.watches.wait(1, "watches");
     let mut client = sidecar.connect();
-    client.send(&once("r1"));
+    client.send(&once_request("r1"));
     old.requests.wait(1, "requests");
     let mut config = sidecar.config.clone();
     config["discovery"] = json!(after.address.to_string());
     sidecar.reload(&config.to_string());
-    after.lists.wait(1, "calls for the whole list");
+    after.list_calls.wait(1, "calls for the whole list");
     // The new address has not spoken yet: the old watch is still followed.
-    before.send(8, false, vec![entry("s0", old.address, "draining")]);
-    sidecar.logged("revision 8: ");
-    assert_eq!(before.ended.len(), 0, "the old watch was dropped before the new one stood");
+    before.publish_changes(8, vec![entry("s0", old.address, "draining")]);
+    sidecar.wait_for_log("revision 8: ");
+    assert_eq!(before.closed.len(), 0, "the old watch was dropped before the new one stood");
     gate.send(()).unwrap();
-    assert_eq!(client.answer().text(), "finished");
+    assert_eq!(client.read_response().text(), "finished");
 }
 
 #[test]
 fn the_whole_list_of_the_new_address_counts_whatever_its_versions() {
-    let (old, new) = (Server::start(|_, _| ok("old")), Server::start(|_, _| ok("new")));
-    let (before, after) = (Discovery::start(), Discovery::start());
-    after.hold(3, vec![entry("s2", new.address, "up")]);
+    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let (before, after) = (StubDiscovery::start(), StubDiscovery::start());
+    after.set_full_list(3, vec![entry("s2", new.address, "up")]);
     let mut setup = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&before);
     // The environment still names the old address: the file is the newer word.
     setup.env.push(("EDGE_DISCOVERY", before.address.to_string()));
     let sidecar = setup.start();
-    before.calls.wait(1, "watches");
-    assert_eq!(sidecar.ask(&read("r0")).text(), "old");
+    before.watches.wait(1, "watches");
+    assert_eq!(sidecar.request(&read_request("r0")).text(), "old");
     let mut config = sidecar.config.clone();
     config["discovery"] = json!(after.address.to_string());
     sidecar.reload(&config.to_string());
-    assert_eq!(after.calls.wait(1, "watches")[0], "/v1/servers?watch=1&after=3");
-    before.ended.wait(1, "old watches ended");
-    sidecar.logged("in whole revision 3: ");
+    assert_eq!(after.watches.wait(1, "watches")[0], "/v1/servers?watch=1&after=3");
+    before.closed.wait(1, "old watches ended");
+    sidecar.wait_for_log("in whole revision 3: ");
     for n in 1..20 {
-        assert_eq!(sidecar.ask(&read(&format!("r{n}"))).text(), "new");
+        assert_eq!(sidecar.request(&read_request(&format!("r{n}"))).text(), "new");
     }
     // The connection to a server that the whole list lacks is given back.
     old.closed.wait(1, "closed connections");
-    after.send(4, false, vec![entry("s2", new.address, "removed"), entry("s1", old.address, "up")]);
-    sidecar.logged("changes revision 4: ");
-    assert_eq!(sidecar.ask(&read("r20")).text(), "old");
+    after.publish_changes(4, vec![entry("s2", new.address, "removed"), entry("s1", old.address, "up")]);
+    sidecar.wait_for_log("changes revision 4: ");
+    assert_eq!(sidecar.request(&read_request("r20")).text(), "old");
 }
 
 #[test]
 fn a_file_at_fault_changes_nothing_and_the_key_is_named() {
-    let server = Server::start(|_, _| ok("x"));
-    let discovery = Discovery::start();
+    let server = FakeServer::start(|_, _| ok("x"));
+    let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery).start();
-    discovery.calls.wait(1, "watches");
+    discovery.watches.wait(1, "watches");
     let mut config = sidecar.config.clone();
     config["discovery"] = json!("here");
     for (bad, said) in [
@@ -69,10 +69,10 @@
         (json!({"name": "n0"}).to_string(), "old configuration: neither EDGE_LISTEN nor the key listen"),
     ] {
         sidecar.reload(&bad);
-        sidecar.logged(said);
+        sidecar.wait_for_log(said);
     }
-    assert_eq!(sidecar.ask(&read("r1")).status(), 200);
-    assert_eq!((discovery.calls.len(), discovery.ended.len()), (1, 0), "the watch stays");
+    assert_eq!(sidecar.request(&read_request("r1")).status(), 200);
+    assert_eq!((discovery.watches.len(), discovery.closed.len()), (1, 0), "the watch stays");
 }
 
 #[test]
@@ -82,10 +82,10 @@
     config["sidecar"] = json!({"log": "warn", "requests": 5});
     config["limits"]["sockets"] = json!(512);
     sidecar.reload(&config.to_string());
-    sidecar.logged("taken up only at the next start: limits, sidecar");
+    sidecar.wait_for_log("taken up only at the next start: limits, sidecar");
     // The level of the log was taken up, so another reload says no more than this.
     config["name"] = json!("n9");
     sidecar.reload(&config.to_string());
-    sidecar.logged("taken up only at the next start: name, limits, sidecar");
+    sidecar.wait_for_log("taken up only at the next start: name, limits, sidecar");
     assert!(!sidecar.log.all().iter().any(|line| line.contains("new configuration")));
 }
--- a/crates/sidecar/tests/requests.rs
+++ b/crates/sidecar/tests/requests.rs
@@ -8,15 +8,15 @@
 
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
-    let server = Server::start(|_, _| ok("the answer"));
+    let server = FakeServer::start(|_, _| ok("the answer"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
-    let answer = sidecar.ask(
+    let answer = sidecar.request(
         "POST /pay/x/y?a=1&b=%20 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: r1\r\nX-Tenant-Id: acme\r\n\
          X-Timeout: 0.750\r\nX-Cost: 12000\r\nX-Retried: 1\r\nX-Attrs: a=1,b=2\r\nIdempotency-Key: k1\r\n\
          Content-Length: 5\r\n\r\nhello",
     );
     assert_eq!((answer.status(), answer.text().as_str()), (200, "the answer"));
-    let (_, got) = server.requests.wait(1, "requests").remove(0);
+    let got = server.requests.wait(1, "requests").remove(0).message;
     assert_eq!((got.method(), got.target()), ("POST", "/pay/x/y?a=1&b=%20"));
     assert_eq!((got.header("x-request-id"), got.header("idempotency-key")), (Some("r1"), Some("k1")));
     assert_eq!(got.text(), "hello");
@@ -26,11 +26,11 @@
 
 #[test]
 fn a_request_without_a_body_has_none_on_the_way() {
-    let server = Server::start(|_, _| ok(""));
+    let server = FakeServer::start(|_, _| ok(""));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
-    let answer = sidecar.ask(&read("r1"));
+    let answer = sidecar.request(&read_request("r1"));
     assert_eq!((answer.status(), answer.body.len()), (200, 0));
-    let (_, got) = server.requests.wait(1, "requests").remove(0);
+    let got = server.requests.wait(1, "requests").remove(0).message;
     assert_eq!((got.method(), got.body.len(), got.header("idempotency-key")), ("GET", 0, None));
 }
 
@@ -38,17 +38,17 @@
 fn a_body_of_the_largest_size_passes_both_ways() {
     let body = "x".repeat(64 * 1024);
     let echo = body.clone();
-    let server = Server::start(move |_, _| ok(&echo));
+    let server = FakeServer::start(move |_, _| ok(&echo));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let head = "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r1\r\nContent-Length: 65536\r\n\r\n";
-    let answer = sidecar.ask(&format!("{head}{body}"));
+    let answer = sidecar.request(&format!("{head}{body}"));
     assert_eq!((answer.status(), answer.body.len()), (200, 65536));
-    assert_eq!(server.requests.wait(1, "requests")[0].1.body.len(), 65536);
+    assert_eq!(server.requests.wait(1, "requests")[0].message.body.len(), 65536);
 }
 
 #[test]
 fn malformed_requests_are_told_what_is_wrong_and_go_nowhere() {
-    let server = Server::start(|_, _| ok(""));
+    let server = FakeServer::start(|_, _| ok(""));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let cases = [
         ("GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n", 404),
@@ -62,20 +62,20 @@
         ("this is not HTTP\r\n\r\n", 400),
     ];
     for (request, status) in cases {
-        assert_eq!(sidecar.ask(request).status(), status, "{request}");
+        assert_eq!(sidecar.request(request).status(), status, "{request}");
     }
-    assert_eq!(server.count(), 0);
-    assert_eq!(sidecar.ask(&read("r1")).status(), 200, "it serves on");
+    assert_eq!(server.request_count(), 0);
+    assert_eq!(sidecar.request(&read_request("r1")).status(), 200, "it serves on");
 }
 
 #[test]
 fn a_connection_is_kept_for_the_next_request() {
-    let server = Server::start(|n, _| ok(&n.to_string()));
+    let server = FakeServer::start(|n, _| ok(&n.to_string()));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let mut client = sidecar.connect();
     for n in 0..5 {
-        client.send(&read(&format!("r{n}")));
-        assert_eq!(client.answer().text(), n.to_string());
+        client.send(&read_request(&format!("r{n}")));
+        assert_eq!(client.read_response().text(), n.to_string());
     }
 }
 
@@ -83,8 +83,8 @@
 fn with_no_server_a_request_is_refused_in_time() {
     let sidecar = Setup::new(vec![]).start();
     let start = Instant::now();
-    for request in [read("r1"), once("r2"), pay("r3")] {
-        let answer = sidecar.ask(&request);
+    for request in [read_request("r1"), once_request("r2"), pay_request("r3")] {
+        let answer = sidecar.request(&request);
         assert_eq!((answer.status(), answer.header("retry-after")), (503, None));
     }
     assert!(start.elapsed() < Duration::from_millis(900 * 3));
@@ -96,40 +96,40 @@
         .set("/settings/limits/retry_after", json!(true))
         .set("/settings/limits/max_retry_after", json!(50_000))
         .start();
-    assert_eq!(sidecar.ask(&read("r1")).header("retry-after"), Some("0.050"));
+    assert_eq!(sidecar.request(&read_request("r1")).header("retry-after"), Some("0.050"));
 }
 
 #[test]
 fn a_hint_of_work_reaches_the_rules() {
-    let (gate, wait) = latch("first");
-    let server = Server::start(move |n, _| if n == 0 { wait.clone() } else { ok("x") });
+    let (gate, wait) = gated_ok("first");
+    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("x") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let with_hint =
-        |id: &str, cost: &str| read(id).replace("\r\n\r\n", &format!("\r\nX-Cost: {cost}\r\n\r\n"));
+        |id: &str, cost: &str| read_request(id).replace("\r\n\r\n", &format!("\r\nX-Cost: {cost}\r\n\r\n"));
     let mut first = sidecar.connect();
-    first.send(&read("r0"));
+    first.send(&read_request("r0"));
     server.requests.wait(1, "requests");
     // Behind the request that the server holds, work of ten seconds has no room within the aim: it is never sent.
-    assert_eq!(sidecar.ask(&with_hint("r1", "10000000")).status(), 503);
+    assert_eq!(sidecar.request(&with_hint("r1", "10000000")).status(), 503);
     for (id, cost) in [("r2", "12000"), ("r3", "12000.5"), ("r4", "much")] {
-        assert_eq!(sidecar.ask(&with_hint(id, cost)).status(), 200, "X-Cost: {cost}");
+        assert_eq!(sidecar.request(&with_hint(id, cost)).status(), 200, "X-Cost: {cost}");
     }
     gate.send(()).unwrap();
-    assert_eq!(first.answer().text(), "first");
+    assert_eq!(first.read_response().text(), "first");
     assert_eq!(server.requests.all().len(), 4);
 }
 
 #[test]
 fn the_clients_deadline_is_answered_and_the_attempt_given_up() {
-    let server = Server::start(|_, _| Act::Hang);
+    let server = FakeServer::start(|_, _| Action::Hang);
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
-    for (request, status) in [(read("r1"), 503), (once("r2"), 502)] {
+    for (request, status) in [(read_request("r1"), 503), (once_request("r2"), 502)] {
         let start = Instant::now();
-        let answer = sidecar.ask(&request.replace("X-Timeout: 0.9", "X-Timeout: 0.3"));
+        let answer = sidecar.request(&request.replace("X-Timeout: 0.9", "X-Timeout: 0.3"));
         let took = start.elapsed();
         // An attempt that may have run promises nothing where the request must not run twice.
         assert_eq!(answer.status(), status);
-        assert!(took >= Duration::from_millis(250) && took < PATIENCE, "answered after {took:?}");
+        assert!(took >= Duration::from_millis(250) && took < WAIT_TIMEOUT, "answered after {took:?}");
     }
     // Giving an attempt up closes its connection.
     server.closed.wait(2, "closed connections");
@@ -137,7 +137,7 @@
 
 #[test]
 fn a_client_that_closes_gives_its_place_back() {
-    let server = Server::start(|n, _| if n == 0 { Act::Hang } else { ok("second") });
+    let server = FakeServer::start(|n, _| if n == 0 { Action::Hang } else { ok("second") });
     // Were the first request still in hand, the bound would have the second refused.
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/requests", json!(1))
@@ -145,12 +145,12 @@
         .set("/settings/classes/0/aim", json!(60_000_000))
         .start();
     let mut first = sidecar.connect();
-    first.send(&read("r1").replace("X-Timeout: 0.9", "X-Timeout: 60"));
+    first.send(&read_request("r1").replace("X-Timeout: 0.9", "X-Timeout: 60"));
     server.requests.wait(1, "requests");
-    assert_eq!(sidecar.ask(&read("r2")).status(), 503, "the bound holds");
+    assert_eq!(sidecar.request(&read_request("r2")).status(), 503, "the bound holds");
     drop(first);
-    let end = Instant::now() + PATIENCE;
-    while sidecar.ask(&read("r3")).status() != 200 {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while sidecar.request(&read_request("r3")).status() != 200 {
         assert!(Instant::now() < end, "the request of the client that closed is still in hand");
     }
 }
@@ -160,36 +160,36 @@
     let sidecar = Setup::new(vec![]).start();
     let start = Instant::now();
     for _ in 0..200 {
-        let answer = sidecar.ask("GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n");
+        let answer = sidecar.request("GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n");
         assert_eq!(answer.status(), 404);
     }
-    sidecar.logged("request not taken: no such class (404) (times: 1)");
+    sidecar.wait_for_log("request not taken: no such class (404) (times: 1)");
     let lines = sidecar.log.all().iter().filter(|l| l.contains("request not taken")).count();
     assert!(lines as u64 <= 1 + start.elapsed().as_secs(), "{lines} lines");
 }
 
 #[test]
 fn one_connection_too_many_is_told_so() {
-    let server = Server::start(|_, _| ok("x"));
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_connections", json!(1))
         .start();
     // The connection that asked whether it serves may not have ended yet.
-    sidecar.logged("listening");
-    let end = Instant::now() + PATIENCE;
+    sidecar.wait_for_log("listening");
+    let end = Instant::now() + WAIT_TIMEOUT;
     let mut first = loop {
         let mut client = sidecar.connect();
-        client.send(&read("r1"));
-        if client.answer().status() == 200 {
+        client.send(&read_request("r1"));
+        if client.read_response().status() == 200 {
             break client;
         }
         assert!(Instant::now() < end, "no connection is taken");
     };
     let mut second = sidecar.connect();
-    second.send(&read("r2"));
-    let answer = second.answer();
+    second.send(&read_request("r2"));
+    let answer = second.read_response();
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
-    second.ended();
-    first.send(&read("r3"));
-    assert_eq!(first.answer().status(), 200);
+    second.wait_for_close();
+    first.send(&read_request("r3"));
+    assert_eq!(first.read_response().status(), 200);
 }
