--- a/crates/sidecar/tests/answers.rs
+++ b/crates/sidecar/tests/answers.rs
@@ -7,12 +7,18 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-fn whole(body: &str) -> String {
+fn complete_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
+struct InvalidResponse {
+    sidecar: Sidecar,
+    attempts: Arc<AtomicUsize>,
+    _servers: [FakeServer; 2],
+}
+
 /// Two servers; the first request at either is answered with these bytes, and its connection stays open.
-fn spoilt(answer: &str) -> (Sidecar, Arc<AtomicUsize>, [FakeServer; 2]) {
+fn start_with_invalid_response(answer: &str) -> InvalidResponse {
     let asked = Arc::new(AtomicUsize::new(0));
     let servers = [(), ()].map(|()| {
         let (asked, answer) = (asked.clone(), answer.to_owned());
@@ -22,11 +28,11 @@
         })
     });
     let known = vec![entry("s1", servers[0].address, "up"), entry("s2", servers[1].address, "up")];
-    (Setup::new(known).start(), asked, servers)
+    InvalidResponse { sidecar: Setup::new(known).start(), attempts: asked, _servers: servers }
 }
 
 #[test]
-fn a_spoilt_answer_may_have_run_and_is_not_waited_for_to_the_deadline() {
+fn invalid_response_ends_its_attempt_before_the_deadline() {
     // Waited for to its deadline, an attempt leaves no time for a second one.
     for answer in [
         "\0\x01\x02 noise",
@@ -45,10 +51,10 @@
         for (request, status, attempts) in
             [(read_request("r1"), 200, 2), (once_request("r1"), 502, 1), (pay_request("r1"), 200, 2)]
         {
-            let (sidecar, asked, _servers) = spoilt(answer);
-            let got = sidecar.request(&request);
+            let setup = start_with_invalid_response(answer);
+            let got = setup.sidecar.request(&request);
             let what = format!("{answer:.60}");
-            assert_eq!((got.status(), asked.load(Ordering::SeqCst)), (status, attempts), "{what}");
+            assert_eq!((got.status(), setup.attempts.load(Ordering::SeqCst)), (status, attempts), "{what}");
             if status == 200 {
                 assert_eq!(got.text(), "served", "{what}");
             }
@@ -57,7 +63,7 @@
 }
 
 #[test]
-fn spoilt_answers_leave_no_server_out() {
+fn invalid_responses_do_not_exclude_a_server() {
     // Every other answer is spoilt. Taken for broken connections, they had the only server left out for a while.
     let server = FakeServer::start(|n, _| {
         if n % 2 == 0 { Action::Raw("noise\0".into(), AfterWrite::KeepOpen) } else { ok("x") }
@@ -70,10 +76,10 @@
 }
 
 #[test]
-fn answers_ahead_of_the_final_one_are_passed_over() {
+fn informational_responses_are_skipped() {
     let hints = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <x>\r\n\r\n";
     let server = FakeServer::start(move |n, _| {
-        Action::Raw(format!("{hints}{}", whole(&n.to_string())), AfterWrite::KeepOpen)
+        Action::Raw(format!("{hints}{}", complete_response(&n.to_string())), AfterWrite::KeepOpen)
     });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for n in 0..5 {
@@ -84,12 +90,15 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_never_the_next_ones() {
-    for behind in
-        [whole("copy"), "noise".to_owned(), "\r\n".to_owned(), "HTTP/1.1 200 OK\r\nConte".to_owned()]
-    {
+fn bytes_after_a_response_are_not_used_for_the_next_request() {
+    for behind in [
+        complete_response("copy"),
+        "noise".to_owned(),
+        "\r\n".to_owned(),
+        "HTTP/1.1 200 OK\r\nConte".to_owned(),
+    ] {
         let server = FakeServer::start(move |n, _| {
-            Action::Raw(format!("{}{behind}", whole(&n.to_string())), AfterWrite::KeepOpen)
+            Action::Raw(format!("{}{behind}", complete_response(&n.to_string())), AfterWrite::KeepOpen)
         });
         let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
         let mut client = sidecar.connect();
@@ -103,7 +112,7 @@
 }
 
 #[test]
-fn a_report_that_cannot_be_read_costs_nothing_but_itself() {
+fn invalid_load_report_does_not_affect_its_response() {
     let bad =
         ["{\"inflight\":", "[]", "\u{e9}", "{\"inflight\":-7}", "{\"inflight\":1e300}", "{\"queue\":\"x\"}"];
     let server = FakeServer::start(move |n, _| Action::Reply {
@@ -118,7 +127,7 @@
 }
 
 #[test]
-fn after_a_time_out_with_nothing_heard_idle_connections_are_dropped() {
+fn attempt_timeout_without_any_response_closes_idle_connections() {
     // Of a machine that vanished nothing tells: its idle connections stay open, and what is written to one
     // ends as a request that may have run.
     let (gates, waits): (Vec<_>, Vec<_>) = (0..2).map(|_| gated_ok("x")).unzip();
--- a/crates/sidecar/tests/bodies.rs
+++ b/crates/sidecar/tests/bodies.rs
@@ -9,18 +9,24 @@
 use std::sync::mpsc::channel;
 use std::thread;
 
-const LONG: usize = 32 << 20;
+const LONG_BODY_BYTES: usize = 32 << 20;
 
 /// A server that does this with each connection.
-fn server(act: impl Fn(TcpStream) + Send + Sync + 'static) -> Setup {
+fn setup_with_raw_server(act: impl Fn(TcpStream) + Send + Sync + 'static) -> Setup {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || listener.incoming().for_each(|stream| act(stream.unwrap())));
     Setup::new(vec![entry("s1", address, "up")])
 }
 
-/// Reads a head to its end; what came behind it is given back.
-fn head(stream: &mut TcpStream) -> (String, Vec<u8>) {
+/// The head of an HTTP message and the bytes read beyond it.
+struct Head {
+    text: String,
+    rest: Vec<u8>,
+}
+
+/// Reads up to the end of a head.
+fn read_head(stream: &mut TcpStream) -> Head {
     let mut bytes = Vec::new();
     loop {
         let mut part = [0; 4096];
@@ -29,21 +35,21 @@
         bytes.extend_from_slice(&part[..n]);
         if let Some(at) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
             let rest = bytes.split_off(at + 4);
-            return (String::from_utf8(bytes).unwrap(), rest);
+            return Head { text: String::from_utf8(bytes).unwrap(), rest };
         }
     }
 }
 
 /// Guards the memory limit: an answer is read from its server only as fast as its client reads.
 #[test]
-fn long_answers_are_passed_on_whole_and_held_nowhere() {
-    let sidecar = server(|mut stream| {
+fn long_responses_are_streamed_complete_in_bounded_memory() {
+    let sidecar = setup_with_raw_server(|mut stream| {
         thread::spawn(move || {
-            head(&mut stream);
-            let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n");
+            read_head(&mut stream);
+            let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n");
             stream.write_all(told.as_bytes()).unwrap();
             let part: Vec<u8> = (0..=255).cycle().take(1 << 16).collect();
-            let _ = (0..LONG >> 16).try_for_each(|_| stream.write_all(&part));
+            let _ = (0..LONG_BODY_BYTES >> 16).try_for_each(|_| stream.write_all(&part));
         });
     })
     .set("/limits/memory_mb", json!(48))
@@ -59,27 +65,28 @@
     }
     assert!(sidecar.resident_memory() < 40 << 20, "{} bytes are held", sidecar.resident_memory());
     for client in &mut clients {
-        let (_, body) = head(&mut client.stream);
-        let mut got = body;
-        while got.len() < LONG {
+        let mut got = read_head(&mut client.stream).rest;
+        while got.len() < LONG_BODY_BYTES {
             let mut part = vec![0; 1 << 20];
             let n = client.stream.read(&mut part).unwrap();
             assert!(n > 0, "it ended after {}", got.len());
             got.extend_from_slice(&part[..n]);
         }
-        assert!(got.iter().zip((0..=255).cycle()).all(|(is, due)| *is == due) && got.len() == LONG);
+        assert!(
+            got.iter().zip((0..=255).cycle()).all(|(is, due)| *is == due) && got.len() == LONG_BODY_BYTES
+        );
     }
     assert!(sidecar.resident_memory() < 48 << 20);
 }
 
 /// The end against an answer that is half written to a client that reads slowly: it comes to its end, and then the process.
 #[test]
-fn a_long_answer_half_written_at_the_end_comes_to_its_own() {
-    let sidecar = server(|mut stream| {
-        head(&mut stream);
-        let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n");
+fn long_response_in_flight_at_sigterm_completes() {
+    let sidecar = setup_with_raw_server(|mut stream| {
+        read_head(&mut stream);
+        let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n");
         // Made before the head is sent: on a busy machine that took longer than an answer may stand still.
-        let body = vec![b'x'; LONG];
+        let body = vec![b'x'; LONG_BODY_BYTES];
         stream.write_all(told.as_bytes()).unwrap();
         let _ = stream.write_all(&body);
     })
@@ -94,17 +101,17 @@
     sidecar.wait_for_log("told to end");
     let _ = client.stream.read_to_end(&mut got);
     let body = got.windows(4).position(|w| w == b"\r\n\r\n").unwrap() + 4;
-    assert_eq!(got.len() - body, LONG);
+    assert_eq!(got.len() - body, LONG_BODY_BYTES);
     let (status, log) = sidecar.wait_for_exit();
     assert!(status.success() && !log.contains("still open"), "{log}");
 }
 
 /// Guards against half an answer taken for a whole one, in both forms.
 #[test]
-fn a_long_answer_that_breaks_off_ends_its_connection_before_its_end() {
+fn truncated_long_response_is_not_passed_off_as_complete() {
     for (told, last) in [("Content-Length: 200000", ""), ("Transfer-Encoding: chunked", "30d40\r\n")] {
-        let sidecar = server(move |mut stream| {
-            head(&mut stream);
+        let sidecar = setup_with_raw_server(move |mut stream| {
+            read_head(&mut stream);
             let told = format!("HTTP/1.1 200 OK\r\n{told}\r\n\r\n{last}");
             stream.write_all(told.as_bytes()).unwrap();
             stream.write_all(&vec![b'x'; 150_000]).unwrap();
@@ -121,10 +128,10 @@
 }
 
 #[test]
-fn an_answer_that_lasts_until_its_connection_ends_is_served() {
+fn response_delimited_by_connection_close_is_served() {
     for length in [0, 5, 100_000] {
-        let sidecar = server(move |mut stream| {
-            head(&mut stream);
+        let sidecar = setup_with_raw_server(move |mut stream| {
+            read_head(&mut stream);
             stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
             stream.write_all(&vec![b'x'; length]).unwrap();
         })
@@ -142,19 +149,20 @@
 
 /// A request's time counts from its last byte: the first bytes of this one come long before its deadline's length.
 #[test]
-fn a_long_body_goes_to_one_server_as_it_comes_and_its_time_counts_from_its_end() {
-    let (begun, begins) = channel();
-    let (seen, sees) = channel();
-    let sidecar = server(move |mut stream| {
-        let (told, mut body) = head(&mut stream);
-        begun.send(told).unwrap();
-        while body.len() < LONG {
+fn long_body_is_streamed_and_its_deadline_counts_from_its_last_byte() {
+    let (head_sender, head_receiver) = channel();
+    let (intact, receiver) = channel();
+    let sidecar = setup_with_raw_server(move |mut stream| {
+        let received = read_head(&mut stream);
+        head_sender.send(received.text).unwrap();
+        let mut body = received.rest;
+        while body.len() < LONG_BODY_BYTES {
             let mut part = vec![0; 1 << 20];
             let n = stream.read(&mut part).unwrap();
             assert!(n > 0, "it ended after {}", body.len());
             body.extend_from_slice(&part[..n]);
         }
-        seen.send(body.iter().zip((0..=255).cycle()).all(|(is, due)| *is == due)).unwrap();
+        intact.send(body.iter().zip((0..=255).cycle()).all(|(is, due)| *is == due)).unwrap();
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
     })
     .set("/limits/memory_mb", json!(48))
@@ -165,30 +173,31 @@
     .start();
     let mut client = sidecar.connect();
     client.send(&format!(
-        "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r1\r\nContent-Length: {LONG}\r\n\r\n"
+        "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r1\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n"
     ));
-    let body: Vec<u8> = (0..=255).cycle().take(LONG).collect();
+    let body: Vec<u8> = (0..=255).cycle().take(LONG_BODY_BYTES).collect();
     client.stream.write_all(&body[..1 << 20]).unwrap();
-    let told = begins.recv_timeout(WAIT_TIMEOUT).unwrap().to_lowercase();
-    assert!(told.contains(&format!("content-length: {LONG}")), "{told}");
+    let told = head_receiver.recv_timeout(WAIT_TIMEOUT).unwrap().to_lowercase();
+    assert!(told.contains(&format!("content-length: {LONG_BODY_BYTES}")), "{told}");
     // Longer than its class may take: another request of the same deadline, which the busy server does not hear, is
     // given up meanwhile, and the client still writes.
     assert_ne!(sidecar.request(&read_request("r2")).status(), 200);
     client.stream.write_all(&body[1 << 20..]).unwrap();
     assert_eq!(client.read_response().text(), "ok");
-    assert!(sees.recv_timeout(WAIT_TIMEOUT).unwrap(), "it came as it was sent");
+    assert!(receiver.recv_timeout(WAIT_TIMEOUT).unwrap(), "it came as it was sent");
     assert!(sidecar.resident_memory() < 48 << 20, "{}", sidecar.resident_memory());
 }
 
 /// Guards the rule that nothing runs twice, and what clients are told: a body that broke off never ran.
 #[test]
-fn a_long_body_that_breaks_off_runs_nowhere() {
+fn truncated_long_body_is_not_served() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for n in 0..3 {
         let mut client = sidecar.connect();
-        let told =
-            format!("POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r{n}\r\nContent-Length: {LONG}\r\n\r\n");
+        let told = format!(
+            "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r{n}\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n"
+        );
         client.send(&told);
         client.stream.write_all(&vec![b'x'; 1 << 18]).unwrap();
         let _ = client.stream.shutdown(std::net::Shutdown::Both);
@@ -201,55 +210,55 @@
 
 /// Guards what servers are sent: the next attempt once got the part that was held, as if it were all.
 #[test]
-fn of_a_long_body_no_second_attempt_sends_a_part() {
-    let (seen, sees) = channel();
+fn long_body_is_not_resent_in_part_by_a_second_attempt() {
+    let (intact, receiver) = channel();
     let act = move |mut stream: TcpStream| {
-        let seen = seen.clone();
+        let intact = intact.clone();
         thread::spawn(move || {
-            head(&mut stream);
-            seen.send(()).unwrap();
+            read_head(&mut stream);
+            intact.send(()).unwrap();
             // In the middle of the body: it never ran, and would be sent again were it short.
             let mut part = [0; 1000];
             let _ = stream.read(&mut part);
         });
     };
-    let sidecar = server(act).start();
+    let sidecar = setup_with_raw_server(act).start();
     let mut client = sidecar.connect();
     let told = format!(
-        "POST /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: r1\r\nIdempotency-Key: k\r\nContent-Length: {LONG}\r\n\r\n"
+        "POST /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: r1\r\nIdempotency-Key: k\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n"
     );
     client.send(&told);
     let mut stream = client.stream.try_clone().unwrap();
-    let writer = thread::spawn(move || stream.write_all(&vec![b'x'; LONG]).is_ok());
+    let writer = thread::spawn(move || stream.write_all(&vec![b'x'; LONG_BODY_BYTES]).is_ok());
     let answer = client.read_response_or_close();
     assert!(answer.is_none_or(|answer| answer.status() == 503), "it never ran");
     drop(client);
     writer.join().unwrap();
-    assert_eq!(sees.try_iter().count(), 1, "attempts");
+    assert_eq!(receiver.try_iter().count(), 1, "attempts");
 }
 
 /// A server that reads a part of a long body and then no more, with its client still there: no deadline runs before the last
 /// byte, and the attempt, its connection and its client were held for as long as both stayed.
 #[test]
-fn a_server_that_stops_reading_a_long_body_does_not_hold_its_client() {
-    let (let_go, stays) = channel::<()>();
-    let stays = std::sync::Mutex::new(stays);
-    let sidecar = server(move |mut stream| {
-        head(&mut stream);
+fn server_that_stops_reading_a_long_body_does_not_block_its_client() {
+    let (release, released) = channel::<()>();
+    let released = std::sync::Mutex::new(released);
+    let sidecar = setup_with_raw_server(move |mut stream| {
+        read_head(&mut stream);
         let mut part = [0; 1000];
         let _ = stream.read(&mut part);
-        let _ = stays.lock().unwrap().recv_timeout(2 * WAIT_TIMEOUT);
+        let _ = released.lock().unwrap().recv_timeout(2 * WAIT_TIMEOUT);
     })
     .start();
     let mut client = sidecar.connect();
     client.send(&format!(
-        "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r1\r\nContent-Length: {LONG}\r\n\r\n"
+        "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r1\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n"
     ));
     let mut stream = client.stream.try_clone().unwrap();
-    let writer = thread::spawn(move || stream.write_all(&vec![b'x'; LONG]).is_ok());
+    let writer = thread::spawn(move || stream.write_all(&vec![b'x'; LONG_BODY_BYTES]).is_ok());
     // Its last byte was never written: it ran nowhere.
     assert_eq!(client.read_response().status(), 503);
     drop(client);
     let _ = writer.join();
-    let_go.send(()).unwrap();
+    release.send(()).unwrap();
 }
--- a/crates/sidecar/tests/churn.rs
+++ b/crates/sidecar/tests/churn.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 #[test]
-fn memory_and_descriptors_level_off_while_servers_are_replaced() {
+fn memory_and_descriptors_stay_bounded_while_servers_are_replaced() {
     let server = FakeServer::start(|_, _| ok("x"));
     let discovery = StubDiscovery::start();
     let mut setup = Setup::new(vec![]).discovery(&discovery).set("/sidecar/log", json!("info"));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_new_server_at_an_old_ones_address_gets_connections_of_its_own() {
+fn new_server_at_a_reused_address_gets_new_connections() {
     let server = FakeServer::start(|_, _| ok("x"));
     let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery).start();
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn a_server_that_is_gone_with_a_request_out_still_answers_it() {
-    let (gate, wait) = gated_ok("finished");
-    let server = FakeServer::start(move |_, _| wait.clone());
+fn removed_server_still_answers_its_in_flight_request() {
+    let (gate, action) = gated_ok("finished");
+    let server = FakeServer::start(move |_, _| action.clone());
     let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery).start();
     discovery.watches.wait(1, "watches");
--- a/crates/sidecar/tests/clients.rs
+++ b/crates/sidecar/tests/clients.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Asks until a usual client is served: on the way there the bound may still be full.
-fn served(sidecar: &Sidecar) {
+fn wait_until_served(sidecar: &Sidecar) {
     let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         let mut client = sidecar.connect();
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn a_copy_of_a_request_in_hand_is_turned_away_and_the_request_goes_on() {
-    let (gate, wait) = gated_ok("once");
-    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("again") });
+fn duplicate_of_an_in_flight_request_is_rejected() {
+    let (gate, action) = gated_ok("once");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok("again") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let mut client = sidecar.connect();
     client.send(&once_request("r1"));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_request_whose_length_is_in_doubt_hides_no_other() {
+fn ambiguous_request_length_cannot_smuggle_a_request() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let head = "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r1\r\n";
@@ -66,14 +66,14 @@
         assert!(client.read_response_or_close().is_none_or(|answer| answer.status() == 400), "{lengths}");
         client.wait_for_close();
     }
-    served(&sidecar);
+    wait_until_served(&sidecar);
     assert!(
         server.requests.all().iter().all(|request| request.message.header("x-request-id") == Some("usual"))
     );
 }
 
 #[test]
-fn clients_that_send_no_whole_request_are_closed() {
+fn incomplete_requests_time_out() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_request_ms", json!(300))
@@ -108,9 +108,9 @@
 }
 
 #[test]
-fn a_request_in_hand_is_not_ended_by_the_times_of_a_client() {
-    let (gate, wait) = gated_ok("slow");
-    let server = FakeServer::start(move |_, _| wait.clone());
+fn in_flight_request_outlasts_the_client_request_timeout() {
+    let (gate, action) = gated_ok("slow");
+    let server = FakeServer::start(move |_, _| action.clone());
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_request_ms", json!(100))
         .set("/settings/classes/1/aim", json!(60_000_000))
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn an_idle_client_is_closed_but_not_before_two_seconds() {
+fn idle_client_is_closed_after_the_idle_timeout_and_not_before() {
     let server = FakeServer::start(|_, _| ok("x"));
     let setup = Setup::new(vec![entry("s1", server.address, "up")]);
     let sidecar = setup.set("/sidecar/client_idle_ms", json!(2000)).start();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn those_that_connect_and_say_nothing_keep_nobody_out() {
+fn silent_connections_do_not_block_other_clients() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_connections", json!(4))
@@ -148,51 +148,51 @@
         .set("/sidecar/client_request_ms", json!(600_000))
         .start();
     let silent: Vec<Client> = (0..60).map(|_| sidecar.connect()).collect();
-    served(&sidecar);
+    wait_until_served(&sidecar);
     drop(silent);
 }
 
 #[test]
-fn those_that_asked_once_and_stay_keep_nobody_out() {
+fn idle_keep_alive_connections_do_not_block_other_clients() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_connections", json!(4))
         .set("/sidecar/client_idle_ms", json!(600_000))
         .start();
-    let mut stay = Vec::new();
+    let mut connected = Vec::new();
     for n in 0..30 {
         let mut client = sidecar.connect();
         client.send(&read_request(&format!("r{n}")));
         let end = client.read_response_or_close().is_none_or(|answer| answer.status() == 503);
-        stay.push((client, end));
+        connected.push((client, end));
     }
-    served(&sidecar);
+    wait_until_served(&sidecar);
 }
 
 #[test]
-fn many_that_ask_once_and_stay_are_all_served() {
+fn clients_that_stay_connected_after_one_request_are_all_served() {
     // Each keeps its connection, and none may be closed as idle within the time of this test.
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_connections", json!(20))
         .set("/sidecar/client_idle_ms", json!(600_000))
         .start();
-    let mut stay = Vec::new();
+    let mut connected = Vec::new();
     let start = Instant::now();
     for n in 0..100 {
         let mut client = sidecar.connect();
         client.send(&read_request(&format!("r{n}")));
         assert_eq!(client.read_response().status(), 200, "client {n}");
-        stay.push(client);
+        connected.push(client);
     }
     assert!(start.elapsed() < WAIT_TIMEOUT, "too slow to tell");
     // The first of them were not told to close, and still are served.
-    stay[0].send(&read_request("again"));
-    assert!(stay[0].read_response_or_close().is_none_or(|answer| answer.status() == 200));
+    connected[0].send(&read_request("again"));
+    assert!(connected[0].read_response_or_close().is_none_or(|answer| answer.status() == 200));
 }
 
 #[test]
-fn a_flood_on_one_connection_costs_the_others_nothing() {
+fn pipelined_flood_does_not_affect_other_clients() {
     let server = FakeServer::start(|n, _| if n == 0 { Action::Hang } else { ok("x") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up"), entry("s2", server.address, "up")])
         .set("/settings/limits/try_limit", json!(1))
@@ -204,7 +204,7 @@
         let _ = stream.write_all(many.as_bytes());
     });
     server.requests.wait(1, "requests");
-    served(&sidecar);
+    wait_until_served(&sidecar);
     // While its first request is in hand the rest waits, unread beyond a bound; it was once polled without end.
     let (start, used) = (Instant::now(), sidecar.cpu_time());
     assert!(matches!(flood.read_response().status(), 502 | 503), "the first ends at its deadline");
@@ -216,22 +216,22 @@
     }
     drop(flood);
     writer.join().unwrap();
-    served(&sidecar);
+    wait_until_served(&sidecar);
 }
 
 #[test]
-fn hundreds_of_bad_requests_at_once_are_turned_away() {
+fn hundreds_of_pipelined_invalid_requests_are_rejected() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let mut flood = sidecar.connect();
     flood.send(&"GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n".repeat(700));
     let answer = flood.read_response();
     assert_eq!((answer.status(), answer.header("connection")), (404, Some("close")));
-    served(&sidecar);
+    wait_until_served(&sidecar);
 }
 
 #[test]
-fn odd_figures_are_turned_away_or_bounded() {
+fn out_of_range_header_values_are_rejected_or_bounded() {
     let server = FakeServer::start(|_, m| if m.target() == "/read/hang" { Action::Hang } else { ok("x") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let with = |name: &str, value: &str| {
@@ -256,10 +256,10 @@
 }
 
 #[test]
-fn connections_of_bad_clients_are_given_back() {
+fn connections_of_misbehaving_clients_are_released() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
-    served(&sidecar);
+    wait_until_served(&sidecar);
     for _ in 0..50 {
         for bad in ["no HTTP\r\n\r\n", "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n", "GET /re", ""] {
             let mut client = sidecar.connect();
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -13,69 +13,69 @@
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Closes,
-    HalfCloses,
-    Resets,
+enum Departure {
+    Close,
+    HalfClose,
+    Reset,
     /// It sends far more than is held of it, and closes: its end stands behind that.
-    FloodsAndCloses,
+    FloodAndClose,
     /// Its body is longer than is held, goes on to the server as it comes, and breaks off.
-    WithinItsBody,
+    CloseWithinBody,
 }
 
 /// Guards the operators' term that a request whose client has left is not sent on: an attempt that waited for its
 /// connection was sent when that came up, whatever the settings say of calling off.
 #[test]
-fn what_waits_for_its_connection_is_taken_back_when_its_client_leaves() {
-    for (cancel, leaves) in [
-        (true, Leaves::Closes),
-        (false, Leaves::Closes),
-        (false, Leaves::HalfCloses),
-        (true, Leaves::Resets),
-        (false, Leaves::FloodsAndCloses),
-        (false, Leaves::WithinItsBody),
+fn connecting_attempt_is_withdrawn_when_its_client_leaves() {
+    for (cancel, departure) in [
+        (true, Departure::Close),
+        (false, Departure::Close),
+        (false, Departure::HalfClose),
+        (true, Departure::Reset),
+        (false, Departure::FloodAndClose),
+        (false, Departure::CloseWithinBody),
     ] {
-        let late = SaturatedListener::new();
-        let sidecar = Setup::new(vec![entry("s1", late.address, "up")])
+        let saturated = SaturatedListener::new();
+        let sidecar = Setup::new(vec![entry("s1", saturated.address, "up")])
             .long_timeouts()
             .set("/settings/limits/cancel", json!(cancel))
             .set("/sidecar/requests", json!(1))
             .start();
         let mut client = sidecar.connect();
         let request = with_long_timeout(once_request("left"));
-        match leaves {
-            Leaves::WithinItsBody => {
+        match departure {
+            Departure::CloseWithinBody => {
                 let half = request.replace("Content-Length: 4", "Content-Length: 200000");
                 client.send(&(half + &"x".repeat(100_000)));
             }
             _ => client.send(&request),
         }
         sidecar.wait_for_log("attempt 0 of request 0 goes out");
-        match leaves {
-            Leaves::Closes | Leaves::WithinItsBody => drop(client),
-            Leaves::HalfCloses => client.stream.shutdown(Shutdown::Write).unwrap(),
-            Leaves::Resets => client.reset(),
-            Leaves::FloodsAndCloses => {
+        match departure {
+            Departure::Close | Departure::CloseWithinBody => drop(client),
+            Departure::HalfClose => client.stream.shutdown(Shutdown::Write).unwrap(),
+            Departure::Reset => client.reset(),
+            Departure::FloodAndClose => {
                 client.send(&read_request("ahead").repeat(10_000));
                 drop(client);
             }
         }
         sidecar.wait_for_log("attempt 0 of request 0 at s1: NotSent");
         // Its one place is free, and its server has nothing of it, however long the connection takes to come up.
-        let server = late.open_as_server(|_, _| ok("x"));
-        assert_eq!(sidecar.request(&with_long_timeout(read_request("next"))).status(), 200, "{leaves:?}");
-        assert_eq!(server.request_ids(), ["next"], "{leaves:?}, cancel {cancel}");
+        let server = saturated.open_as_server(|_, _| ok("x"));
+        assert_eq!(sidecar.request(&with_long_timeout(read_request("next"))).status(), 200, "{departure:?}");
+        assert_eq!(server.request_ids(), ["next"], "{departure:?}, cancel {cancel}");
     }
 }
 
 /// The same for a wait before a repeat: the first attempt is turned away when the client has left.
 #[test]
-fn what_is_turned_away_after_its_client_has_left_is_not_tried_again() {
-    let (gate, wait) = gated(rejected(503));
+fn rejected_attempt_is_not_retried_after_its_client_has_left() {
+    let (gate, action) = gated(rejected(503));
     let servers = [(), ()].map(|()| {
-        let wait = wait.clone();
+        let action = action.clone();
         FakeServer::start(move |_, m| match m.header("x-request-id") {
-            Some("left") => wait.clone(),
+            Some("left") => action.clone(),
             _ => ok("x"),
         })
     });
@@ -99,7 +99,7 @@
 
 /// The same where nothing of the request was read before its client had gone: it stood in the queue of the machine.
 #[test]
-fn what_waits_to_be_accepted_is_not_sent_on_when_its_client_has_left() {
+fn request_in_the_accept_queue_is_not_forwarded_after_its_client_has_left() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     // The connection that it has to the server is one that it could write to at once.
@@ -116,12 +116,12 @@
 
 /// Guards a request that was taken: bytes behind it that can't be read ended its connection, and it with that.
 #[test]
-fn bytes_behind_a_request_in_hand_that_cannot_be_read_do_not_end_it() {
+fn invalid_bytes_after_an_in_flight_request_do_not_abort_it() {
     let long = format!("GET /read HTTP/1.1\r\nX: {}", "x".repeat(200_000));
     for behind in ["\0 no HTTP\r\n\r\n", "GET /read HTTP/9.9\r\n\r\n", long.as_str()] {
         for at_once in [true, false] {
-            let (gate, wait) = gated_ok("served");
-            let server = FakeServer::start(move |_, _| wait.clone());
+            let (gate, action) = gated_ok("served");
+            let server = FakeServer::start(move |_, _| action.clone());
             let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
             let mut client = sidecar.connect();
             let (first, second) =
@@ -141,7 +141,7 @@
 /// Guards the rule at the door: a request of a slow client whose last byte crosses the closing of its connection was lost
 /// with it. It has its answer on the way, and what crosses that does not reset it.
 #[test]
-fn a_slow_request_is_told_so_and_its_last_byte_may_cross_that() {
+fn slow_request_gets_its_503_even_if_its_last_byte_crosses_it() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_request_ms", json!(200))
@@ -161,10 +161,10 @@
                 break client;
             }
         };
-        let mut told = String::new();
-        client.stream.read_to_string(&mut told).expect("reset before its answer was read");
-        assert!(told.starts_with("HTTP/1.1 503 ") && told.ends_with("\r\n\r\n"), "{told}");
-        assert!(told.contains("\r\nConnection: close\r\n"), "{told}");
+        let mut response = String::new();
+        client.stream.read_to_string(&mut response).expect("reset before its answer was read");
+        assert!(response.starts_with("HTTP/1.1 503 ") && response.ends_with("\r\n\r\n"), "{response}");
+        assert!(response.contains("\r\nConnection: close\r\n"), "{response}");
     }
     assert_eq!(server.request_count(), 0);
 }
@@ -172,7 +172,7 @@
 /// Guards a request that crosses the closing of its idle connection at the end: closed together with the listener, it
 /// found nowhere to come again.
 #[test]
-fn at_the_end_idle_connections_are_closed_while_new_ones_are_still_taken() {
+fn shutdown_closes_idle_connections_while_still_accepting_new_ones() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/accept_after_term_ms", json!(6000))
@@ -191,7 +191,7 @@
 
 /// Tells the program to end and waits until nobody can connect any more: it has come to its last stage. Connections that
 /// say nothing are closed there, and not before.
-fn ends_and_its_listener_is_gone(sidecar: &Sidecar) {
+fn terminate_and_wait_for_closed_listener(sidecar: &Sidecar) {
     let mut silent = sidecar.connect();
     sidecar.signal("TERM");
     silent.wait_for_close();
@@ -201,15 +201,15 @@
     }
 }
 
-fn ends_well(sidecar: Sidecar) {
+fn assert_clean_exit(sidecar: Sidecar) {
     let (status, log) = sidecar.wait_for_exit();
     assert!(status.success() && !log.contains("still open"), "{status}: {log}");
 }
 
 /// The end against a body that is half in: its last byte comes long after the listener has gone, and a second order to end
-/// and one to read the file anew come in between. Taken for a lack of places, the wait for the last connections had it closed.
+/// and one to read the file restarted come in between. Taken for a lack of places, the wait for the last connections had it closed.
 #[test]
-fn a_body_half_in_at_the_end_is_served_whatever_else_is_signalled() {
+fn half_received_body_at_shutdown_is_served_despite_further_signals() {
     let server =
         FakeServer::start(|_, m| if m.target() == "/read/hang" { Action::Hang } else { ok(&m.text()) });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).long_timeouts().start();
@@ -226,42 +226,42 @@
     sidecar.signal("TERM");
     sidecar.wait_for_log("told to end");
     sidecar.signal("HUP");
-    ends_and_its_listener_is_gone(&sidecar);
+    terminate_and_wait_for_closed_listener(&sidecar);
     // More than a second after that.
     assert_eq!(hangs.read_response().status(), 503);
     client.send(last);
     let answer = client.read_response();
     assert_eq!((answer.text().as_str(), answer.header("connection")), ("body", Some("close")));
     client.wait_for_close();
-    ends_well(sidecar);
+    assert_clean_exit(sidecar);
 }
 
 /// The end against an attempt that waits for its connection, which comes up when the listener has gone.
 #[test]
-fn an_attempt_that_waits_for_its_connection_at_the_end_goes_out_and_is_answered() {
-    let late = SaturatedListener::new();
-    let sidecar = Setup::new(vec![entry("s1", late.address, "up")]).long_timeouts().start();
+fn connecting_attempt_at_shutdown_is_sent_and_answered() {
+    let saturated = SaturatedListener::new();
+    let sidecar = Setup::new(vec![entry("s1", saturated.address, "up")]).long_timeouts().start();
     let mut client = sidecar.connect();
     client.send(&with_long_timeout(once_request("r1")));
     sidecar.wait_for_log("attempt 0 of request 0 goes out");
-    ends_and_its_listener_is_gone(&sidecar);
-    let server = late.open_as_server(|_, _| ok("x"));
+    terminate_and_wait_for_closed_listener(&sidecar);
+    let server = saturated.open_as_server(|_, _| ok("x"));
     assert_eq!(client.read_response().text(), "x");
     client.wait_for_close();
-    ends_well(sidecar);
+    assert_clean_exit(sidecar);
     assert_eq!(server.request_ids(), ["r1"]);
 }
 
 /// The end against a repeat that becomes due after it, and a drain that is told after it: the repeat goes out, and not to
 /// the server that leaves.
 #[test]
-fn a_repeat_due_after_the_end_was_told_goes_to_a_server_that_stays() {
-    let (gate, wait) = gated(rejected(503));
+fn retry_after_sigterm_avoids_a_draining_server() {
+    let (gate, action) = gated(rejected(503));
     let asked = Arc::new(AtomicUsize::new(0));
     let servers = [(), (), ()].map(|()| {
-        let (asked, wait) = (asked.clone(), wait.clone());
+        let (asked, action) = (asked.clone(), action.clone());
         FakeServer::start(move |_, _| match asked.fetch_add(1, Ordering::SeqCst) {
-            0 => wait.clone(),
+            0 => action.clone(),
             _ => ok("served"),
         })
     });
@@ -279,20 +279,20 @@
         }
         assert!(Instant::now() < end, "no attempt");
     };
-    ends_and_its_listener_is_gone(&sidecar);
+    terminate_and_wait_for_closed_listener(&sidecar);
     let leaves = (first + 1) % 3;
     discovery.publish_changes(9, vec![entry(&format!("s{leaves}"), servers[leaves].address, "draining")]);
     sidecar.wait_for_log("0 up, 1 draining");
     gate.send(()).unwrap();
     assert_eq!(client.read_response().text(), "served");
-    ends_well(sidecar);
+    assert_clean_exit(sidecar);
     assert_eq!(servers[leaves].request_count(), 0, "it was told to leave before the repeat");
     assert_eq!(servers[(first + 2) % 3].request_ids(), ["r1"]);
 }
 
 /// The end under settings whose deadlines a reload has shortened: a request taken before has its own time still.
 #[test]
-fn a_reload_that_shortens_deadlines_leaves_a_request_in_hand_its_time_at_the_end() {
+fn reload_with_shorter_deadlines_keeps_the_deadline_of_an_in_flight_request_at_shutdown() {
     let server = FakeServer::start(|_, _| Action::Hang);
     let mut setup = Setup::new(vec![entry("s1", server.address, "up")]);
     for n in 0..3 {
@@ -311,18 +311,18 @@
     sidecar.wait_for_log("SIGHUP: new configuration");
     sidecar.signal("TERM");
     assert_eq!(client.read_response_or_close().map(|answer| answer.status()), Some(502));
-    ends_well(sidecar);
+    assert_clean_exit(sidecar);
 }
 
 /// A second answer that comes when its connection stands idle: the connection is given up, and the next request has an
 /// answer of its own.
 #[test]
-fn a_second_answer_on_an_idle_connection_is_never_the_next_requests() {
+fn duplicate_response_on_an_idle_connection_is_not_used_for_the_next_request() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (come_late, late) = std::sync::mpsc::channel();
-    let given_up = Recorder::new();
-    let closed = given_up.clone();
+    let (send_duplicate, duplicate_due) = std::sync::mpsc::channel();
+    let closed_connections = Recorder::new();
+    let closed = closed_connections.clone();
     std::thread::spawn(move || {
         let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{body}");
         for (n, mut stream) in listener.incoming().map_while(Result::ok).enumerate() {
@@ -330,7 +330,7 @@
             assert!(matches!(asked, Ok(Some(_))));
             stream.write_all(answer(if n == 0 { "first" } else { "other" }).as_bytes()).unwrap();
             if n == 0 {
-                late.recv_timeout(WAIT_TIMEOUT).unwrap();
+                duplicate_due.recv_timeout(WAIT_TIMEOUT).unwrap();
                 stream.write_all(answer("first").as_bytes()).unwrap();
                 // A reset says the same: what it was sent is not read.
                 let _ = stream.read(&mut [0]);
@@ -340,15 +340,15 @@
     });
     let sidecar = Setup::new(vec![entry("s1", address, "up")]).start();
     assert_eq!(sidecar.request(&once_request("r1")).text(), "first");
-    come_late.send(()).unwrap();
-    given_up.wait(1, "connections given up");
+    send_duplicate.send(()).unwrap();
+    closed_connections.wait(1, "connections given up");
     assert_eq!(sidecar.request(&once_request("r2")).text(), "other");
 }
 
 /// A second answer that comes behind the next request can't be told from that one's own. Once any server has sent more than
-/// it was asked for, no connection is used again within the milliseconds by which one comes late.
+/// it was asked for, no connection is used again within the milliseconds by which one comes saturated.
 #[test]
-fn where_answers_come_twice_a_connection_rests_before_it_is_used_again() {
+fn connection_rests_before_reuse_once_duplicate_responses_were_seen() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -364,11 +364,11 @@
                     let own = answer(asked.header("x-request-id").unwrap());
                     // It is seen here no sooner than it was sent there, after the answer before was read.
                     let again = last.take().filter(|(_, at)| at.elapsed() < Duration::from_millis(10));
-                    let late = again.map(|(answer, _)| answer).unwrap_or_default();
+                    let duplicate = again.map(|(answer, _)| answer).unwrap_or_default();
                     last = Some((own.clone(), Instant::now()));
                     // The very first answer comes twice at once, which is seen.
                     let twice = if n == 0 { own.as_str() } else { "" };
-                    if stream.write_all(format!("{late}{own}{twice}").as_bytes()).is_err() {
+                    if stream.write_all(format!("{duplicate}{own}{twice}").as_bytes()).is_err() {
                         return;
                     }
                 }
@@ -385,7 +385,7 @@
 /// The first second answer of a process, before anything has shown that servers send them: the request that took the
 /// connection at once was served with the answer to the one before.
 #[test]
-fn the_first_second_answer_of_a_process_is_not_the_next_requests() {
+fn first_duplicate_response_of_a_process_is_not_used_for_the_next_request() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -421,12 +421,12 @@
     }
 }
 
-/// A server that starts anew in its place while a request is out there: the connection that was in use is not used again,
+/// A server that starts restarted in its place while a request is out there: the connection that was in use is not used again,
 /// as it leads to the process that is no more, of which nothing may have told.
 #[test]
-fn a_connection_in_use_while_its_server_started_anew_is_not_used_again() {
-    let (gate, wait) = gated_ok("old");
-    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("new") });
+fn connection_in_use_during_a_server_restart_is_not_reused() {
+    let (gate, action) = gated_ok("old");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok("new") });
     let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery);
     let sidecar = sidecar.long_timeouts().start();
@@ -434,9 +434,9 @@
     let mut client = sidecar.connect();
     client.send(&with_long_timeout(once_request("r1")));
     server.requests.wait(1, "requests");
-    let mut anew = entry("s1", server.address, "up");
-    anew["boot_ms"] = json!(1_000);
-    discovery.publish_changes(9, vec![anew]);
+    let mut restarted = entry("s1", server.address, "up");
+    restarted["boot_ms"] = json!(1_000);
+    discovery.publish_changes(9, vec![restarted]);
     sidecar.wait_for_log("list changes revision 9");
     gate.send(()).unwrap();
     assert_eq!(client.read_response().text(), "old");
@@ -448,12 +448,12 @@
 /// A server that moves while an attempt waits for its connection: what has not begun at the old place, which may be another
 /// server's by now, is drawn again.
 #[test]
-fn what_waits_for_its_connection_to_a_server_that_moved_is_drawn_again() {
-    let late = SaturatedListener::new();
+fn connecting_attempt_to_a_moved_server_is_drawn_again() {
+    let saturated = SaturatedListener::new();
     let new = FakeServer::start(|_, _| ok("new"));
     let discovery = StubDiscovery::start();
     let sidecar =
-        Setup::new(vec![entry("s1", late.address, "up")]).long_timeouts().discovery(&discovery).start();
+        Setup::new(vec![entry("s1", saturated.address, "up")]).long_timeouts().discovery(&discovery).start();
     discovery.watches.wait(1, "watches");
     let mut client = sidecar.connect();
     client.send(&with_long_timeout(once_request("r1")));
@@ -461,15 +461,15 @@
     let other = FakeServer::start(|_, _| ok("new"));
     discovery.publish_changes(9, vec![entry("s1", new.address, "up"), entry("s2", other.address, "up")]);
     assert_eq!(client.read_response().text(), "new");
-    assert_eq!(late.open_as_server(|_, _| ok("old")).request_ids(), Vec::<String>::new());
+    assert_eq!(saturated.open_as_server(|_, _| ok("old")).request_ids(), Vec::<String>::new());
 }
 
 /// A client that comes again under the same key, with a new name, while its first request is in hand: each has its own one
 /// answer, and carries the key by which the servers know the two for one.
 #[test]
-fn a_second_request_under_a_key_in_hand_has_an_answer_of_its_own() {
-    let (gate, wait) = gated_ok("first");
-    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("second") });
+fn second_request_with_an_in_flight_key_gets_its_own_response() {
+    let (gate, action) = gated_ok("first");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok("second") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).long_timeouts().start();
     let mut first = sidecar.connect();
     first.send(&with_long_timeout(pay_request("r1")));
@@ -484,10 +484,10 @@
 
 /// A repeat under a key whose connection comes up only when the key is forgotten: it is not sent.
 #[test]
-fn a_repeat_whose_connection_outlasts_its_window_is_not_sent() {
-    let (gate, wait) = gated(status_only(500));
-    let first = FakeServer::start(move |_, _| wait.clone());
-    let late = SaturatedListener::new();
+fn retry_that_connects_after_its_key_window_is_not_sent() {
+    let (gate, action) = gated(status_only(500));
+    let first = FakeServer::start(move |_, _| action.clone());
+    let saturated = SaturatedListener::new();
     let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", first.address, "up")])
         .long_timeouts()
@@ -498,18 +498,18 @@
     let mut client = sidecar.connect();
     client.send(&with_long_timeout(pay_request("r1")));
     first.requests.wait(1, "requests");
-    discovery.publish_changes(9, vec![entry("s2", late.address, "up")]);
+    discovery.publish_changes(9, vec![entry("s2", saturated.address, "up")]);
     sidecar.wait_for_log("list changes revision 9");
     gate.send(()).unwrap();
     sidecar.wait_for_log("attempt 1 of request 0 goes out");
     assert_eq!(client.read_response().status(), 503);
-    assert_eq!(late.open_as_server(|_, _| ok("twice")).request_ids(), Vec::<String>::new());
+    assert_eq!(saturated.open_as_server(|_, _| ok("twice")).request_ids(), Vec::<String>::new());
 }
 
 /// An answer and its deadline in one instant: the program stands still while the answer comes and the time runs out, and finds
 /// both at once. The answer is there: it counts, and is the only one.
 #[test]
-fn an_answer_and_its_deadline_in_one_instant_are_one_answer() {
+fn response_and_deadline_at_the_same_instant_give_one_response() {
     let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         assert!(Instant::now() < end, "this machine never gave the time to force the order");
@@ -522,25 +522,25 @@
         let mut input = std::io::BufReader::new(server.try_clone().unwrap());
         assert!(matches!(read_message(&mut input), Ok(Some(_))));
         sidecar.wait_for_log("attempt 0 of request 0 goes out");
-        let stands_still = sidecar.block_on_next_log_line();
+        let log_guard = sidecar.block_on_next_log_line();
         let mut other = sidecar.connect();
         other.send(&with_long_timeout(read_request("other")));
         // It stands once another is not turned to, though all that it takes is there; until its next line it does not.
-        let mut asked = Vec::new();
-        let mut stands = false;
-        while !stands && sent.elapsed() < Duration::from_millis(550) {
+        let mut health_checks = Vec::new();
+        let mut blocked = false;
+        while !blocked && sent.elapsed() < Duration::from_millis(550) {
             let mut health = sidecar.connect();
             health.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
             health.stream.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
-            stands = health.stream.peek(&mut [0]).is_err();
-            asked.push(health);
+            blocked = health.stream.peek(&mut [0]).is_err();
+            health_checks.push(health);
         }
         let in_time = sent.elapsed() < Duration::from_millis(700);
         server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1").unwrap();
         std::thread::sleep((sent + Duration::from_millis(1000)).saturating_duration_since(Instant::now()));
-        drop(stands_still);
+        drop(log_guard);
         let answer = client.read_response();
-        if !stands || !in_time {
+        if !blocked || !in_time {
             continue;
         }
         assert_eq!((answer.status(), answer.text().as_str()), (200, "r1"));
--- a/crates/sidecar/tests/descriptors.rs
+++ b/crates/sidecar/tests/descriptors.rs
@@ -12,12 +12,12 @@
 use std::time::{Duration, Instant};
 
 /// What the program is told that it may hold: room for twenty clients, where servers have as many.
-const SOCKETS: usize = 104;
+const SOCKET_LIMIT: usize = 104;
 /// The most that clients may have of these, beside four connections to servers and what is kept.
-const CLIENTS: usize = 36;
+const CLIENT_LIMIT: usize = 36;
 /// The grace of a drain, and the longest that a try of discovery is put off: two thirds of it, by the follower.
-const GRACE: Duration = Duration::from_secs(6);
-const TRIES: Duration = Duration::from_secs(4);
+const DRAIN_GRACE: Duration = Duration::from_secs(6);
+const LONGEST_RETRY_DELAY: Duration = Duration::from_secs(4);
 
 /// How discovery is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,44 +28,44 @@
     Hangs,
 }
 
-enum Down {
+enum DownDiscovery {
     Refuses(SocketAddr),
     Hangs(SaturatedListener),
 }
 
-impl Down {
-    fn new(outage: Outage) -> Down {
+impl DownDiscovery {
+    fn new(outage: Outage) -> DownDiscovery {
         match outage {
-            Outage::Refuses => Down::Refuses(unique_address()),
-            Outage::Hangs => Down::Hangs(SaturatedListener::new()),
+            Outage::Refuses => DownDiscovery::Refuses(unique_address()),
+            Outage::Hangs => DownDiscovery::Hangs(SaturatedListener::new()),
         }
     }
 
     fn address(&self) -> SocketAddr {
         match self {
-            Down::Refuses(address) => *address,
-            Down::Hangs(late) => late.address,
+            DownDiscovery::Refuses(address) => *address,
+            DownDiscovery::Hangs(listener) => listener.address,
         }
     }
 
-    fn returns(self) -> StubDiscovery {
+    fn restore(self) -> StubDiscovery {
         match self {
-            Down::Refuses(address) => StubDiscovery::start_on(TcpListener::bind(address).unwrap()),
-            Down::Hangs(late) => late.open_as_discovery(),
+            DownDiscovery::Refuses(address) => StubDiscovery::start_on(TcpListener::bind(address).unwrap()),
+            DownDiscovery::Hangs(listener) => listener.open_as_discovery(),
         }
     }
 }
 
 /// Idle clients that come whenever there is a place, until they are told to stop: some say nothing, some half of what they
 /// have to say, some ask once and stay.
-fn crowd(listen: SocketAddr, full: &AtomicBool, stop: &AtomicBool) {
+fn run_idle_clients(listen: SocketAddr, full: &AtomicBool, stop: &AtomicBool) {
     let mut held = std::collections::VecDeque::new();
     for n in 0_usize.. {
         if stop.load(Ordering::SeqCst) {
             return;
         }
         let Ok(mut stream) = TcpStream::connect_timeout(&listen, Duration::from_millis(100)) else {
-            // The machine's own queue is full as well.
+            // The os_limit's own queue is full as well.
             full.store(true, Ordering::SeqCst);
             continue;
         };
@@ -77,14 +77,14 @@
         });
         held.push_back(stream);
         // Those were closed long ago: the places are far fewer.
-        if held.len() > 3 * SOCKETS {
+        if held.len() > 3 * SOCKET_LIMIT {
             held.pop_front();
         }
     }
 }
 
 /// Asks until it is served, and by whom.
-fn served(sidecar: &Sidecar, id: &str) -> String {
+fn wait_until_served(sidecar: &Sidecar, id: &str) -> String {
     let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         let mut client = sidecar.connect();
@@ -98,29 +98,29 @@
 
 /// The list is followed at once when discovery returns, its change is acted on, servers are reached and the console answers,
 /// with a crowd of idle clients that takes every place there is.
-fn all_keep_their_places(outage: Outage, sockets: usize, machine: Option<usize>) {
-    let (gate, wait) = gated_ok("in hand");
+fn check_reserved_descriptors(outage: Outage, sockets: usize, os_limit: Option<usize>) {
+    let (gate, action) = gated_ok("in hand");
     let old = FakeServer::start(move |_, message| match message.target() {
-        "/read/held" => wait.clone(),
+        "/read/held" => action.clone(),
         _ => ok("old"),
     });
     let new = FakeServer::start(|_, _| ok("new"));
-    let (down, console) = (Down::new(outage), unique_address());
+    let (down, console) = (DownDiscovery::new(outage), unique_address());
     let mut setup = Setup::new(vec![entry("s1", old.address, "up")])
         .set("/discovery", json!(down.address().to_string()))
         .set("/console", json!(console.to_string()))
         .set("/limits/sockets", json!(sockets))
-        .set("/settings/safety/drain_grace", json!(GRACE.as_micros() as u64))
+        .set("/settings/safety/drain_grace", json!(DRAIN_GRACE.as_micros() as u64))
         .set("/settings/classes/0/aim", json!(60_000_000))
         .set("/settings/classes/0/deadline", json!(60_000_000))
         // No time of their own ends them while this test waits.
         .set("/sidecar/client_request_ms", json!(600_000))
         .set("/sidecar/client_idle_ms", json!(600_000));
-    if sockets == SOCKETS {
-        let (clients, servers) = (json!(CLIENTS), json!(4));
+    if sockets == SOCKET_LIMIT {
+        let (clients, servers) = (json!(CLIENT_LIMIT), json!(4));
         setup = setup.set("/sidecar/client_connections", clients).set("/sidecar/server_connections", servers);
     }
-    setup.descriptor_limit = machine;
+    setup.descriptor_limit = os_limit;
     let sidecar = setup.start();
     let mut kept = sidecar.connect();
     kept.send(&read_request("kept0"));
@@ -132,85 +132,91 @@
             .replace("X-Timeout: 0.9", "X-Timeout: 60"),
     );
     old.requests.wait(2, "requests");
-    let most = machine.unwrap_or(sockets).min(sockets);
+    let limit = os_limit.unwrap_or(sockets).min(sockets);
     let (full, stop) = (AtomicBool::new(false), AtomicBool::new(false));
-    let fits = || {
-        let holds = sidecar.open_descriptors();
-        assert!(holds <= most, "{holds} descriptors of {most}");
+    let check_limits = || {
+        let open = sidecar.open_descriptors();
+        assert!(open <= limit, "{open} descriptors of {limit}");
         assert_eq!(console_call(console, b"status\n"), "YES active\n");
     };
     // However this ends, the crowd goes home.
-    struct Home<'a>(&'a AtomicBool);
-    impl Drop for Home<'_> {
+    struct StopOnDrop<'a>(&'a AtomicBool);
+    impl Drop for StopOnDrop<'_> {
         fn drop(&mut self) {
             self.0.store(true, Ordering::SeqCst);
         }
     }
     thread::scope(|scope| {
-        let _home = Home(&stop);
-        scope.spawn(|| crowd(sidecar.listen, &full, &stop));
+        let _stop_on_drop = StopOnDrop(&stop);
+        scope.spawn(|| run_idle_clients(sidecar.listen, &full, &stop));
         let end = Instant::now() + WAIT_TIMEOUT;
         while !full.load(Ordering::SeqCst) {
             assert!(Instant::now() < end, "the places are never full");
-            fits();
+            check_limits();
         }
         // Some tries of discovery fail among them.
         let failed = || sidecar.log.all().iter().filter(|l| l.contains(" of discovery at ")).count();
         let before = failed();
         while failed() < before + 3 {
             assert!(Instant::now() < end, "discovery is not asked for");
-            fits();
+            check_limits();
         }
-        let back = Instant::now();
-        let discovery = down.returns();
+        let restored = Instant::now();
+        let discovery = down.restore();
         discovery.watches.wait(1, "watches");
-        let asked = back.elapsed();
-        assert!(asked <= TRIES, "{outage:?}: asked {asked:?} after the return of discovery");
+        let called_after = restored.elapsed();
+        assert!(
+            called_after <= LONGEST_RETRY_DELAY,
+            "{outage:?}: asked {called_after:?} after the return of discovery"
+        );
         sidecar.wait_for_log("open after revision 7");
-        let (leaves, comes) = (entry("s1", old.address, "draining"), entry("s2", new.address, "up"));
-        let told = Instant::now();
-        discovery.publish_changes(9, vec![leaves, comes]);
+        let (drained, added) = (entry("s1", old.address, "draining"), entry("s2", new.address, "up"));
+        let published = Instant::now();
+        discovery.publish_changes(9, vec![drained, added]);
         sidecar.wait_for_log("list changes revision 9: 1 up, 1 draining");
-        let acted = told.elapsed();
-        assert!(acted <= GRACE, "{outage:?}: a drain acted on {acted:?} after it was told");
-        fits();
+        let applied_after = published.elapsed();
+        assert!(
+            applied_after <= DRAIN_GRACE,
+            "{outage:?}: a drain acted on {applied_after:?} after it was told"
+        );
+        check_limits();
         // What was held is served, and a new server is reached.
         gate.send(()).unwrap();
         assert_eq!(held.read_response().text(), "in hand");
         let _ = kept.stream.write_all(read_request("kept1").as_bytes());
         assert!(kept.read_response_or_close().is_none_or(|answer| answer.text() == "new"));
-        assert_eq!(served(&sidecar, "after"), "new");
-        fits();
+        assert_eq!(wait_until_served(&sidecar, "after"), "new");
+        check_limits();
     });
     assert!(!sidecar.log.all().iter().any(|line| line.contains("os error 24")), "no descriptor was left");
 }
 
 #[test]
-fn idle_clients_at_the_bound_leave_the_list_servers_and_console_their_places() {
+fn idle_clients_at_the_limit_leave_discovery_servers_and_console_their_descriptors() {
     for outage in [Outage::Refuses, Outage::Hangs] {
-        all_keep_their_places(outage, SOCKETS, None);
+        check_reserved_descriptors(outage, SOCKET_LIMIT, None);
     }
 }
 
 #[test]
-fn what_it_is_told_that_it_may_hold_is_enough_where_the_machine_gives_no_more() {
+fn configured_socket_limit_suffices_when_the_os_limit_is_equal() {
     for outage in [Outage::Refuses, Outage::Hangs] {
-        all_keep_their_places(outage, SOCKETS, Some(SOCKETS));
+        check_reserved_descriptors(outage, SOCKET_LIMIT, Some(SOCKET_LIMIT));
     }
 }
 
-/// The limit of the machine binds where it is lower than what the program was told.
+/// The limit of the os_limit binds where it is lower than what the program was told.
 #[test]
-fn a_lower_limit_of_the_machine_binds_clients_alone() {
+fn lower_os_limit_restricts_clients_only() {
     for outage in [Outage::Refuses, Outage::Hangs] {
-        all_keep_their_places(outage, 1024, Some(SOCKETS));
+        check_reserved_descriptors(outage, 1024, Some(SOCKET_LIMIT));
     }
 }
 
 /// Idle connections to servers that stay held every place at the bound until they were too old, four fifths of the servers'
 /// own time: the log said that the bound was reached while nothing was in hand, and other servers were never asked.
 #[test]
-fn idle_connections_at_the_bound_make_room_for_other_servers() {
+fn idle_server_connections_at_the_limit_make_room_for_other_servers() {
     let servers = ["one", "two", "three", "four"].map(|name| FakeServer::start(move |_, _| ok(name)));
     let uids = ["s1", "s2", "s3", "s4"];
     let known = servers.iter().zip(uids).map(|(server, uid)| entry(uid, server.address, "up")).collect();
--- a/crates/sidecar/tests/duties.rs
+++ b/crates/sidecar/tests/duties.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 /// The operator's file of a member of a fleet of three that is heard here.
-fn file(folder: &Path, n: usize, at: &[SocketAddr]) -> String {
+fn write_limits_file(folder: &Path, n: usize, at: &[SocketAddr]) -> String {
     let mut text = format!("[fleet]\nname = 'f'\nlisten = '{}'\nlease = '200ms'\n", at[n]);
     for (n, at) in at.iter().enumerate() {
         text += &format!("[[fleet.voter]]\nname = 'n{n}'\nat = '{at}'\n");
@@ -22,7 +22,7 @@
     path.display().to_string()
 }
 
-fn duties(arguments: &[&str], console: SocketAddr) -> String {
+fn run_duties(arguments: &[&str], console: SocketAddr) -> String {
     let program = env!("CARGO_BIN_EXE_dunlincleat");
     let mut command = Command::new(program);
     let out =
@@ -31,18 +31,19 @@
 }
 
 #[test]
-fn without_its_section_there_is_no_socket_and_no_thread() {
+fn fleet_socket_exists_only_with_its_section_and_no_thread_is_added() {
     let folder = tempfile::tempdir().unwrap();
     let none = folder.path().join("none.toml");
     std::fs::write(&none, "version = 1").unwrap();
     let at = [unique_address(), unique_address(), unique_address()];
-    let [without, with] = [none.display().to_string(), file(folder.path(), 0, &at)].map(|file| {
-        let mut setup = Setup::new(vec![]);
-        setup.env.push(("EDGE_LIMITS", file));
-        let sidecar = setup.start();
-        sidecar.wait_for_log("listening on");
-        sidecar.resource_counts()
-    });
+    let [without, with] =
+        [none.display().to_string(), write_limits_file(folder.path(), 0, &at)].map(|file| {
+            let mut setup = Setup::new(vec![]);
+            setup.env.push(("EDGE_LIMITS", file));
+            let sidecar = setup.start();
+            sidecar.wait_for_log("listening on");
+            sidecar.resource_counts()
+        });
     assert_eq!((without.datagram_sockets, with.datagram_sockets), (0, 1));
     assert_eq!(without.threads, with.threads, "the fleet has no thread of its own");
 }
@@ -50,7 +51,7 @@
 /// Three members: one holds the duty and calls once a period, the others name it; it goes where it is handed. When two are gone the
 /// third holds nothing and serves as ever.
 #[test]
-fn one_of_three_holds_it_hands_it_on_and_the_last_alone_serves_without() {
+fn duty_has_one_holder_can_be_handed_over_and_is_released_without_a_quorum() {
     let folder = tempfile::tempdir().unwrap();
     let server = FakeServer::start(|_, _| ok("x"));
     let at = [unique_address(), unique_address(), unique_address()];
@@ -58,30 +59,30 @@
     let start = |n: usize| {
         let mut setup = Setup::new(vec![entry("s1", server.address, "up")]);
         setup = setup.set("/name", json!(format!("n{n}"))).set("/console", json!(consoles[n].to_string()));
-        setup.env.push(("EDGE_LIMITS", file(folder.path(), n, &at)));
+        setup.env.push(("EDGE_LIMITS", write_limits_file(folder.path(), n, &at)));
         setup.start()
     };
     let mut sidecars: Vec<_> = (0..3).map(start).collect();
-    let seen = |n: usize, duty: &str| -> Value {
-        let lines = duties(&["--format", "json"], consoles[n]);
+    let duty_status = |n: usize, duty: &str| -> Value {
+        let lines = run_duties(&["--format", "json"], consoles[n]);
         let lines = lines.lines().map(|line| serde_json::from_str::<Value>(line).unwrap());
         lines.into_iter().find(|line| line["duty"] == duty).unwrap()
     };
     let end = Instant::now() + WAIT_TIMEOUT;
     // Nobody is asked for who holds it at one moment: a lease may be on its way. All come to name the same one.
-    let agreed = |but: Option<&str>| loop {
-        let names: Vec<Value> = (0..3).map(|n| seen(n, "settle")["holder"].clone()).collect();
+    let wait_for_agreed_holder = |but: Option<&str>| loop {
+        let names: Vec<Value> = (0..3).map(|n| duty_status(n, "settle")["holder"].clone()).collect();
         if names[0].is_string() && names.iter().all(|name| *name == names[0]) && names[0].as_str() != but {
             return names[0].as_str().unwrap().to_owned();
         }
         assert!(Instant::now() < end, "{names:?}");
     };
-    let holder = agreed(None);
+    let holder = wait_for_agreed_holder(None);
     let first: usize = holder[1..].parse().unwrap();
     let next = format!("n{}", (first + 1) % 3);
-    assert!(duties(&["hand", "settle", &next], consoles[first]).starts_with("YES"));
-    let after = agreed(Some(&holder));
-    assert!(duties(&[], consoles[0]).contains(&format!("settle: held by {after} under fence")));
+    assert!(run_duties(&["hand", "settle", &next], consoles[first]).starts_with("YES"));
+    let after = wait_for_agreed_holder(Some(&holder));
+    assert!(run_duties(&[], consoles[0]).contains(&format!("settle: held by {after} under fence")));
     // Calls came, each period once.
     let calls = server.requests.wait(3, "calls");
     let periods = calls.iter().filter_map(|call| call.message.header("x-duty-period")?.parse::<u64>().ok());
@@ -90,7 +91,7 @@
     assert!(periods.is_sorted_by(|a, b| a < b), "a period was called twice: {periods:?}");
     let last = sidecars.remove(0);
     drop(sidecars);
-    while seen(0, "settle")["holder"].is_string() {
+    while duty_status(0, "settle")["holder"].is_string() {
         assert!(Instant::now() < end, "it holds alone");
     }
     assert_eq!(last.request(&read_request("r1")).status(), 200);
--- a/crates/sidecar/tests/life.rs
+++ b/crates/sidecar/tests/life.rs
@@ -6,9 +6,9 @@
 use serde_json::{Value, json};
 
 #[test]
-fn what_was_taken_is_answered_after_sigterm_and_new_connections_are_served_for_a_while() {
-    let (gate, wait) = gated_ok("slow");
-    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("late") });
+fn sigterm_completes_accepted_requests_and_serves_new_connections_for_a_grace_period() {
+    let (gate, action) = gated_ok("slow");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok("late") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/settings/classes/1/aim", json!(60_000_000))
         .set("/settings/classes/1/deadline", json!(60_000_000))
@@ -42,15 +42,15 @@
 }
 
 #[test]
-fn what_waits_to_be_accepted_when_the_time_is_over_is_still_answered() {
+fn connections_in_the_accept_queue_at_the_end_of_the_grace_period_are_answered() {
     // The machine has accepted these connections while the program stood still: they count as taken, also where they are
     // more than there are places.
     for places in [492, 20] {
-        answered_out_of_the_queue(places);
+        check_accept_queue_is_answered(places);
     }
 }
 
-fn answered_out_of_the_queue(places: usize) {
+fn check_accept_queue_is_answered(places: usize) {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_connections", json!(places))
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn an_interrupt_ends_it_in_the_same_way() {
+fn sigint_shuts_down_like_sigterm() {
     let sidecar = Setup::new(vec![]).set("/sidecar/accept_after_term_ms", json!(0)).start();
     sidecar.signal("INT");
     let (status, log) = sidecar.wait_for_exit();
@@ -89,7 +89,7 @@
 /// Guards a request that was taken against the end of the process: it has an answer before. What never came whole was not
 /// taken, and does not hold the end up.
 #[test]
-fn what_is_in_hand_at_the_last_is_answered_and_it_ends_by_itself() {
+fn request_in_flight_at_the_shutdown_limit_is_answered_before_the_exit() {
     let server = FakeServer::start(|_, _| Action::Hang);
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/settings/classes/0/aim", json!(60_000_000))
@@ -113,64 +113,76 @@
 }
 
 /// Starts the program with one thing wrong; it must end with a message that names it.
-fn fails(setup: Setup, message: &str) {
+fn assert_start_fails(setup: Setup, message: &str) {
     let (status, log) = setup.spawn().wait_for_exit();
     assert!(!status.success(), "it started: {message}");
     assert!(log.contains(message), "'{message}' is not in: {log}");
 }
 
-fn without(key: &str) -> Setup {
+fn setup_without(key: &str) -> Setup {
     let mut setup = Setup::new(vec![]);
     setup.config.as_object_mut().unwrap().remove(key);
     setup
 }
 
-fn with(pointer: &str, value: Value) -> Setup {
+fn setup_with(pointer: &str, value: Value) -> Setup {
     Setup::new(vec![]).set(pointer, value)
 }
 
-fn with_env(name: &'static str, value: &str) -> Setup {
+fn setup_with_env(name: &'static str, value: &str) -> Setup {
     let mut setup = Setup::new(vec![]);
     setup.env.push((name, value.to_owned()));
     setup
 }
 
 #[test]
-fn a_fault_in_what_it_is_told_is_named() {
-    fails(with_env("EDGE_CONFIG", "/nowhere/config.json"), "EDGE_CONFIG: '/nowhere/config.json'");
-    fails(with_env("EDGE_CONFIG", ""), "EDGE_CONFIG is empty");
-    fails(with_env("EDGE_LISTEN", "localhost"), "EDGE_LISTEN: 'localhost'");
-    fails(with_env("EDGE_DISCOVERY", "10.0.0.1"), "EDGE_DISCOVERY: '10.0.0.1'");
-    fails(with("/listen", json!("here")), "EDGE_CONFIG: listen: 'here'");
-    fails(with("/listen", json!(5)), "EDGE_CONFIG: listen: not a string");
-    fails(without("listen"), "neither EDGE_LISTEN nor the key listen");
-    fails(without("discovery"), "neither EDGE_DISCOVERY nor the key discovery");
-    fails(without("name"), "neither EDGE_NAME nor the key name");
-    fails(without("seed"), "EDGE_CONFIG: seed is missing");
-    fails(with("/seed", json!("xyz")), "EDGE_CONFIG: seed: 'xyz'");
-    fails(without("settings"), "EDGE_CONFIG: settings is missing");
-    fails(with("/settings", json!({})), "EDGE_CONFIG: settings: missing field `classes`");
-    fails(with("/settings/classes/0/semantics", json!("odd")), "unknown semantics 'odd'");
-    fails(with("/known", json!({"rev": 1})), "EDGE_CONFIG: known: missing field `targets`");
-    fails(with("/known/targets", json!([{"uid": "s1", "state": "up"}])), "EDGE_CONFIG: known: server s1");
-    fails(with("/limits", json!({"sockets": "many"})), "EDGE_CONFIG: limits");
-    fails(with("/limits/sockets", json!(20)), "EDGE_CONFIG: limits.sockets: 20");
-    fails(with("/sidecar/log", json!("loud")), "EDGE_CONFIG: sidecar.log");
-    fails(with("/sidecar/body_bytes", json!(-1)), "EDGE_CONFIG: sidecar.body_bytes");
-    fails(with("/sidecar/requests", json!(0)), "EDGE_CONFIG: sidecar.requests: 0 is under 1");
-    fails(with("/sidecar/client_connections", json!(900)), "sidecar.client_connections");
-    fails(with("/sidecar", json!([])), "EDGE_CONFIG: sidecar: not an object");
+fn configuration_error_is_named() {
+    assert_start_fails(
+        setup_with_env("EDGE_CONFIG", "/nowhere/config.json"),
+        "EDGE_CONFIG: '/nowhere/config.json'",
+    );
+    assert_start_fails(setup_with_env("EDGE_CONFIG", ""), "EDGE_CONFIG is empty");
+    assert_start_fails(setup_with_env("EDGE_LISTEN", "localhost"), "EDGE_LISTEN: 'localhost'");
+    assert_start_fails(setup_with_env("EDGE_DISCOVERY", "10.0.0.1"), "EDGE_DISCOVERY: '10.0.0.1'");
+    assert_start_fails(setup_with("/listen", json!("here")), "EDGE_CONFIG: listen: 'here'");
+    assert_start_fails(setup_with("/listen", json!(5)), "EDGE_CONFIG: listen: not a string");
+    assert_start_fails(setup_without("listen"), "neither EDGE_LISTEN nor the key listen");
+    assert_start_fails(setup_without("discovery"), "neither EDGE_DISCOVERY nor the key discovery");
+    assert_start_fails(setup_without("name"), "neither EDGE_NAME nor the key name");
+    assert_start_fails(setup_without("seed"), "EDGE_CONFIG: seed is missing");
+    assert_start_fails(setup_with("/seed", json!("xyz")), "EDGE_CONFIG: seed: 'xyz'");
+    assert_start_fails(setup_without("settings"), "EDGE_CONFIG: settings is missing");
+    assert_start_fails(setup_with("/settings", json!({})), "EDGE_CONFIG: settings: missing field `classes`");
+    assert_start_fails(setup_with("/settings/classes/0/semantics", json!("odd")), "unknown semantics 'odd'");
+    assert_start_fails(
+        setup_with("/known", json!({"rev": 1})),
+        "EDGE_CONFIG: known: missing field `targets`",
+    );
+    assert_start_fails(
+        setup_with("/known/targets", json!([{"uid": "s1", "state": "up"}])),
+        "EDGE_CONFIG: known: server s1",
+    );
+    assert_start_fails(setup_with("/limits", json!({"sockets": "many"})), "EDGE_CONFIG: limits");
+    assert_start_fails(setup_with("/limits/sockets", json!(20)), "EDGE_CONFIG: limits.sockets: 20");
+    assert_start_fails(setup_with("/sidecar/log", json!("loud")), "EDGE_CONFIG: sidecar.log");
+    assert_start_fails(setup_with("/sidecar/body_bytes", json!(-1)), "EDGE_CONFIG: sidecar.body_bytes");
+    assert_start_fails(
+        setup_with("/sidecar/requests", json!(0)),
+        "EDGE_CONFIG: sidecar.requests: 0 is under 1",
+    );
+    assert_start_fails(setup_with("/sidecar/client_connections", json!(900)), "sidecar.client_connections");
+    assert_start_fails(setup_with("/sidecar", json!([])), "EDGE_CONFIG: sidecar: not an object");
 }
 
 #[test]
-fn an_address_in_use_is_named() {
+fn listen_address_in_use_is_named() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let listen = taken.local_addr().unwrap().to_string();
-    fails(with("/listen", json!(listen)), &format!("EDGE_LISTEN: {listen}"));
+    assert_start_fails(setup_with("/listen", json!(listen)), &format!("EDGE_LISTEN: {listen}"));
 }
 
 #[test]
-fn unknown_keys_are_passed_over_and_variables_go_before_the_file() {
+fn unknown_keys_are_ignored_and_environment_overrides_the_file() {
     let server = FakeServer::start(|_, _| ok("x"));
     let mut setup = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/settings/new", json!({"a": 1}))
--- a/crates/sidecar/tests/limits.rs
+++ b/crates/sidecar/tests/limits.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_route_has_its_attempts_and_others_keep_theirs() {
+fn attempt_limit_of_a_route_does_not_affect_others() {
     // Each attempt may have run, so reads are repeated, but not on the route.
     let (first, second) = (FakeServer::start(|_, _| Action::Close), FakeServer::start(|_, _| Action::Close));
     let folder = tempfile::tempdir().unwrap();
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn a_full_route_refuses_and_another_is_served() {
-    let (gate, wait) = gated_ok("slow");
+fn full_route_rejects_while_another_is_served() {
+    let (gate, action) = gated_ok("slow");
     let server = FakeServer::start(
-        move |_, message| if message.target() == "/read/slow" { wait.clone() } else { ok("x") },
+        move |_, message| if message.target() == "/read/slow" { action.clone() } else { ok("x") },
     );
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("limits.toml");
@@ -95,9 +95,9 @@
             let seen = sidecar.log.len();
             sidecar.signal("HUP");
             // Each is taken up or refused before the next.
-            let said = if bad { "going on with the old configuration" } else { "taken up: " };
+            let message = if bad { "going on with the old configuration" } else { "taken up: " };
             let end = std::time::Instant::now() + WAIT_TIMEOUT;
-            while !sidecar.log.all()[seen..].iter().any(|line| line.contains(said)) {
+            while !sidecar.log.all()[seen..].iter().any(|line| line.contains(message)) {
                 if std::time::Instant::now() >= end {
                     // Else the workers would ask on for good.
                     done.store(true, Ordering::SeqCst);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_file_at_fault_ends_the_start_with_all_its_faults() {
+fn invalid_limits_file_fails_the_start_with_all_its_faults() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("limits.toml");
     std::fs::write(&file, "[defaults]\nattempts = 0\ntimeout = 3").unwrap();
@@ -127,7 +127,7 @@
     assert!(log.contains("2 faults") && log.contains("DL005") && log.contains("DL003"), "{log}");
 }
 
-fn program(arguments: &[&str]) -> Output {
+fn run_cli(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_dunlincleat"))
         .args(arguments)
         .env_remove("EDGE_CONFIG")
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn the_command_line_proves_shows_and_explains() {
+fn command_line_checks_shows_and_explains() {
     let folder = tempfile::tempdir().unwrap();
     let path = |name: &str| folder.path().join(name).display().to_string();
     let (file, config) = (path("limits.toml"), path("config.json"));
@@ -144,32 +144,32 @@
     std::fs::write(&file, "[defaults]\nattempts = 7\n\n[[route]]\nname = 'x'\nmatch = { class = 'reed' }")
         .unwrap();
     let text = |output: &Output| String::from_utf8_lossy(&output.stdout).into_owned();
-    let found = program(&["check", &file, "--settings", &config]);
+    let found = run_cli(&["check", &file, "--settings", &config]);
     assert_eq!(found.status.code(), Some(1));
     assert!(text(&found).contains(":2:12: error DL020: defaults.attempts:"), "{}", text(&found));
     assert!(text(&found).contains(":6:19: error DL010: route[0].match.class:"), "{}", text(&found));
-    let found = program(&["check", &file, "--settings", &config, "--format", "json"]);
+    let found = run_cli(&["check", &file, "--settings", &config, "--format", "json"]);
     let told: serde_json::Value = serde_json::from_slice(&found.stdout).unwrap();
     assert_eq!((&told["errors"], &told["faults"][0]["code"]), (&json!(2), &json!("DL020")));
     // Without settings its form alone is proved, and that is said.
-    let form = program(&["check", &file]);
+    let form = run_cli(&["check", &file]);
     assert_eq!(form.status.code(), Some(0));
     assert!(text(&form).contains("its form alone"));
-    assert_eq!(program(&["check", &path("none.toml")]).status.code(), Some(2));
-    assert_eq!(program(&["check", &file, "--settings", &file]).status.code(), Some(2));
+    assert_eq!(run_cli(&["check", &path("none.toml")]).status.code(), Some(2));
+    assert_eq!(run_cli(&["check", &file, "--settings", &file]).status.code(), Some(2));
     std::fs::write(
         &file,
         "[defaults]\nattempts = 1\n[[route]]\nname = 'x'\ntimeout = '90ms'\nmatch = { class = 'pay' }",
     )
     .unwrap();
-    let shown = text(&program(&["route", &file, "--settings", &config, "--class", "pay"]));
+    let shown = text(&run_cli(&["route", &file, "--settings", &config, "--class", "pay"]));
     assert!(shown.contains("route x (line 4)"), "{shown}");
     assert!(shown.contains("attempts         1  (line 2)") && shown.contains("90ms  (line 5)"), "{shown}");
-    let shown = text(&program(&["route", &file, "--settings", &config, "--class", "read"]));
+    let shown = text(&run_cli(&["route", &file, "--settings", &config, "--class", "read"]));
     assert!(shown.contains("route default (no route matches)"), "{shown}");
-    assert_eq!(program(&["route", &file, "--settings", &config, "--class", "reed"]).status.code(), Some(2));
-    assert!(text(&program(&["explain", "dl033"])).contains("key is forgotten"));
-    assert_eq!(program(&["explain", "DL999"]).status.code(), Some(2));
-    assert!(text(&program(&["completions", "bash"])).contains("dunlincleat"));
-    assert!(text(&program(&["manual"])).contains(".TH dunlincleat"));
+    assert_eq!(run_cli(&["route", &file, "--settings", &config, "--class", "reed"]).status.code(), Some(2));
+    assert!(text(&run_cli(&["explain", "dl033"])).contains("key is forgotten"));
+    assert_eq!(run_cli(&["explain", "DL999"]).status.code(), Some(2));
+    assert!(text(&run_cli(&["completions", "bash"])).contains("dunlincleat"));
+    assert!(text(&run_cli(&["manual"])).contains(".TH dunlincleat"));
 }
--- a/crates/sidecar/tests/operators.rs
+++ b/crates/sidecar/tests/operators.rs
@@ -15,7 +15,7 @@
 }
 
 /// A figure as the console tells it now.
-fn figure(console: SocketAddr, name: &str) -> i64 {
+fn metric(console: SocketAddr, name: &str) -> i64 {
     let text = console_call(console, b"stats\n");
     assert!(text.ends_with("\nEND\n"), "{text}");
     let line = text.lines().find_map(|line| line.strip_prefix(&format!("svc_{name} ")));
@@ -23,15 +23,15 @@
 }
 
 /// Waits until a figure is as it should be.
-fn figure_becomes(console: SocketAddr, name: &str, value: i64) {
+fn wait_for_metric(console: SocketAddr, name: &str, value: i64) {
     let end = Instant::now() + WAIT_TIMEOUT;
-    while figure(console, name) != value {
-        assert!(Instant::now() < end, "{name} is {}, not {value}", figure(console, name));
+    while metric(console, name) != value {
+        assert!(Instant::now() < end, "{name} is {}, not {value}", metric(console, name));
     }
 }
 
 #[test]
-fn the_console_answers_each_call_whoever_else_says_nothing() {
+fn console_answers_while_other_connections_are_silent() {
     let (setup, console) = with_console(Setup::new(vec![]));
     let sidecar = setup.start();
     // More silent and half-spoken callers than there are places: the oldest goes, nobody waits.
@@ -67,7 +67,7 @@
 
 /// Guards the figures: what was asked is what ended, under its class and in its way.
 #[test]
-fn each_request_is_counted_once_and_attempts_when_they_are_whole() {
+fn each_request_and_each_finished_attempt_is_counted_once() {
     let server = FakeServer::start(|n, m| match m.target() {
         "/once" if n % 2 == 0 => Action::Close,
         _ => ok("x"),
@@ -94,14 +94,14 @@
     }
     assert_eq!(ends.values().sum::<i64>(), 30);
     assert!(count(true, 502) > 0 && count(false, 200) > 0);
-    assert_eq!(figure(console, "upstream_tries"), server.request_count() as i64);
-    assert_eq!((figure(console, "in_progress"), figure(console, "known_endpoints")), (0, 2));
+    assert_eq!(metric(console, "upstream_tries"), server.request_count() as i64);
+    assert_eq!((metric(console, "in_progress"), metric(console, "known_endpoints")), (0, 2));
 }
 
 #[test]
-fn standby_sends_clients_away_and_loses_nothing_and_active_ends_it() {
-    let (gate, wait) = gated_ok("finished");
-    let server = FakeServer::start(move |n, _| if n == 1 { wait.clone() } else { ok("x") });
+fn standby_closes_client_connections_without_loss_until_active() {
+    let (gate, action) = gated_ok("finished");
+    let server = FakeServer::start(move |n, _| if n == 1 { action.clone() } else { ok("x") });
     let (setup, console) = with_console(Setup::new(vec![entry("s1", server.address, "up")]));
     let sidecar = setup.start();
     let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -134,17 +134,17 @@
     }
 }
 
-fn named<'a>(config: &'a mut Value, name: &str) -> &'a mut Value {
+fn class_mut<'a>(config: &'a mut Value, name: &str) -> &'a mut Value {
     let classes = config["settings"]["classes"].as_array_mut().unwrap();
     classes.iter_mut().find(|class| class["name"] == name).unwrap()
 }
 
 /// Guards open requests: they keep the class that they were taken under, whatever a reload makes of it.
 #[test]
-fn settings_are_taken_up_whole_and_open_requests_keep_their_class() {
-    let (gate, wait) = gated_ok("late");
+fn settings_reload_is_atomic_and_open_requests_keep_their_class() {
+    let (gate, action) = gated_ok("late");
     let server = FakeServer::start(move |n, m| match (n, m.target()) {
-        (0, _) => wait.clone(),
+        (0, _) => action.clone(),
         (_, "/pay") => Action::Close,
         _ => ok("x"),
     });
@@ -160,15 +160,15 @@
 
     // A class comes, the open request's class goes, a class becomes one that must not run twice.
     let mut config = sidecar.config.clone();
-    named(&mut config, "pay")["semantics"] = json!("fragile");
-    let mut added = named(&mut config, "read").clone();
+    class_mut(&mut config, "pay")["semantics"] = json!("fragile");
+    let mut added = class_mut(&mut config, "read").clone();
     added["name"] = json!("new");
     let classes = config["settings"]["classes"].as_array_mut().unwrap();
     classes.retain(|class| class["name"] != "once");
     classes.insert(0, added);
     config["settings"]["limits"]["try_limit"] = json!(2);
     sidecar.reload(&config.to_string());
-    figure_becomes(console, "loads", 1);
+    wait_for_metric(console, "loads", 1);
     let end = Instant::now() + WAIT_TIMEOUT;
     while sidecar.request(new).status() != 200 {
         assert!(Instant::now() < end, "the new class is not known");
@@ -197,34 +197,34 @@
         config.to_string()
     };
     let text = good.to_string();
-    for (file, said) in [
+    for (file, message) in [
         (String::new(), "EDGE_CONFIG: not JSON"),
         (text[..text.len() / 2].to_owned(), "EDGE_CONFIG: not JSON"),
         (
-            broken(&|c| named(c, "new")["deadline"] = json!(0)),
+            broken(&|c| class_mut(c, "new")["deadline"] = json!(0)),
             "classes[0].deadline: 0 is no number of microseconds",
         ),
         (
-            broken(&|c| named(c, "new")["deadline"] = json!(-5)),
+            broken(&|c| class_mut(c, "new")["deadline"] = json!(-5)),
             "classes[0].deadline: invalid value: integer `-5`",
         ),
         (
-            broken(&|c| named(c, "new")["deadline"] = json!("soon")),
+            broken(&|c| class_mut(c, "new")["deadline"] = json!("soon")),
             "classes[0].deadline: invalid type: string",
         ),
         (
-            broken(&|c| named(c, "new")["deadline"] = json!(1e300)),
+            broken(&|c| class_mut(c, "new")["deadline"] = json!(1e300)),
             "classes[0].deadline: invalid type: floating",
         ),
         (
-            broken(&|c| drop(named(c, "new").as_object_mut().unwrap().remove("deadline"))),
+            broken(&|c| drop(class_mut(c, "new").as_object_mut().unwrap().remove("deadline"))),
             "missing field `deadline`",
         ),
         (
-            broken(&|c| drop(named(c, "new").as_object_mut().unwrap().remove("gain"))),
+            broken(&|c| drop(class_mut(c, "new").as_object_mut().unwrap().remove("gain"))),
             "settings.classes[0].gain is missing",
         ),
-        (broken(&|c| named(c, "new")["name"] = json!("read")), "'read' stands there twice"),
+        (broken(&|c| class_mut(c, "new")["name"] = json!("read")), "'read' stands there twice"),
         (
             broken(&|c| c["settings"]["limits"]["try_limit"] = json!(0)),
             "limits.try_limit: 0 is no number of attempts",
@@ -241,22 +241,22 @@
     ] {
         sidecar.reload(&file);
         errors += 1;
-        figure_becomes(console, "load_errors", errors);
-        sidecar.wait_for_log(said);
-        assert_eq!(sidecar.request(new).status(), 200, "{said}");
+        wait_for_metric(console, "load_errors", errors);
+        sidecar.wait_for_log(message);
+        assert_eq!(sidecar.request(new).status(), 200, "{message}");
     }
-    assert_eq!(figure(console, "loads"), 1);
+    assert_eq!(metric(console, "loads"), 1);
 }
 
 /// A listening socket that the processes under test inherit.
-fn platforms_listener() -> (TcpListener, SocketAddr) {
+fn inherited_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind(unique_address()).unwrap();
     socket2::SockRef::from(&listener).set_cloexec(false).unwrap();
     let at = listener.local_addr().unwrap();
     (listener, at)
 }
 
-fn on(listener: &TcpListener, at: SocketAddr, known: Vec<Value>) -> (Setup, SocketAddr) {
+fn setup_on_listener(listener: &TcpListener, at: SocketAddr, known: Vec<Value>) -> (Setup, SocketAddr) {
     let mut setup = Setup::new(known).set("/listen", json!(at.to_string()));
     setup.env.push(("EDGE_INHERITED_FD", listener.as_raw_fd().to_string()));
     // The name is that of the presence, in a folder that tests of this run share.
@@ -265,11 +265,11 @@
 
 /// Guards a new version under load: no request meets a refused, reset or unread connection.
 #[test]
-fn a_second_process_takes_over_and_no_request_is_lost() {
+fn handover_to_a_second_process_loses_no_request() {
     let server = FakeServer::start(|_, _| ok("x"));
-    let (listener, at) = platforms_listener();
+    let (listener, at) = inherited_listener();
     let known = vec![entry("s1", server.address, "up")];
-    let (setup, _) = on(&listener, at, known.clone());
+    let (setup, _) = setup_on_listener(&listener, at, known.clone());
     // What it keeps idle is closed at two thirds of this, long after it is used here.
     let old = setup.set("/sidecar/accept_after_term_ms", json!(6000)).start();
     let mut kept = old.connect();
@@ -293,7 +293,7 @@
             asked
         };
         let workers: Vec<_> = (0..4).map(|n| scope.spawn(move || asks(n))).collect();
-        let (setup, console) = on(&listener, at, known);
+        let (setup, console) = setup_on_listener(&listener, at, known);
         // Its socket answers from the start on: the old process serves it.
         let new = setup.spawn();
         new.wait_for_log("listening on");
@@ -307,9 +307,9 @@
         let (status, log) = old.wait_for_exit();
         assert!(status.success(), "{log}");
         new.wait_for_log("another process of this sidecar runs no more: ");
-        let before = figure(console, "upstream_tries");
+        let before = metric(console, "upstream_tries");
         let end = Instant::now() + WAIT_TIMEOUT;
-        while figure(console, "upstream_tries") < before + 100 {
+        while metric(console, "upstream_tries") < before + 100 {
             assert!(Instant::now() < end, "the new process serves nobody");
         }
         stop.store(true, std::sync::atomic::Ordering::SeqCst);
@@ -321,14 +321,14 @@
 /// The old process ends, with a request under way, while the new one is not there yet: what comes meanwhile waits in the
 /// socket that the platform holds, and is served by the new one.
 #[test]
-fn what_comes_between_two_processes_waits_for_the_new_one() {
-    let (gate, wait) = gated_ok("0");
-    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok(&n.to_string()) });
-    let (listener, at) = platforms_listener();
+fn connections_between_two_processes_wait_for_the_new_one() {
+    let (gate, action) = gated_ok("0");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok(&n.to_string()) });
+    let (listener, at) = inherited_listener();
     let known = vec![entry("s1", server.address, "up")];
-    let old = on(&listener, at, known.clone()).0.start();
-    let mut under_way = old.connect();
-    under_way.send(&once_request("r0"));
+    let old = setup_on_listener(&listener, at, known.clone()).0.start();
+    let mut in_flight = old.connect();
+    in_flight.send(&once_request("r0"));
     server.requests.wait(1, "requests");
     old.signal("TERM");
     old.wait_for_log("told to end");
@@ -342,10 +342,10 @@
         })
         .collect();
     gate.send(()).unwrap();
-    assert_eq!(under_way.read_response().text(), "0");
+    assert_eq!(in_flight.read_response().text(), "0");
     let (status, log) = old.wait_for_exit();
     assert!(status.success(), "{log}");
-    let _new = on(&listener, at, known).0.spawn();
+    let _new = setup_on_listener(&listener, at, known).0.spawn();
     for client in &mut between {
         let mut answer = String::new();
         client.read_to_string(&mut answer).unwrap();
@@ -356,40 +356,42 @@
 /// A new process takes over while a body longer than is held comes in, and an answer longer than is held goes out, both half
 /// way: the old process brings both to their end, and then ends, whatever the new one serves beside it.
 #[test]
-fn uploads_and_long_answers_under_way_at_a_hand_over_come_to_their_ends() {
-    const LONG: usize = 400_000;
-    let (gate, rest) = gated(Action::Raw("x".repeat(LONG / 2), AfterWrite::KeepOpen));
+fn uploads_and_long_responses_in_flight_at_a_handover_complete() {
+    const LONG_BODY_BYTES: usize = 400_000;
+    let (gate, second_half) = gated(Action::Raw("x".repeat(LONG_BODY_BYTES / 2), AfterWrite::KeepOpen));
     let server = FakeServer::start(move |_, message| match message.target() {
         "/read/long" => {
-            let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n");
-            let half = Action::Raw(told + &"x".repeat(LONG / 2), AfterWrite::KeepOpen);
-            Action::Sequence(Box::new(half), Box::new(rest.clone()))
+            let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n");
+            let half = Action::Raw(told + &"x".repeat(LONG_BODY_BYTES / 2), AfterWrite::KeepOpen);
+            Action::Sequence(Box::new(half), Box::new(second_half.clone()))
         }
         "/once" => ok(&message.body.len().to_string()),
         _ => ok("x"),
     });
-    let (listener, at) = platforms_listener();
+    let (listener, at) = inherited_listener();
     let known = vec![entry("s1", server.address, "up")];
-    let (setup, _) = on(&listener, at, known.clone());
+    let (setup, _) = setup_on_listener(&listener, at, known.clone());
     let old = setup.set("/sidecar/end_after_term_ms", json!(60_000)).start();
     let mut upload = old.connect();
-    upload.send(&once_request("up").replace("Content-Length: 4", &format!("Content-Length: {LONG}")));
+    upload.send(
+        &once_request("up").replace("Content-Length: 4", &format!("Content-Length: {LONG_BODY_BYTES}")),
+    );
     // What is ahead of the body's end by now, with the four bytes that came with the head.
     let mut part = |bytes: usize| upload.stream.write_all("x".repeat(bytes).as_bytes()).unwrap();
-    part(LONG / 2);
+    part(LONG_BODY_BYTES / 2);
     old.wait_for_log("attempt 0 of request 0 goes out");
     let mut download = old.connect();
     download.send(&read_request("down").replace("GET /read", "GET /read/long"));
     let mut begun = [0; 1];
     download.stream.read_exact(&mut begun).unwrap();
-    let (setup, console) = on(&listener, at, known);
+    let (setup, console) = setup_on_listener(&listener, at, known);
     let new = setup.spawn();
     new.wait_for_log("listening on");
     part(1000);
     old.signal("TERM");
     old.wait_for_log("told to end");
     let end = Instant::now() + WAIT_TIMEOUT;
-    while figure(console, "upstream_tries") == 0 {
+    while metric(console, "upstream_tries") == 0 {
         assert!(Instant::now() < end, "the new process serves nobody");
         let mut client = TcpStream::connect(at).unwrap();
         client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -400,44 +402,50 @@
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
     assert!(!server.request_ids().contains(&"up".to_owned()), "the upload was to be under way still");
-    part(LONG - LONG / 2 - 1000 - "body".len());
+    part(LONG_BODY_BYTES - LONG_BODY_BYTES / 2 - 1000 - "body".len());
     let answer = upload.read_response();
-    assert_eq!((answer.text(), answer.header("connection")), (LONG.to_string(), Some("close")));
+    assert_eq!((answer.text(), answer.header("connection")), (LONG_BODY_BYTES.to_string(), Some("close")));
     gate.send(()).unwrap();
     let mut got = Vec::new();
     download.stream.read_to_end(&mut got).unwrap();
     let body = got.windows(4).position(|bytes| bytes == b"\r\n\r\n").unwrap() + 4;
-    assert_eq!(got.len() - body, LONG);
+    assert_eq!(got.len() - body, LONG_BODY_BYTES);
     let (status, log) = old.wait_for_exit();
     assert!(status.success() && !log.contains("still open"), "{log}");
 }
 
 #[test]
-fn what_is_told_wrong_ends_the_start_and_disturbs_nobody() {
-    let (listener, at) = platforms_listener();
-    let (setup, console) = on(&listener, at, vec![]);
+fn invalid_startup_options_fail_without_disturbing_a_running_process() {
+    let (listener, at) = inherited_listener();
+    let (setup, console) = setup_on_listener(&listener, at, vec![]);
     let first = setup.start();
-    let fails = |setup: Setup, said: &str| {
+    let assert_start_fails = |setup: Setup, message: &str| {
         let (status, log) = setup.spawn().wait_for_exit();
-        assert!(!status.success() && log.contains(said), "{said} is not in {log}");
+        assert!(!status.success() && log.contains(message), "{message} is not in {log}");
     };
-    for (fd, said) in [
+    for (fd, message) in [
         ("four", "EDGE_INHERITED_FD: 'four' is no descriptor"),
         ("1", "EDGE_INHERITED_FD: '1' is no descriptor"),
         ("999", "EDGE_INHERITED_FD: 999 is no open descriptor"),
     ] {
         let mut setup = Setup::new(vec![]);
         setup.env.push(("EDGE_INHERITED_FD", fd.to_owned()));
-        fails(setup, said);
+        assert_start_fails(setup, message);
     }
-    let (setup, _) = on(&listener, unique_address(), vec![]);
-    fails(setup, "right would be");
+    let (setup, _) = setup_on_listener(&listener, unique_address(), vec![]);
+    assert_start_fails(setup, "right would be");
     let in_use = json!(console.to_string());
-    fails(Setup::new(vec![]).set("/console", in_use), &format!("console: '{console}' can't be listened on"));
+    assert_start_fails(
+        Setup::new(vec![]).set("/console", in_use),
+        &format!("console: '{console}' can't be listened on"),
+    );
     let same = Setup::new(vec![]);
     let listen = same.config["listen"].clone();
-    fails(same.set("/console", listen), "is where clients connect");
-    fails(Setup::new(vec![]).set("/console", json!("here")), "console: 'here' is not an address and port");
+    assert_start_fails(same.set("/console", listen), "is where clients connect");
+    assert_start_fails(
+        Setup::new(vec![]).set("/console", json!("here")),
+        "console: 'here' is not an address and port",
+    );
     assert_eq!(console_call(console, b"status\n"), "YES active\n");
     drop(first);
 }
--- a/crates/sidecar/tests/outcomes.rs
+++ b/crates/sidecar/tests/outcomes.rs
@@ -4,18 +4,18 @@
 
 use common::*;
 use serde_json::json;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::TcpListener;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
 /// Two servers of which the one asked first does as told, whichever it is; the other serves.
-struct Pair {
+struct ServerPair {
     servers: [FakeServer; 2],
     sidecar: Sidecar,
 }
 
-fn pair(first: Action) -> Pair {
+fn start_pair(first: Action) -> ServerPair {
     let asked = Arc::new(AtomicUsize::new(0));
     let servers = [(), ()].map(|()| {
         let (asked, first) = (asked.clone(), first.clone());
@@ -26,68 +26,79 @@
     });
     let known = vec![entry("s1", servers[0].address, "up"), entry("s2", servers[1].address, "up")];
     let sidecar = Setup::new(known).start();
-    Pair { servers, sidecar }
+    ServerPair { servers, sidecar }
 }
 
-impl Pair {
+impl ServerPair {
     fn attempts(&self) -> usize {
         self.servers.iter().map(FakeServer::request_count).sum()
     }
 }
 
-fn error() -> Action {
+fn error_response() -> Action {
     Action::Reply { status: 500, headers: vec![], body: "broken".into() }
 }
 
-/// What each kind of request is answered, and after how many attempts, where the first attempt ends so.
-fn expect(first: &Action, read_is: (u16, usize), once_is: (u16, usize), pay_is: (u16, usize)) {
-    for (request, (status, attempts)) in
-        [(read_request("r1"), read_is), (once_request("r1"), once_is), (pay_request("r1"), pay_is)]
+/// How a request ended.
+#[derive(Debug, PartialEq, Eq)]
+struct Outcome {
+    status: u16,
+    attempts: usize,
+}
+
+const RETRIED: Outcome = Outcome { status: 200, attempts: 2 };
+const NOT_RETRIED: Outcome = Outcome { status: 502, attempts: 1 };
+
+/// Checks the outcome of a request of each class whose first attempt gets this action.
+fn check_outcomes(first: &Action, read: Outcome, once: Outcome, pay: Outcome) {
+    for (request, expected) in
+        [(read_request("r1"), read), (once_request("r1"), once), (pay_request("r1"), pay)]
     {
-        let pair = pair(first.clone());
-        let answer = pair.sidecar.request(&request);
-        assert_eq!((answer.status(), pair.attempts()), (status, attempts), "{request}");
-        if status == 200 {
-            assert_eq!(answer.text(), "served");
+        let pair = start_pair(first.clone());
+        let response = pair.sidecar.request(&request);
+        let outcome = Outcome { status: response.status(), attempts: pair.attempts() };
+        assert_eq!(outcome, expected, "{request}");
+        if expected.status == 200 {
+            assert_eq!(response.text(), "served");
         }
     }
 }
 
 #[test]
-fn an_error_may_have_run() {
-    expect(&error(), (200, 2), (502, 1), (200, 2));
+fn error_response_is_retried_only_where_a_repeat_is_safe() {
+    check_outcomes(&error_response(), RETRIED, NOT_RETRIED, RETRIED);
 }
 
 #[test]
-fn an_answer_of_no_known_status_may_have_run() {
-    expect(&status_only(404), (200, 2), (502, 1), (200, 2));
-    expect(&status_only(503), (200, 2), (502, 1), (200, 2));
+fn unexpected_status_is_retried_only_where_a_repeat_is_safe() {
+    check_outcomes(&status_only(404), RETRIED, NOT_RETRIED, RETRIED);
+    check_outcomes(&status_only(503), RETRIED, NOT_RETRIED, RETRIED);
 }
 
 #[test]
-fn what_was_turned_away_never_ran() {
-    expect(&rejected(503), (200, 2), (200, 2), (200, 2));
-    expect(&rejected(504), (200, 2), (200, 2), (200, 2));
+fn rejected_attempt_is_retried_in_every_class() {
+    check_outcomes(&rejected(503), RETRIED, RETRIED, RETRIED);
+    check_outcomes(&rejected(504), RETRIED, RETRIED, RETRIED);
 }
 
 #[test]
-fn a_connection_that_ends_before_the_answer_may_have_run() {
-    expect(&Action::Close, (200, 2), (502, 1), (200, 2));
+fn connection_closed_before_the_response_is_retried_only_where_a_repeat_is_safe() {
+    check_outcomes(&Action::Close, RETRIED, NOT_RETRIED, RETRIED);
 }
 
 #[test]
-fn a_connection_that_ends_within_the_answer_may_have_run() {
+fn truncated_response_is_retried_only_where_a_repeat_is_safe() {
     // awc ends such a body as if it were whole: it was once served so.
     let half = Action::Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf".into(), AfterWrite::Close);
-    expect(&half, (200, 2), (502, 1), (200, 2));
+    check_outcomes(&half, RETRIED, NOT_RETRIED, RETRIED);
 }
 
 #[test]
-fn a_chunked_answer_is_served_whole_or_not_at_all() {
+fn chunked_response_is_complete_or_an_error() {
     let chunked = |body: &str, then| {
         Action::Raw(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{body}"), then)
     };
-    let pair = pair(chunked("4\r\nhalf\r\n", AfterWrite::Close));
+    let pair = start_pair(chunked("4\r\nhalf\r\n", AfterWrite::Close));
     assert_eq!(pair.sidecar.request(&once_request("r1")).status(), 502);
     let server =
         FakeServer::start(move |_, _| chunked("4\r\nwhol\r\n1\r\ne\r\n0\r\n\r\n", AfterWrite::KeepOpen));
@@ -98,8 +109,8 @@
 }
 
 #[test]
-fn a_redirect_is_not_followed() {
-    let pair = pair(Action::Reply {
+fn redirect_is_not_followed() {
+    let pair = start_pair(Action::Reply {
         status: 302,
         headers: vec![("Location", "/once/again".into())],
         body: String::new(),
@@ -109,8 +120,8 @@
 }
 
 #[test]
-fn a_repeat_carries_the_same_names() {
-    let pair = pair(error());
+fn retry_carries_the_same_request_id_and_idempotency_key() {
+    let pair = start_pair(error_response());
     assert_eq!(pair.sidecar.request(&pay_request("r9")).status(), 200);
     for server in &pair.servers {
         let got = server.requests.wait(1, "requests").remove(0).message;
@@ -119,7 +130,7 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
+fn refused_connection_is_retried_on_another_server() {
     // Each request whose first draw is the closed port must be served by the other server all the same.
     let server = FakeServer::start(|_, _| ok("served"));
     for _ in 0..8 {
@@ -131,22 +142,11 @@
     }
 }
 
-/// A listener whose queue is full: connections to it never come up.
-fn unreachable() -> (TcpListener, Vec<TcpStream>, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    let mut held = Vec::new();
-    while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-        held.push(stream);
-    }
-    (listener, held, address)
-}
-
 #[test]
-fn a_connection_that_never_comes_up_never_ran() {
-    let (_listener, _held, address) = unreachable();
+fn connect_timeout_is_retried_on_another_server() {
+    let saturated = SaturatedListener::new();
     let server = FakeServer::start(|_, _| ok("served"));
-    let known = vec![entry("s1", address, "up"), entry("s2", server.address, "up")];
+    let known = vec![entry("s1", saturated.address, "up"), entry("s2", server.address, "up")];
     let sidecar = Setup::new(known).start();
     for n in 0..6 {
         assert_eq!(sidecar.request(&once_request(&format!("r{n}"))).status(), 200);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn an_attempt_without_an_answer_ends_in_time_and_with_its_connection() {
+fn unanswered_attempt_times_out_and_closes_its_connection() {
     let server = FakeServer::start(|_, _| Action::Hang);
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let start = Instant::now();
@@ -165,9 +165,9 @@
 }
 
 #[test]
-fn a_connection_carries_one_request_at_a_time_and_is_used_again() {
-    let (gate, wait) = gated_ok("first");
-    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("later") });
+fn server_connection_carries_one_request_at_a_time_and_is_reused() {
+    let (gate, action) = gated_ok("first");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok("later") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let mut first = sidecar.connect();
     first.send(&read_request("r1"));
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_well_before_the_servers_own_time() {
+fn idle_server_connection_is_closed_before_the_servers_idle_timeout() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/settings/limits/conn_idle", json!(4_000_000))
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_connection_that_the_server_closed_while_idle_is_not_written_to() {
+fn connection_closed_by_the_server_while_idle_is_not_reused() {
     // Ends each connection after its answer without a word in the answer's head.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -221,9 +221,9 @@
 }
 
 #[test]
-fn the_bound_on_server_connections_refuses_and_keeps_serving() {
-    let (gate, wait) = gated_ok("first");
-    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("later") });
+fn server_connection_limit_rejects_requests_and_recovers() {
+    let (gate, action) = gated_ok("first");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok("later") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/server_connections", json!(1))
         .start();
@@ -241,7 +241,7 @@
 }
 
 /// Asks until nearly all of fifty requests in a row are answered by this server, which fair draws never bring.
-fn leans_to(sidecar: &Sidecar, server: &str) {
+fn wait_until_preferred(sidecar: &Sidecar, server: &str) {
     let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         let answers = (0..50).map(|n| sidecar.request(&read_request(&format!("r{n}"))).text());
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn load_reports_in_answers_move_the_draws() {
+fn load_reports_in_responses_shift_the_draws() {
     let report = |inflight: u32| {
         let load = format!(r#"{{"inflight":{inflight},"queue":{inflight},"util":0.5,"other":1}}"#);
         vec![("X-Server-Load", load)]
@@ -272,11 +272,11 @@
     });
     let known = vec![entry("s1", busy.address, "up"), entry("s2", light.address, "up")];
     let sidecar = Setup::new(known).start();
-    leans_to(&sidecar, "light");
+    wait_until_preferred(&sidecar, "light");
 }
 
 #[test]
-fn probes_are_sent_where_the_settings_allow_them_and_their_reports_count() {
+fn probes_are_sent_when_enabled_and_their_load_reports_shift_the_draws() {
     let busy =
         FakeServer::start_with_load(|_, _| ok("busy"), || r#"{"inflight":30,"queue":29,"util":1}"#.into());
     let light =
@@ -291,11 +291,11 @@
         assert!(Instant::now() < end, "no probes");
     }
     assert!(busy.probes.all().iter().all(|p| p == "/load"));
-    leans_to(&sidecar, "light");
+    wait_until_preferred(&sidecar, "light");
 }
 
 #[test]
-fn no_probe_is_sent_where_the_settings_forbid_them() {
+fn no_probes_are_sent_when_disabled() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for n in 0..50 {
@@ -305,13 +305,13 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_within_its_group() {
+fn keyed_retry_stays_within_its_group() {
     // The servers stand in different cells: none but the first may get the repeat, and it just failed.
     let asked = Arc::new(AtomicUsize::new(0));
     let servers = [(), ()].map(|()| {
         let asked = asked.clone();
         FakeServer::start(
-            move |_, _| if asked.fetch_add(1, Ordering::SeqCst) == 0 { error() } else { ok("no") },
+            move |_, _| if asked.fetch_add(1, Ordering::SeqCst) == 0 { error_response() } else { ok("no") },
         )
     });
     let mut known = vec![entry("s1", servers[0].address, "up"), entry("s2", servers[1].address, "up")];
--- a/crates/sidecar/tests/ready.rs
+++ b/crates/sidecar/tests/ready.rs
@@ -15,35 +15,35 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// How long a start may take: nine in ten restarted processes have to be ready by then, here each.
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const READY_DEADLINE: Duration = Duration::from_secs(10);
 /// Starts without the variable, and how many run side by side.
-const STARTS: usize = 4;
-const SIDE_BY_SIDE: usize = 10;
+const DEFAULT_STARTS: usize = 4;
+const PARALLEL_STARTS: usize = 10;
 /// Clients of each process, which ask from before it listens.
-const CLIENTS: usize = 4;
+const CLIENTS_PER_PROCESS: usize = 4;
 /// The size of the settings.
-const CLASSES: usize = 100;
-const TENANTS: usize = 1000;
-const ZONES: usize = 50;
+const CLASS_COUNT: usize = 100;
+const TENANT_COUNT: usize = 1000;
+const ZONE_COUNT: usize = 50;
 /// Servers of a list that do answer; at the others' address nobody listens.
-const ANSWERING: usize = 10;
+const ANSWERING_SERVERS: usize = 10;
 
 /// Each request has an id of its own.
-static IDS: AtomicUsize = AtomicUsize::new(0);
+static NEXT_REQUEST_ID: AtomicUsize = AtomicUsize::new(0);
 
 fn large_settings() -> Value {
     let mut settings = settings();
     let class = settings["classes"][0].clone();
-    for n in settings["classes"].as_array().unwrap().len()..CLASSES {
+    for n in settings["classes"].as_array().unwrap().len()..CLASS_COUNT {
         let mut class = class.clone();
         class["name"] = json!(format!("class-{n}"));
         settings["classes"].as_array_mut().unwrap().push(class);
     }
-    for n in 1..TENANTS {
+    for n in 1..TENANT_COUNT {
         let tenant = json!({"name": format!("tenant-{n}"), "quota_per_s": 100.0, "share": 0.001});
         settings["tenants"].as_array_mut().unwrap().push(tenant);
     }
-    settings["zones"] = (0..ZONES).map(|n| format!("zone-{n}")).collect();
+    settings["zones"] = (0..ZONE_COUNT).map(|n| format!("zone-{n}")).collect();
     settings["balancers"] = json!(300);
     settings
 }
@@ -57,7 +57,7 @@
             None => SocketAddr::from(([127, 64, high, low], 9)),
         };
         let mut entry = entry(&format!("server-{n:05}"), address, "up");
-        entry["az"] = json!(format!("zone-{}", n % ZONES));
+        entry["az"] = json!(format!("zone-{}", n % ZONE_COUNT));
         entry
     });
     let targets: Vec<Value> = entries.collect();
@@ -68,7 +68,7 @@
 }
 
 /// Asks again and again until it is told to stop, from before anybody listens there; gives how many were answered.
-fn asks(listen: SocketAddr, stop: &AtomicBool) -> usize {
+fn request_until_stopped(listen: SocketAddr, stop: &AtomicBool) -> usize {
     let mut answered = 0;
     while !stop.load(Ordering::SeqCst) {
         let Ok(mut stream) = TcpStream::connect(listen) else {
@@ -79,7 +79,7 @@
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let mut input = BufReader::new(stream.try_clone().unwrap());
         while !stop.load(Ordering::SeqCst) {
-            let id = format!("r{}", IDS.fetch_add(1, Ordering::SeqCst));
+            let id = format!("r{}", NEXT_REQUEST_ID.fetch_add(1, Ordering::SeqCst));
             if stream.write_all(read_request(&id).as_bytes()).is_err() {
                 break;
             }
@@ -93,9 +93,9 @@
 }
 
 /// Tells clients to stop when it is dropped.
-struct Stop<'a>(&'a AtomicBool);
+struct StopOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Stop<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
@@ -103,21 +103,21 @@
 
 /// What the log tells of a start, in milliseconds after its process was made.
 #[derive(Debug)]
-struct Start {
+struct StartTimes {
     /// The configuration was read.
-    read: u64,
+    config_read: u64,
     /// The list on disk was read.
-    list: u64,
+    list_read: u64,
     /// Clients can connect.
     listening: u64,
     /// The module has taken the list in.
-    taken: u64,
+    list_applied: u64,
     /// `GET /healthz` was answered with 200.
     ready: u64,
 }
 
 /// Starts one process and measures it until it is ready; `servers` are in its list, and discovery never answers at `discovery`.
-fn start(servers: usize, discovery: SocketAddr, answering: &[FakeServer]) -> Start {
+fn measure_start(servers: usize, discovery: SocketAddr, answering: &[FakeServer]) -> StartTimes {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("list");
     std::fs::write(&file, list_file(servers, answering)).unwrap();
@@ -130,9 +130,9 @@
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
         // A start that failed ends its clients too, else the test would wait for them for ever.
-        let stopped = Stop(&stop);
-        for _ in 0..CLIENTS {
-            scope.spawn(|| asks(listen, &stop));
+        let stop_on_drop = StopOnDrop(&stop);
+        for _ in 0..CLIENTS_PER_PROCESS {
+            scope.spawn(|| request_until_stopped(listen, &stop));
         }
         let (began, wall) = (Instant::now(), SystemTime::now().duration_since(UNIX_EPOCH).unwrap());
         let sidecar = setup.spawn();
@@ -142,31 +142,34 @@
             200
         );
         let ready = began.elapsed().as_millis() as u64;
-        let taken = format!("list as last held revision 9: {servers} up");
-        sidecar.wait_for_log(&taken);
-        drop(stopped);
+        let applied_line = format!("list as last held revision 9: {servers} up");
+        sidecar.wait_for_log(&applied_line);
+        drop(stop_on_drop);
         let lines = sidecar.log.all();
         // A line begins with its Unix time, "seconds.millis".
-        let told = |what: &str| {
+        let logged_at = |what: &str| {
             let line = lines.iter().find(|line| line.contains(what)).unwrap_or_else(|| panic!("no '{what}'"));
             let at: f64 = line.split(' ').next().unwrap().parse().unwrap();
             ((at - wall.as_secs_f64()) * 1000.0).max(0.0) as u64
         };
-        let list = told("list kept in");
-        Start {
-            read: told("sidecar n0 starts"),
-            list,
-            listening: told("listening on"),
-            taken: told(&taken),
+        let list_read = logged_at("list kept in");
+        StartTimes {
+            config_read: logged_at("sidecar n0 starts"),
+            list_read,
+            listening: logged_at("listening on"),
+            list_applied: logged_at(&applied_line),
             ready,
         }
     })
 }
 
-/// A stage's name and its length.
-type Stage = (&'static str, fn(&Start) -> u64);
+/// A stage of the start.
+struct Stage {
+    name: &'static str,
+    duration_ms: fn(&StartTimes) -> u64,
+}
 
-fn tell(what: &str, mut ms: Vec<u64>) {
+fn print_percentiles(what: &str, mut ms: Vec<u64>) {
     ms.sort_unstable();
     let at = |part: f64| ms[((ms.len() - 1) as f64 * part).round() as usize];
     println!("{what}: p50 {} ms, p90 {} ms, max {} ms", at(0.5), at(0.9), at(1.0));
@@ -175,16 +178,17 @@
 /// Guards a process that is started anew in the worst of moments: it is ready within 10 s and serves by the list on disk, with
 /// 200 and with 3,100 servers in it, whether discovery hangs or is down.
 #[test]
-fn a_process_started_under_load_without_discovery_is_ready_in_time() {
-    let starts =
-        std::env::var("READY_STARTS").map_or(STARTS, |n| n.parse().expect("READY_STARTS is no number"));
-    let answering: Vec<FakeServer> = (0..ANSWERING).map(|_| FakeServer::start(|_, _| ok("x"))).collect();
+fn process_started_under_load_without_discovery_is_ready_in_time() {
+    let starts = std::env::var("READY_STARTS")
+        .map_or(DEFAULT_STARTS, |n| n.parse().expect("READY_STARTS is no number"));
+    let answering: Vec<FakeServer> =
+        (0..ANSWERING_SERVERS).map(|_| FakeServer::start(|_, _| ok("x"))).collect();
     // It takes connections and never answers.
     let slow = TcpListener::bind("127.0.0.1:0").unwrap();
     let (down, next) = (unique_address(), AtomicUsize::new(0));
     let measured = Recorder::new();
     thread::scope(|scope| {
-        for _ in 0..SIDE_BY_SIDE.min(starts) {
+        for _ in 0..PARALLEL_STARTS.min(starts) {
             scope.spawn(|| {
                 loop {
                     let n = next.fetch_add(1, Ordering::SeqCst);
@@ -193,7 +197,7 @@
                     }
                     let discovery = if n % 2 == 0 { slow.local_addr().unwrap() } else { down };
                     let servers = if n % 4 < 2 { 200 } else { 3100 };
-                    measured.push(std::sync::Arc::new(start(servers, discovery, &answering)));
+                    measured.push(std::sync::Arc::new(measure_start(servers, discovery, &answering)));
                 }
             });
         }
@@ -201,16 +205,16 @@
     let measured = measured.all();
     assert_eq!(measured.len(), starts);
     let stages: [Stage; 6] = [
-        ("made to configuration read", |s| s.read),
-        ("to list read from disk", |s| s.list - s.read),
-        ("to listening", |s| s.listening - s.list),
-        ("to ready", |s| s.ready.saturating_sub(s.listening)),
-        ("made to list taken in", |s| s.taken),
-        ("made to ready", |s| s.ready),
+        Stage { name: "made to configuration read", duration_ms: |s| s.config_read },
+        Stage { name: "to list read from disk", duration_ms: |s| s.list_read - s.config_read },
+        Stage { name: "to listening", duration_ms: |s| s.listening - s.list_read },
+        Stage { name: "to ready", duration_ms: |s| s.ready.saturating_sub(s.listening) },
+        Stage { name: "made to list taken in", duration_ms: |s| s.list_applied },
+        Stage { name: "made to ready", duration_ms: |s| s.ready },
     ];
-    for (stage, of) in stages {
-        tell(stage, measured.iter().map(|start| of(start)).collect());
+    for stage in stages {
+        print_percentiles(stage.name, measured.iter().map(|start| (stage.duration_ms)(start)).collect());
     }
-    let late: Vec<_> = measured.iter().filter(|s| u128::from(s.ready) > READY_WITHIN.as_millis()).collect();
-    assert!(late.is_empty(), "not ready within {READY_WITHIN:?}: {late:?}");
+    let late: Vec<_> = measured.iter().filter(|s| u128::from(s.ready) > READY_DEADLINE.as_millis()).collect();
+    assert!(late.is_empty(), "not ready within {READY_DEADLINE:?}: {late:?}");
 }
--- a/crates/sidecar/tests/reload.rs
+++ b/crates/sidecar/tests/reload.rs
@@ -6,10 +6,10 @@
 use serde_json::json;
 
 #[test]
-fn discovery_moves_while_a_request_is_in_hand() {
+fn discovery_address_changes_while_a_request_is_in_flight() {
     // Uncaught, the signal once ended the process with all that it had taken.
-    let (gate, wait) = gated_ok("finished");
-    let old = FakeServer::start(move |_, _| wait.clone());
+    let (gate, action) = gated_ok("finished");
+    let old = FakeServer::start(move |_, _| action.clone());
     let (before, after) = (StubDiscovery::start(), StubDiscovery::start());
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&before).start();
     before.watches.wait(1, "watches");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_whole_list_of_the_new_address_counts_whatever_its_versions() {
+fn full_list_of_a_new_discovery_address_applies_whatever_its_revision() {
     let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
     let (before, after) = (StubDiscovery::start(), StubDiscovery::start());
     after.set_full_list(3, vec![entry("s2", new.address, "up")]);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_file_at_fault_changes_nothing_and_the_key_is_named() {
+fn invalid_configuration_file_changes_nothing_and_its_key_is_named() {
     let server = FakeServer::start(|_, _| ok("x"));
     let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).discovery(&discovery).start();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_waits_for_the_next_start_is_named() {
+fn keys_that_need_a_restart_are_named() {
     let sidecar = Setup::new(vec![]).start();
     let mut config = sidecar.config.clone();
     config["sidecar"] = json!({"log": "warn", "requests": 5});
--- a/crates/sidecar/tests/requests.rs
+++ b/crates/sidecar/tests/requests.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
+fn request_and_response_are_forwarded_unchanged() {
     let server = FakeServer::start(|_, _| ok("the answer"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let answer = sidecar.request(
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_request_without_a_body_has_none_on_the_way() {
+fn request_without_a_body_is_forwarded_without_one() {
     let server = FakeServer::start(|_, _| ok(""));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let answer = sidecar.request(&read_request("r1"));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_body_of_the_largest_size_passes_both_ways() {
+fn largest_buffered_body_is_forwarded_in_both_directions() {
     let body = "x".repeat(64 * 1024);
     let echo = body.clone();
     let server = FakeServer::start(move |_, _| ok(&echo));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn malformed_requests_are_told_what_is_wrong_and_go_nowhere() {
+fn malformed_requests_are_rejected_and_not_forwarded() {
     let server = FakeServer::start(|_, _| ok(""));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let cases = [
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_connection_is_kept_for_the_next_request() {
+fn client_connection_is_kept_alive() {
     let server = FakeServer::start(|n, _| ok(&n.to_string()));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let mut client = sidecar.connect();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn with_no_server_a_request_is_refused_in_time() {
+fn request_without_any_server_is_rejected_before_its_deadline() {
     let sidecar = Setup::new(vec![]).start();
     let start = Instant::now();
     for request in [read_request("r1"), once_request("r2"), pay_request("r3")] {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_where_the_site_allows_it() {
+fn rejection_has_retry_after_when_enabled() {
     let sidecar = Setup::new(vec![])
         .set("/settings/limits/retry_after", json!(true))
         .set("/settings/limits/max_retry_after", json!(50_000))
@@ -100,9 +100,9 @@
 }
 
 #[test]
-fn a_hint_of_work_reaches_the_rules() {
-    let (gate, wait) = gated_ok("first");
-    let server = FakeServer::start(move |n, _| if n == 0 { wait.clone() } else { ok("x") });
+fn cost_hint_reaches_the_decision_module() {
+    let (gate, action) = gated_ok("first");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok("x") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let with_hint =
         |id: &str, cost: &str| read_request(id).replace("\r\n\r\n", &format!("\r\nX-Cost: {cost}\r\n\r\n"));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn the_clients_deadline_is_answered_and_the_attempt_given_up() {
+fn client_deadline_is_answered_and_the_attempt_abandoned() {
     let server = FakeServer::start(|_, _| Action::Hang);
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for (request, status) in [(read_request("r1"), 503), (once_request("r2"), 502)] {
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_client_that_closes_gives_its_place_back() {
+fn closed_client_releases_its_request_slot() {
     let server = FakeServer::start(|n, _| if n == 0 { Action::Hang } else { ok("second") });
     // Were the first request still in hand, the bound would have the second refused.
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_line_that_each_request_could_bring_is_written_seldom() {
+fn per_request_log_lines_are_rate_limited() {
     let sidecar = Setup::new(vec![]).start();
     let start = Instant::now();
     for _ in 0..200 {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn one_connection_too_many_is_told_so() {
+fn connection_over_the_client_limit_is_rejected() {
     let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_connections", json!(1))
--- a/crates/sidecar/tests/services.rs
+++ b/crates/sidecar/tests/services.rs
@@ -5,7 +5,7 @@
 use common::*;
 use serde_json::{Value, json};
 
-fn of(service: &str, uid: &str, server: &FakeServer, state: &str) -> Value {
+fn service_entry(service: &str, uid: &str, server: &FakeServer, state: &str) -> Value {
     let mut entry = entry(uid, server.address, state);
     entry["model"] = json!(service);
     entry
@@ -13,20 +13,26 @@
 
 /// StubDiscovery that passes the query by tells of all: nothing goes to a server of another service, and a drain counts.
 #[test]
-fn nothing_goes_to_servers_of_other_services() {
+fn servers_of_other_services_get_no_requests() {
     let cart = FakeServer::start(|_, _| ok("cart"));
     let [spare, other] = [(); 2].map(|()| FakeServer::start(|n, _| ok(&format!("spare {n}"))));
     let discovery = StubDiscovery::start();
-    let known = vec![of("cart", "s1", &cart, "up"), of("stock", "s2", &other, "up")];
+    let known = vec![service_entry("cart", "s1", &cart, "up"), service_entry("stock", "s2", &other, "up")];
     let setup = Setup::new(known).discovery(&discovery).set("/sidecar/services", json!(["cart", "pay/eu"]));
     let sidecar = setup.start();
     assert_eq!(discovery.watches.wait(1, "watches")[0], "/v1/servers?watch=1&after=7&models=cart,pay%2Feu");
-    discovery.publish_changes(8, vec![of("stock", "s3", &other, "up"), of("cart", "s4", &spare, "draining")]);
+    discovery.publish_changes(
+        8,
+        vec![service_entry("stock", "s3", &other, "up"), service_entry("cart", "s4", &spare, "draining")],
+    );
     sidecar.wait_for_log("revision 8: ");
     for n in 0..20 {
         assert_eq!(sidecar.request(&read_request(&format!("r{n}"))).text(), "cart");
     }
-    discovery.publish_changes(9, vec![of("cart", "s4", &spare, "up"), of("cart", "s1", &cart, "draining")]);
+    discovery.publish_changes(
+        9,
+        vec![service_entry("cart", "s4", &spare, "up"), service_entry("cart", "s1", &cart, "draining")],
+    );
     sidecar.wait_for_log("revision 9: ");
     let before = cart.request_count();
     for n in 0..20 {
@@ -34,7 +40,7 @@
     }
     assert_eq!((cart.request_count(), other.request_count()), (before, 0));
     // Asked for anew, the whole list is that of these services too.
-    discovery.set_full_list(9, vec![of("cart", "s4", &spare, "up")]);
+    discovery.set_full_list(9, vec![service_entry("cart", "s4", &spare, "up")]);
     discovery.close_watches();
     assert_eq!(
         discovery.list_calls.wait(1, "calls for the whole list")[0],
@@ -44,7 +50,7 @@
 
 /// What was kept for other services lacks servers that no later change would bring.
 #[test]
-fn a_list_kept_for_other_services_is_not_used() {
+fn list_stored_for_other_services_is_not_used() {
     let (cart, pay) = (FakeServer::start(|_, _| ok("cart")), FakeServer::start(|_, _| ok("pay")));
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("list");
@@ -55,7 +61,10 @@
     };
     let sidecar = setup(&["cart"]).discovery(&discovery).start();
     discovery.watches.wait(1, "watches");
-    discovery.publish_changes(9, vec![of("cart", "s1", &cart, "up"), of("pay", "s2", &pay, "up")]);
+    discovery.publish_changes(
+        9,
+        vec![service_entry("cart", "s1", &cart, "up"), service_entry("pay", "s2", &pay, "up")],
+    );
     let end = std::time::Instant::now() + WAIT_TIMEOUT;
     while !std::fs::read_to_string(&file).unwrap_or_default().contains("\"rev\":9") {
         assert!(std::time::Instant::now() < end, "the list is not kept");
@@ -74,16 +83,16 @@
 }
 
 #[test]
-fn what_is_no_list_of_services_ends_the_start_with_its_key() {
-    for (told, said) in [
+fn invalid_list_of_services_fails_the_start_and_names_its_key() {
+    for (services, message) in [
         (json!("cart"), "sidecar.services: \"cart\"; right would be the names of the services called"),
         (json!([]), "sidecar.services: no name; right would be"),
         (json!(["cart", ""]), "sidecar.services: \"\" is no name; right would be"),
         (json!([7]), "sidecar.services: 7 is no name; right would be"),
         (json!(["x".repeat(16 << 10)]), "sidecar.services: names of 16385 bytes in all, over 16384; right"),
     ] {
-        let (status, log) = Setup::new(vec![]).set("/sidecar/services", told).spawn().wait_for_exit();
+        let (status, log) = Setup::new(vec![]).set("/sidecar/services", services).spawn().wait_for_exit();
         assert!(!status.success());
-        assert!(log.contains(said), "{log}");
+        assert!(log.contains(message), "{log}");
     }
 }
