--- a/crates/sidecar/tests/answers.rs
+++ b/crates/sidecar/tests/answers.rs
@@ -19,16 +19,17 @@
 
 /// Two servers; the first request at either gets these bytes as its response, and its connection stays open.
 fn start_with_invalid_response(answer: &str) -> InvalidResponse {
-    let asked = Arc::new(AtomicUsize::new(0));
+    let attempts = Arc::new(AtomicUsize::new(0));
     let servers = [(), ()].map(|()| {
-        let (asked, answer) = (asked.clone(), answer.to_owned());
-        FakeServer::start(move |_, _| match asked.fetch_add(1, Ordering::SeqCst) {
+        let attempts = attempts.clone();
+        let answer = answer.to_owned();
+        FakeServer::start(move |_, _| match attempts.fetch_add(1, Ordering::SeqCst) {
             0 => Action::Raw(answer.clone(), AfterWrite::KeepOpen),
             _ => ok("served"),
         })
     });
     let known = vec![entry("s1", servers[0].address, "up"), entry("s2", servers[1].address, "up")];
-    InvalidResponse { sidecar: Setup::new(known).start(), attempts: asked, _servers: servers }
+    InvalidResponse { sidecar: Setup::new(known).start(), attempts, _servers: servers }
 }
 
 #[test]
@@ -52,11 +53,15 @@
             [(read_request("r1"), 200, 2), (once_request("r1"), 502, 1), (pay_request("r1"), 200, 2)]
         {
             let setup = start_with_invalid_response(answer);
-            let got = setup.sidecar.request(&request);
+            let response = setup.sidecar.request(&request);
             let what = format!("{answer:.60}");
-            assert_eq!((got.status(), setup.attempts.load(Ordering::SeqCst)), (status, attempts), "{what}");
+            assert_eq!(
+                (response.status(), setup.attempts.load(Ordering::SeqCst)),
+                (status, attempts),
+                "{what}"
+            );
             if status == 200 {
-                assert_eq!(got.text(), "served", "{what}");
+                assert_eq!(response.text(), "served", "{what}");
             }
         }
     }
--- a/crates/sidecar/tests/bodies.rs
+++ b/crates/sidecar/tests/bodies.rs
@@ -47,8 +47,8 @@
     let sidecar = setup_with_raw_server(|mut stream| {
         thread::spawn(move || {
             read_head(&mut stream);
-            let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n");
-            stream.write_all(told.as_bytes()).unwrap();
+            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n");
+            stream.write_all(head.as_bytes()).unwrap();
             let part: Vec<u8> = (0..=255).cycle().take(1 << 16).collect();
             let _ = (0..LONG_BODY_BYTES >> 16).try_for_each(|_| stream.write_all(&part));
         });
@@ -74,7 +74,8 @@
             got.extend_from_slice(&part[..n]);
         }
         assert!(
-            got.iter().zip((0..=255).cycle()).all(|(is, due)| *is == due) && got.len() == LONG_BODY_BYTES
+            got.iter().zip((0..=255).cycle()).all(|(byte, expected)| *byte == expected)
+                && got.len() == LONG_BODY_BYTES
         );
     }
     assert!(sidecar.resident_memory() < 48 << 20);
@@ -86,11 +87,11 @@
 fn long_response_in_flight_at_sigterm_completes() {
     let sidecar = setup_with_raw_server(|mut stream| {
         read_head(&mut stream);
-        let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n");
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n");
         // Allocated before the head is sent: on a busy machine the allocation took longer than a response may
         // stall.
         let body = vec![b'x'; LONG_BODY_BYTES];
-        stream.write_all(told.as_bytes()).unwrap();
+        stream.write_all(head.as_bytes()).unwrap();
         let _ = stream.write_all(&body);
     })
     .set("/sidecar/accept_after_term_ms", json!(0))
@@ -105,18 +106,20 @@
     let _ = client.stream.read_to_end(&mut got);
     let body = got.windows(4).position(|w| w == b"\r\n\r\n").unwrap() + 4;
     assert_eq!(got.len() - body, LONG_BODY_BYTES);
-    let (status, log) = sidecar.wait_for_exit();
+    let Exit { status, log } = sidecar.wait_for_exit();
     assert!(status.success() && !log.contains("still open"), "{log}");
 }
 
 /// Guards against a truncated response that looks complete, with a content length and with chunked encoding.
 #[test]
 fn truncated_long_response_is_not_passed_off_as_complete() {
-    for (told, last) in [("Content-Length: 200000", ""), ("Transfer-Encoding: chunked", "30d40\r\n")] {
+    for (length_header, chunk_head) in
+        [("Content-Length: 200000", ""), ("Transfer-Encoding: chunked", "30d40\r\n")]
+    {
         let sidecar = setup_with_raw_server(move |mut stream| {
             read_head(&mut stream);
-            let told = format!("HTTP/1.1 200 OK\r\n{told}\r\n\r\n{last}");
-            stream.write_all(told.as_bytes()).unwrap();
+            let head = format!("HTTP/1.1 200 OK\r\n{length_header}\r\n\r\n{chunk_head}");
+            stream.write_all(head.as_bytes()).unwrap();
             stream.write_all(&vec![b'x'; 150_000]).unwrap();
         })
         .start();
@@ -126,7 +129,7 @@
         let _ = client.stream.read_to_end(&mut got);
         let text = String::from_utf8_lossy(&got);
         assert!(text.starts_with("HTTP/1.1 200"), "{text:.60}");
-        assert!(got.len() < 200_000 && !text.ends_with("0\r\n\r\n"), "{told}: {}", got.len());
+        assert!(got.len() < 200_000 && !text.ends_with("0\r\n\r\n"), "{length_header}: {}", got.len());
     }
 }
 
@@ -166,7 +169,7 @@
             assert!(n > 0, "the connection was closed after {} bytes", body.len());
             body.extend_from_slice(&part[..n]);
         }
-        intact.send(body.iter().zip((0..=255).cycle()).all(|(is, due)| *is == due)).unwrap();
+        intact.send(body.iter().zip((0..=255).cycle()).all(|(byte, expected)| *byte == expected)).unwrap();
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
     })
     .set("/limits/memory_mb", json!(48))
@@ -181,8 +184,8 @@
     ));
     let body: Vec<u8> = (0..=255).cycle().take(LONG_BODY_BYTES).collect();
     client.stream.write_all(&body[..1 << 20]).unwrap();
-    let told = head_receiver.recv_timeout(WAIT_TIMEOUT).unwrap().to_lowercase();
-    assert!(told.contains(&format!("content-length: {LONG_BODY_BYTES}")), "{told}");
+    let head = head_receiver.recv_timeout(WAIT_TIMEOUT).unwrap().to_lowercase();
+    assert!(head.contains(&format!("content-length: {LONG_BODY_BYTES}")), "{head}");
     // The upload outlasts the deadline of its class: another request with the same deadline, which the busy
     // server does not read, times out while the client still writes.
     assert_ne!(sidecar.request(&read_request("r2")).status(), 200);
@@ -199,10 +202,10 @@
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for n in 0..3 {
         let mut client = sidecar.connect();
-        let told = format!(
+        let head = format!(
             "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r{n}\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n"
         );
-        client.send(&told);
+        client.send(&head);
         client.stream.write_all(&vec![b'x'; 1 << 18]).unwrap();
         let _ = client.stream.shutdown(std::net::Shutdown::Both);
     }
@@ -230,10 +233,10 @@
     };
     let sidecar = setup_with_raw_server(act).start();
     let mut client = sidecar.connect();
-    let told = format!(
+    let head = format!(
         "POST /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: r1\r\nIdempotency-Key: k\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n"
     );
-    client.send(&told);
+    client.send(&head);
     let mut stream = client.stream.try_clone().unwrap();
     let writer = thread::spawn(move || stream.write_all(&vec![b'x'; LONG_BODY_BYTES]).is_ok());
     let answer = client.read_response_or_close();
--- a/crates/sidecar/tests/churn.rs
+++ b/crates/sidecar/tests/churn.rs
@@ -6,6 +6,12 @@
 use common::*;
 use serde_json::json;
 
+/// Memory in bytes and open descriptors of the sidecar.
+struct Usage {
+    memory: usize,
+    descriptors: usize,
+}
+
 #[test]
 fn memory_and_descriptors_stay_bounded_while_servers_are_replaced() {
     let server = FakeServer::start(|_, _| ok("x"));
@@ -30,13 +36,18 @@
             sidecar.wait_for_log(&format!("revision {}: ", rev + 2));
             rev += 2;
         }
-        (sidecar.resident_memory(), sidecar.open_descriptors())
+        Usage { memory: sidecar.resident_memory(), descriptors: sidecar.open_descriptors() }
     };
-    let (memory, descriptors) = replace(0, 3000);
-    let (memory_later, descriptors_later) = replace(3000, 9000);
-    let grown = memory_later.saturating_sub(memory);
+    let before = replace(0, 3000);
+    let after = replace(3000, 9000);
+    let grown = after.memory.saturating_sub(before.memory);
     assert!(grown < 12 << 20, "{grown} bytes for 6000 servers replaced");
-    assert!(descriptors_later <= descriptors + 2, "{descriptors} descriptors, then {descriptors_later}");
+    assert!(
+        after.descriptors <= before.descriptors + 2,
+        "{} descriptors, then {}",
+        before.descriptors,
+        after.descriptors
+    );
 }
 
 #[test]
--- a/crates/sidecar/tests/clients.rs
+++ b/crates/sidecar/tests/clients.rs
@@ -9,14 +9,14 @@
 
 /// Retries until a well-behaved client is served; the connection limit may still be reached at first.
 fn wait_until_served(sidecar: &Sidecar) {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     loop {
         let mut client = sidecar.connect();
         client.send(&read_request("usual"));
         if client.read_response_or_close().is_some_and(|answer| answer.status() == 200) {
             return;
         }
-        assert!(Instant::now() < end, "no well-behaved client is served");
+        assert!(Instant::now() < give_up_at, "no well-behaved client is served");
     }
 }
 
@@ -78,18 +78,18 @@
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/client_request_ms", json!(300))
         .start();
-    let halves = [
+    let partial_requests = [
         "",
         "GET /read HTT",
         "GET /read HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n",
         "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\nContent-Length: 9\r\n\r\nhalf",
         "POST /once HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
     ];
-    let mut clients: Vec<Client> = halves
+    let mut clients: Vec<Client> = partial_requests
         .iter()
-        .map(|half| {
+        .map(|partial_request| {
             let mut client = sidecar.connect();
-            client.send(half);
+            client.send(partial_request);
             client
         })
         .collect();
@@ -101,8 +101,8 @@
     clients.push(second);
     // A client that sent part of a request gets a 503: nothing of it was forwarded.
     for (n, client) in clients.iter_mut().enumerate() {
-        let told = client.read_response_or_close().map(|answer| answer.status());
-        assert_eq!(told, (n > 0).then_some(503), "client {n}");
+        let status = client.read_response_or_close().map(|answer| answer.status());
+        assert_eq!(status, (n > 0).then_some(503), "client {n}");
     }
     assert_eq!(server.request_count(), 1);
 }
@@ -163,8 +163,8 @@
     for n in 0..30 {
         let mut client = sidecar.connect();
         client.send(&read_request(&format!("r{n}")));
-        let end = client.read_response_or_close().is_none_or(|answer| answer.status() == 503);
-        connected.push((client, end));
+        let closed = client.read_response_or_close().is_none_or(|answer| answer.status() == 503);
+        connected.push((client, closed));
     }
     wait_until_served(&sidecar);
 }
@@ -207,9 +207,11 @@
     wait_until_served(&sidecar);
     // While the first request is in flight, the rest waits unread beyond a limit. The connection was once
     // polled in a busy loop.
-    let (start, used) = (Instant::now(), sidecar.cpu_time());
+    let start = Instant::now();
+    let used = sidecar.cpu_time();
     assert!(matches!(flood.read_response().status(), 502 | 503), "the first request ends at its deadline");
-    let (took, used) = (start.elapsed(), sidecar.cpu_time() - used);
+    let took = start.elapsed();
+    let used = sidecar.cpu_time() - used;
     assert!(took > Duration::from_millis(500) && used < took / 2, "{used:?} of {took:?}");
     // The remaining requests are answered in order.
     for n in 1..100 {
@@ -270,8 +272,8 @@
             }
         }
     }
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while sidecar.open_descriptors() > 30 {
-        assert!(Instant::now() < end, "{} descriptors are open", sidecar.open_descriptors());
+        assert!(Instant::now() < give_up_at, "{} descriptors are open", sidecar.open_descriptors());
     }
 }
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -107,10 +107,10 @@
 
     /// Waits until at least `count` events were recorded and returns all of them.
     pub fn wait(&self, count: usize, what: &str) -> Vec<T> {
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         let mut events = self.0.events.lock().unwrap();
         while events.len() < count {
-            let left = end.saturating_duration_since(Instant::now());
+            let left = give_up_at.saturating_duration_since(Instant::now());
             assert!(!left.is_zero(), "{what}: {} of {count} observed", events.len());
             events = self.0.changed.wait_timeout(events, left).unwrap().0;
         }
@@ -664,7 +664,7 @@
     /// Starts the process and waits until it serves.
     pub fn start(self) -> Sidecar {
         let sidecar = self.spawn();
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Ok(stream) = TcpStream::connect(sidecar.listen) {
                 let mut client = Client::new(stream);
@@ -672,7 +672,7 @@
                 assert_eq!(client.read_response().status(), 200);
                 return sidecar;
             }
-            assert!(Instant::now() < end, "the sidecar does not listen: {:?}", sidecar.log.all());
+            assert!(Instant::now() < give_up_at, "the sidecar does not listen: {:?}", sidecar.log.all());
             thread::yield_now();
         }
     }
@@ -717,13 +717,13 @@
         const O_NONBLOCK: i32 = 0o4000;
         let pipe = format!("/proc/{}/fd/2", self.child.id());
         let mut pipe = std::fs::OpenOptions::new().write(true).custom_flags(O_NONBLOCK).open(pipe).unwrap();
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         // Whole blocks first, then single bytes: single bytes alone take longer than the tests can wait.
         while pipe.write(&[b'\n'; 4096]).is_ok()
             || pipe.write(b"\n").is_ok()
             || !self.reader_blocked.load(Ordering::SeqCst)
         {
-            assert!(Instant::now() < end, "the log pipe did not fill up");
+            assert!(Instant::now() < give_up_at, "the log pipe did not fill up");
         }
         guard
     }
@@ -735,17 +735,17 @@
     }
 
     /// Waits until the process exits and returns its log.
-    pub fn wait_for_exit(mut self) -> (ExitStatus, String) {
-        let end = Instant::now() + WAIT_TIMEOUT;
+    pub fn wait_for_exit(mut self) -> Exit {
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         let status = loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 break status;
             }
-            assert!(Instant::now() < end, "the sidecar did not exit");
+            assert!(Instant::now() < give_up_at, "the sidecar did not exit");
             thread::yield_now();
         };
         self.log_reader.take().unwrap().join().unwrap();
-        (status, self.log.all().join("\n"))
+        Exit { status, log: self.log.all().join("\n") }
     }
 
     /// CPU time used by the process.
@@ -789,14 +789,14 @@
 
     /// Waits for a log line that contains this text.
     pub fn wait_for_log(&self, what: &str) {
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         let mut seen = 0;
         loop {
             let lines = self.log.wait(seen, "log lines");
             if lines.iter().any(|l| l.contains(what)) {
                 return;
             }
-            assert!(Instant::now() < end, "'{what}' is not in the log: {lines:?}");
+            assert!(Instant::now() < give_up_at, "'{what}' is not in the log: {lines:?}");
             seen = lines.len() + 1;
         }
     }
@@ -812,6 +812,13 @@
     }
 }
 
+/// How a sidecar process exited.
+pub struct Exit {
+    pub status: ExitStatus,
+    /// All that it wrote to its log.
+    pub log: String,
+}
+
 /// What a process holds of the operating system's resources.
 pub struct ResourceCounts {
     pub datagram_sockets: usize,
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -87,9 +87,9 @@
     sidecar.wait_for_log("attempt 0 of request 0 goes out");
     drop(client);
     // A free request slot shows that the departure was noticed.
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while sidecar.request(&with_long_timeout(read_request("next"))).status() != 200 {
-        assert!(Instant::now() < end, "the request slot is not released");
+        assert!(Instant::now() < give_up_at, "the request slot is not released");
     }
     gate.send(()).unwrap();
     sidecar.wait_for_log("Rejected after");
@@ -120,19 +120,19 @@
 #[test]
 fn invalid_bytes_after_an_in_flight_request_do_not_abort_it() {
     let long = format!("GET /read HTTP/1.1\r\nX: {}", "x".repeat(200_000));
-    for behind in ["\0 no HTTP\r\n\r\n", "GET /read HTTP/9.9\r\n\r\n", long.as_str()] {
+    for trailing in ["\0 no HTTP\r\n\r\n", "GET /read HTTP/9.9\r\n\r\n", long.as_str()] {
         for at_once in [true, false] {
             let (gate, action) = gated_ok("served");
             let server = FakeServer::start(move |_, _| action.clone());
             let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
             let mut client = sidecar.connect();
             let (first, second) =
-                if at_once { (once_request("r1") + behind, "") } else { (once_request("r1"), behind) };
+                if at_once { (once_request("r1") + trailing, "") } else { (once_request("r1"), trailing) };
             client.send(&first);
             server.requests.wait(1, "requests");
             client.send(second);
             gate.send(()).unwrap();
-            assert_eq!(client.read_response().text(), "served", "{behind:.20}, at once: {at_once}");
+            assert_eq!(client.read_response().text(), "served", "{trailing:.20}, at once: {at_once}");
             let after = client.read_response_or_close().map(|answer| answer.status());
             // A request larger than the buffer counts as incomplete.
             assert!(matches!(after, None | Some(400 | 431 | 503)), "{after:?}");
@@ -151,10 +151,14 @@
         .start();
     for (request, body) in [(read_request("slow"), 2), (once_request("slow"), 4)] {
         let (first, last) = request.split_at(request.len() - body);
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         let mut client = loop {
-            assert!(Instant::now() < end, "the test machine was too slow to force the order of events");
-            let (mut client, begun) = (sidecar.connect(), Instant::now());
+            assert!(
+                Instant::now() < give_up_at,
+                "the test machine was too slow to force the order of events"
+            );
+            let mut client = sidecar.connect();
+            let begun = Instant::now();
             client.send(first);
             // The 503 has arrived and is not read yet.
             assert_eq!(client.stream.peek(&mut [0]).unwrap(), 1);
@@ -199,14 +203,14 @@
     let mut silent = sidecar.connect();
     sidecar.signal("TERM");
     silent.wait_for_close();
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while TcpStream::connect(sidecar.listen).is_ok() {
-        assert!(Instant::now() < end, "the listener is still open");
+        assert!(Instant::now() < give_up_at, "the listener is still open");
     }
 }
 
 fn assert_clean_exit(sidecar: Sidecar) {
-    let (status, log) = sidecar.wait_for_exit();
+    let Exit { status, log } = sidecar.wait_for_exit();
     assert!(status.success() && !log.contains("still open"), "{status}: {log}");
 }
 
@@ -264,7 +268,8 @@
     let (gate, action) = gated(rejected(503));
     let asked = Arc::new(AtomicUsize::new(0));
     let servers = [(), (), ()].map(|()| {
-        let (asked, action) = (asked.clone(), action.clone());
+        let asked = asked.clone();
+        let action = action.clone();
         FakeServer::start(move |_, _| match asked.fetch_add(1, Ordering::SeqCst) {
             0 => action.clone(),
             _ => ok("served"),
@@ -277,21 +282,21 @@
     discovery.watches.wait(1, "watches");
     let mut client = sidecar.connect();
     client.send(&with_long_timeout(once_request("r1")));
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     let first = loop {
         if let Some(n) = servers.iter().position(|s| s.request_count() > 0) {
             break n;
         }
-        assert!(Instant::now() < end, "no attempt");
+        assert!(Instant::now() < give_up_at, "no attempt");
     };
     terminate_and_wait_for_closed_listener(&sidecar);
-    let leaves = (first + 1) % 3;
-    discovery.publish_changes(9, vec![entry(&format!("s{leaves}"), servers[leaves].address, "draining")]);
+    let draining = (first + 1) % 3;
+    discovery.publish_changes(9, vec![entry(&format!("s{draining}"), servers[draining].address, "draining")]);
     sidecar.wait_for_log("0 up, 1 draining");
     gate.send(()).unwrap();
     assert_eq!(client.read_response().text(), "served");
     assert_clean_exit(sidecar);
-    assert_eq!(servers[leaves].request_count(), 0, "the retry went to a server that was already draining");
+    assert_eq!(servers[draining].request_count(), 0, "the retry went to a server that was already draining");
     assert_eq!(servers[(first + 2) % 3].request_ids(), ["r1"]);
 }
 
@@ -366,8 +371,8 @@
                 };
                 let mut input = std::io::BufReader::new(stream.try_clone().unwrap());
                 let mut last: Option<(String, Instant)> = None;
-                while let Ok(Some(asked)) = read_message(&mut input) {
-                    let own = answer(asked.header("x-request-id").unwrap());
+                while let Ok(Some(request)) = read_message(&mut input) {
+                    let own = answer(request.header("x-request-id").unwrap());
                     // The request arrives here no earlier than it was sent, which was after the previous
                     // response was read.
                     let again = last.take().filter(|(_, at)| at.elapsed() < Duration::from_millis(10));
@@ -400,8 +405,8 @@
             std::thread::spawn(move || {
                 let mut input = std::io::BufReader::new(stream.try_clone().unwrap());
                 let mut last: Option<(String, Instant)> = None;
-                while let Ok(Some(asked)) = read_message(&mut input) {
-                    let body = asked.header("x-request-id").unwrap();
+                while let Ok(Some(request)) = read_message(&mut input) {
+                    let body = request.header("x-request-id").unwrap();
                     let own = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
                     // The previous response is sent again before this one if this request followed it within
                     // 10 ms.
@@ -517,9 +522,9 @@
 /// deadline passes, and finds both at once. The response counts, and it is the only one.
 #[test]
 fn response_and_deadline_at_the_same_instant_give_one_response() {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     loop {
-        assert!(Instant::now() < end, "the test machine was too slow to force the order of events");
+        assert!(Instant::now() < give_up_at, "the test machine was too slow to force the order of events");
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let sidecar = Setup::new(vec![entry("s1", listener.local_addr().unwrap(), "up")]).start();
         let mut client = sidecar.connect();
--- a/crates/sidecar/tests/descriptors.rs
+++ b/crates/sidecar/tests/descriptors.rs
@@ -86,14 +86,14 @@
 
 /// Retries until a request is served and returns the response body.
 fn wait_until_served(sidecar: &Sidecar, id: &str) -> String {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     loop {
         let mut client = sidecar.connect();
         client.send(&read_request(id));
         if let Some(answer) = client.read_response_or_close().filter(|answer| answer.status() == 200) {
             return answer.text();
         }
-        assert!(Instant::now() < end, "no well-behaved client is served");
+        assert!(Instant::now() < give_up_at, "no well-behaved client is served");
     }
 }
 
@@ -106,7 +106,8 @@
         _ => ok("old"),
     });
     let new = FakeServer::start(|_, _| ok("new"));
-    let (down, console) = (DownDiscovery::new(outage), unique_address());
+    let down = DownDiscovery::new(outage);
+    let console = unique_address();
     let mut setup = Setup::new(vec![entry("s1", old.address, "up")])
         .set("/discovery", json!(down.address().to_string()))
         .set("/console", json!(console.to_string()))
@@ -118,7 +119,8 @@
         .set("/sidecar/client_request_ms", json!(600_000))
         .set("/sidecar/client_idle_ms", json!(600_000));
     if sockets == SOCKET_LIMIT {
-        let (clients, servers) = (json!(CLIENT_LIMIT), json!(4));
+        let clients = json!(CLIENT_LIMIT);
+        let servers = json!(4);
         setup = setup.set("/sidecar/client_connections", clients).set("/sidecar/server_connections", servers);
     }
     setup.descriptor_limit = os_limit;
@@ -134,7 +136,8 @@
     );
     old.requests.wait(2, "requests");
     let limit = os_limit.unwrap_or(sockets).min(sockets);
-    let (full, stop) = (AtomicBool::new(false), AtomicBool::new(false));
+    let full = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
     let check_limits = || {
         let open = sidecar.open_descriptors();
         assert!(open <= limit, "{open} descriptors of {limit}");
@@ -150,16 +153,16 @@
     thread::scope(|scope| {
         let _stop_on_drop = StopOnDrop(&stop);
         scope.spawn(|| run_idle_clients(sidecar.listen, &full, &stop));
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         while !full.load(Ordering::SeqCst) {
-            assert!(Instant::now() < end, "the accept queue did not fill up");
+            assert!(Instant::now() < give_up_at, "the accept queue did not fill up");
             check_limits();
         }
         // Some attempts to reach discovery fail meanwhile.
         let failed = || sidecar.log.all().iter().filter(|l| l.contains(" of discovery at ")).count();
         let before = failed();
         while failed() < before + 3 {
-            assert!(Instant::now() < end, "no attempt to reach discovery");
+            assert!(Instant::now() < give_up_at, "no attempt to reach discovery");
             check_limits();
         }
         let restored = Instant::now();
@@ -171,7 +174,8 @@
             "{outage:?}: called {called_after:?} after discovery returned"
         );
         sidecar.wait_for_log("open after revision 7");
-        let (drained, added) = (entry("s1", old.address, "draining"), entry("s2", new.address, "up"));
+        let drained = entry("s1", old.address, "draining");
+        let added = entry("s2", new.address, "up");
         let published = Instant::now();
         discovery.publish_changes(9, vec![drained, added]);
         sidecar.wait_for_log("list changes revision 9: 1 up, 1 draining");
--- a/crates/sidecar/tests/duties.rs
+++ b/crates/sidecar/tests/duties.rs
@@ -68,7 +68,7 @@
         let lines = lines.lines().map(|line| serde_json::from_str::<Value>(line).unwrap());
         lines.into_iter().find(|line| line["duty"] == duty).unwrap()
     };
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     // The members are not compared at one moment, since a lease may be in transit: they converge to the same
     // holder.
     let wait_for_agreed_holder = |but: Option<&str>| loop {
@@ -76,7 +76,7 @@
         if names[0].is_string() && names.iter().all(|name| *name == names[0]) && names[0].as_str() != but {
             return names[0].as_str().unwrap().to_owned();
         }
-        assert!(Instant::now() < end, "{names:?}");
+        assert!(Instant::now() < give_up_at, "{names:?}");
     };
     let holder = wait_for_agreed_holder(None);
     let first: usize = holder[1..].parse().unwrap();
@@ -93,7 +93,7 @@
     let last = sidecars.remove(0);
     drop(sidecars);
     while duty_status(0, "settle")["holder"].is_string() {
-        assert!(Instant::now() < end, "the last member still has a holder");
+        assert!(Instant::now() < give_up_at, "the last member still has a holder");
     }
     assert_eq!(last.request(&read_request("r1")).status(), 200);
 }
--- a/crates/sidecar/tests/gone.rs
+++ b/crates/sidecar/tests/gone.rs
@@ -113,9 +113,9 @@
 /// Whether no byte has arrived at this client so far.
 fn has_no_response(client: &Client) -> bool {
     client.stream.set_nonblocking(true).unwrap();
-    let came = client.stream.peek(&mut [0]);
+    let peeked = client.stream.peek(&mut [0]);
     client.stream.set_nonblocking(false).unwrap();
-    came.is_err()
+    peeked.is_err()
 }
 
 fn list_entries(servers: &[FakeServer]) -> Vec<Value> {
@@ -125,12 +125,13 @@
 /// Starts two servers that perform this action for the first attempt of each of these requests and serve all
 /// others.
 fn servers_with_first_action(names: &'static [&'static str], action: Action) -> Vec<FakeServer> {
-    let met = Arc::new(Mutex::new(HashSet::new()));
+    let seen_ids = Arc::new(Mutex::new(HashSet::new()));
     let server = |_| {
-        let (met, action) = (met.clone(), action.clone());
+        let seen_ids = seen_ids.clone();
+        let action = action.clone();
         FakeServer::start(move |_, message| {
             let id = message.header("x-request-id").unwrap_or_default().to_owned();
-            if names.contains(&id.as_str()) && met.lock().unwrap().insert(id) {
+            if names.contains(&id.as_str()) && seen_ids.lock().unwrap().insert(id) {
                 action.clone()
             } else {
                 ok("x")
@@ -142,9 +143,9 @@
 
 /// Waits until an attempt of this request has begun.
 fn wait_for_attempt(id: &str, servers: &[FakeServer]) {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while !servers.iter().any(|server| server.arrivals.all().iter().any(|arrival| arrival.request_id == id)) {
-        assert!(Instant::now() < end, "no attempt of {id}");
+        assert!(Instant::now() < give_up_at, "no attempt of {id}");
         thread::yield_now();
     }
 }
@@ -168,12 +169,12 @@
             let mut client = sidecar.connect();
             client.send(&with_long_timeout(class("left")));
             wait_for_attempt("left", &servers);
-            let gone = close_client(client, mode);
-            gone.wait_out_bound(&sidecar);
+            let closed = close_client(client, mode);
+            closed.wait_out_bound(&sidecar);
             gate.send(()).unwrap();
             sidecar.wait_for_log("attempt 0 of request 0 at ");
             assert_eq!(sidecar.request(&with_long_timeout(read_request("after"))).status(), 200);
-            gone.assert_no_late_attempt("left", &servers, moment);
+            closed.assert_no_late_attempt("left", &servers, moment);
         }
     }
 }
@@ -194,13 +195,13 @@
     let mut client = sidecar.connect();
     client.send(&with_long_timeout(read_request("left")));
     wait_for_attempt("left", servers);
-    let gone = close_client(client, mode);
+    let closed = close_client(client, mode);
     check_health(sidecar);
     assert_eq!(sidecar.request(&with_long_timeout(read_request("stays"))).text(), "x", "{moment}, {mode:?}");
     // It was served by a second attempt.
     let of = |id: &str| servers.iter().flat_map(FakeServer::request_ids).filter(|of| of == id).count();
     assert!(of("stays") >= 2, "{moment}, {mode:?}");
-    gone.assert_no_late_attempt("left", servers, moment);
+    closed.assert_no_late_attempt("left", servers, moment);
 }
 
 #[test]
@@ -241,10 +242,10 @@
             .set("/settings/classes/0/aim", json!(1_000_000))
             .start();
         // One first attempt in ten may have a hedge: these suffice for both requests.
-        let mut usual = sidecar.connect();
+        let mut client = sidecar.connect();
         for n in 0..30 {
-            usual.send(&with_long_timeout(read_request(&format!("w{n}"))));
-            assert_eq!(usual.read_response().status(), 200);
+            client.send(&with_long_timeout(read_request(&format!("w{n}"))));
+            assert_eq!(client.read_response().status(), 200);
         }
         one_client_leaves_one_stays(&sidecar, &servers, mode, "a hedge due");
     }
@@ -261,17 +262,20 @@
     before: impl Fn(usize),
     after: impl Fn(),
 ) {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     for n in 0.. {
-        assert!(Instant::now() < end, "{moment}: the test machine was too slow to force the order of events");
+        assert!(
+            Instant::now() < give_up_at,
+            "{moment}: the test machine was too slow to force the order of events"
+        );
         before(n);
         let id = format!("left{n}");
         let mut client = sidecar.connect();
         client.send(&with_long_timeout(read_request(&id)));
         check_health(sidecar);
         let was_waiting = has_no_response(&client);
-        let gone = close_client(client, mode);
-        gone.wait_out_bound(sidecar);
+        let closed = close_client(client, mode);
+        closed.wait_out_bound(sidecar);
         after();
         assert_eq!(
             sidecar.request(&with_long_timeout(read_request(&format!("stays{n}")))).status(),
@@ -279,7 +283,7 @@
             "{moment}, {mode:?}"
         );
         sidecar.wait_for_log(&format!("attempt 0 of request {} at ", number(n) + 1));
-        if !gone.first_attempt_was_sent_in_time(sidecar, number(n), moment) && was_waiting {
+        if !closed.first_attempt_was_sent_in_time(sidecar, number(n), moment) && was_waiting {
             assert!(!server.request_ids().contains(&id), "{moment}, {mode:?}");
             return;
         }
@@ -295,7 +299,7 @@
             _ => ok("x"),
         });
         let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).long_timeouts().start();
-        let turns_away = |n| {
+        let reject_one = |n| {
             assert_eq!(sidecar.request(&with_long_timeout(read_request(&format!("away{n}")))).status(), 503)
         };
         client_leaves_while_waiting(
@@ -303,7 +307,7 @@
             &server,
             (mode, "queued for a server"),
             |n| 3 * n + 1,
-            turns_away,
+            reject_one,
             || {},
         );
     }
@@ -370,16 +374,16 @@
                 gate.send(()).unwrap();
             }
             sidecar.wait_for_log(&format!("attempt {attempt} of request 0 goes out"));
-            let gone = close_client(client, mode);
-            gone.wait_out_bound(&sidecar);
+            let closed = close_client(client, mode);
+            closed.wait_out_bound(&sidecar);
             drop(gate);
             let server = saturated.open_as_server(|_, _| ok("x"));
-            let end = Instant::now() + WAIT_TIMEOUT;
+            let give_up_at = Instant::now() + WAIT_TIMEOUT;
             while server.request_count() == 0 {
-                assert!(Instant::now() < end, "{moment}: no connection was established");
+                assert!(Instant::now() < give_up_at, "{moment}: no connection was established");
                 sidecar.request(&with_long_timeout(read_request("after")));
             }
-            gone.assert_no_late_attempt("left", [&first, &server], moment);
+            closed.assert_no_late_attempt("left", [&first, &server], moment);
         }
     }
 }
@@ -394,7 +398,7 @@
         // An idle connection to the server exists, on which the request could be sent immediately.
         assert_eq!(sidecar.request(&read_request("before")).status(), 200);
         sidecar.signal("STOP");
-        let gone: Vec<ClosedClient> = (0..20)
+        let closed: Vec<ClosedClient> = (0..20)
             .map(|n| {
                 let mut client = sidecar.connect();
                 client.send(&once_request(&format!("left{n}")));
@@ -405,7 +409,7 @@
         sidecar.signal("CONT");
         assert_eq!(sidecar.request(&read_request("after")).status(), 200);
         assert_eq!(server.request_ids(), ["before", "after"], "{mode:?}");
-        drop(gone);
+        drop(closed);
     }
 }
 
@@ -419,11 +423,11 @@
         let mut client = sidecar.connect();
         client.send(&(with_long_timeout(read_request("first")) + &with_long_timeout(read_request("left"))));
         server.requests.wait(1, "requests");
-        let gone = close_client(client, mode);
-        gone.wait_out_bound(&sidecar);
+        let closed = close_client(client, mode);
+        closed.wait_out_bound(&sidecar);
         gate.send(()).unwrap();
         sidecar.wait_for_log("attempt 0 of request 0 at ");
         assert_eq!(sidecar.request(&with_long_timeout(read_request("after"))).status(), 200);
-        gone.assert_no_late_attempt("left", [&server], "behind a request in flight");
+        closed.assert_no_late_attempt("left", [&server], "behind a request in flight");
     }
 }
--- a/crates/sidecar/tests/life.rs
+++ b/crates/sidecar/tests/life.rs
@@ -39,7 +39,7 @@
     gate.send(()).unwrap();
     assert_eq!(taken.read_response().text(), "slow");
     taken.wait_for_close();
-    let (status, log) = sidecar.wait_for_exit();
+    let Exit { status, log } = sidecar.wait_for_exit();
     assert!(status.success(), "{status}: {log}");
 }
 
@@ -76,7 +76,7 @@
         assert!(matches!(status, 200 | 503), "{status}");
         client.wait_for_close();
     }
-    let (status, log) = sidecar.wait_for_exit();
+    let Exit { status, log } = sidecar.wait_for_exit();
     assert!(status.success(), "{status}: {log}");
 }
 
@@ -84,7 +84,7 @@
 fn sigint_shuts_down_like_sigterm() {
     let sidecar = Setup::new(vec![]).set("/sidecar/accept_after_term_ms", json!(0)).start();
     sidecar.signal("INT");
-    let (status, log) = sidecar.wait_for_exit();
+    let Exit { status, log } = sidecar.wait_for_exit();
     assert!(status.success() && log.contains("sidecar n0 ends"), "{status}: {log}");
 }
 
@@ -109,14 +109,14 @@
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")));
     client.wait_for_close();
     half.wait_for_close();
-    let (status, log) = sidecar.wait_for_exit();
+    let Exit { status, log } = sidecar.wait_for_exit();
     assert!(status.success(), "{status}");
     assert!(log.contains("connections still open"), "{log}");
 }
 
 /// Starts the process with one invalid option; it must exit with a message that names it.
 fn assert_start_fails(setup: Setup, message: &str) {
-    let (status, log) = setup.spawn().wait_for_exit();
+    let Exit { status, log } = setup.spawn().wait_for_exit();
     assert!(!status.success(), "the process started: {message}");
     assert!(log.contains(message), "'{message}' is not in: {log}");
 }
--- a/crates/sidecar/tests/limits.rs
+++ b/crates/sidecar/tests/limits.rs
@@ -19,7 +19,8 @@
 #[test]
 fn attempt_limit_of_a_route_does_not_affect_others() {
     // Each attempt may have run, so reads are retried, but not on the route.
-    let (first, second) = (FakeServer::start(|_, _| Action::Close), FakeServer::start(|_, _| Action::Close));
+    let first = FakeServer::start(|_, _| Action::Close);
+    let second = FakeServer::start(|_, _| Action::Close);
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("limits.toml");
     std::fs::write(&file, "[[route]]\nname = 'once'\nattempts = 1\nmatch = { path = '/read/once' }").unwrap();
@@ -73,10 +74,12 @@
     let done = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let ask = |worker: usize| {
-            let (sidecar, done) = (&sidecar, &done);
+            let sidecar = &sidecar;
+            let done = &done;
             move || {
                 let mut client = sidecar.connect();
-                let (mut asked, mut lost) = (0, HashMap::new());
+                let mut asked = 0;
+                let mut lost = HashMap::new();
                 while asked < 1250 || !done.load(Ordering::SeqCst) {
                     client.send(&read_request(&format!("w{worker}-{asked}")));
                     let answer = client.read_response();
@@ -96,9 +99,9 @@
             sidecar.signal("HUP");
             // Each reload is applied or rejected before the next one.
             let message = if bad { "going on with the old configuration" } else { "taken up: " };
-            let end = std::time::Instant::now() + WAIT_TIMEOUT;
+            let give_up_at = std::time::Instant::now() + WAIT_TIMEOUT;
             while !sidecar.log.all()[seen..].iter().any(|line| line.contains(message)) {
-                if std::time::Instant::now() >= end {
+                if std::time::Instant::now() >= give_up_at {
                     // Otherwise the workers would never stop.
                     done.store(true, Ordering::SeqCst);
                     panic!("reload {n} is not logged");
@@ -122,7 +125,7 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("limits.toml");
     std::fs::write(&file, "[defaults]\nattempts = 0\ntimeout = 3").unwrap();
-    let (status, log) = with_limits(Setup::new(vec![]), &file).spawn().wait_for_exit();
+    let Exit { status, log } = with_limits(Setup::new(vec![]), &file).spawn().wait_for_exit();
     assert!(!status.success());
     assert!(log.contains("2 faults") && log.contains("DL005") && log.contains("DL003"), "{log}");
 }
@@ -139,7 +142,8 @@
 fn command_line_checks_shows_and_explains() {
     let folder = tempfile::tempdir().unwrap();
     let path = |name: &str| folder.path().join(name).display().to_string();
-    let (file, config) = (path("limits.toml"), path("config.json"));
+    let file = path("limits.toml");
+    let config = path("config.json");
     std::fs::write(&config, json!({"settings": settings()}).to_string()).unwrap();
     std::fs::write(&file, "[defaults]\nattempts = 7\n\n[[route]]\nname = 'x'\nmatch = { class = 'reed' }")
         .unwrap();
@@ -149,8 +153,8 @@
     assert!(text(&found).contains(":2:12: error DL020: defaults.attempts:"), "{}", text(&found));
     assert!(text(&found).contains(":6:19: error DL010: route[0].match.class:"), "{}", text(&found));
     let found = run_cli(&["check", &file, "--settings", &config, "--format", "json"]);
-    let told: serde_json::Value = serde_json::from_slice(&found.stdout).unwrap();
-    assert_eq!((&told["errors"], &told["faults"][0]["code"]), (&json!(2), &json!("DL020")));
+    let report: serde_json::Value = serde_json::from_slice(&found.stdout).unwrap();
+    assert_eq!((&report["errors"], &report["faults"][0]["code"]), (&json!(2), &json!("DL020")));
     // Without settings only the syntax is checked, and the output says so.
     let form = run_cli(&["check", &file]);
     assert_eq!(form.status.code(), Some(0));
--- a/crates/sidecar/tests/lists.rs
+++ b/crates/sidecar/tests/lists.rs
@@ -12,9 +12,9 @@
 
 /// Retries until the response body is `what`.
 fn wait_for_response(sidecar: &Sidecar, what: &str) {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while sidecar.request(&read_request("u")).text() != what {
-        assert!(Instant::now() < end, "no response '{what}'");
+        assert!(Instant::now() < give_up_at, "no response '{what}'");
     }
 }
 
@@ -39,7 +39,8 @@
 
 #[test]
 fn list_changes_add_drain_and_remove_servers() {
-    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let old = FakeServer::start(|_, _| ok("old"));
+    let new = FakeServer::start(|_, _| ok("new"));
     let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&discovery).start();
     discovery.watches.wait(1, "watches");
@@ -117,7 +118,8 @@
 
 #[test]
 fn full_list_removes_servers_that_it_lacks() {
-    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let old = FakeServer::start(|_, _| ok("old"));
+    let new = FakeServer::start(|_, _| ok("new"));
     let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&discovery).start();
     discovery.watches.wait(1, "watches");
@@ -143,7 +145,8 @@
 fn silent_watch_is_replaced_by_the_first_additional_watch_that_answers() {
     // Guards against a silent watch that was waited on for 7 s: a drain written to the next watch meanwhile
     // was not read.
-    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let old = FakeServer::start(|_, _| ok("old"));
+    let new = FakeServer::start(|_, _| ok("new"));
     let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")])
         .discovery(&discovery)
@@ -163,7 +166,8 @@
 
 #[test]
 fn drain_lost_with_a_reset_watch_is_received_on_the_next_watch() {
-    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let old = FakeServer::start(|_, _| ok("old"));
+    let new = FakeServer::start(|_, _| ok("new"));
     let discovery = StubDiscovery::start();
     let entries = vec![entry("s1", old.address, "up"), entry("s2", new.address, "up")];
     let sidecar = Setup::new(entries).discovery(&discovery).start();
@@ -184,7 +188,8 @@
 
 #[test]
 fn drain_applies_even_if_the_rest_of_its_entry_is_invalid() {
-    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let old = FakeServer::start(|_, _| ok("old"));
+    let new = FakeServer::start(|_, _| ok("new"));
     let discovery = StubDiscovery::start();
     let entries = vec![entry("s1", old.address, "up"), entry("s2", new.address, "up")];
     let sidecar = Setup::new(entries).discovery(&discovery).start();
@@ -208,17 +213,17 @@
     let sidecar = setup().discovery(&discovery).start();
     discovery.watches.wait(1, "watches");
     discovery.publish_changes(9, vec![entry("s1", server.address, "up")]);
-    let kept = || std::fs::read_to_string(&file).unwrap_or_default();
-    let end = Instant::now() + WAIT_TIMEOUT;
-    while !kept().contains("\"rev\":9") {
-        assert!(Instant::now() < end, "the list was not stored");
+    let stored = || std::fs::read_to_string(&file).unwrap_or_default();
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    while !stored().contains("\"rev\":9") {
+        assert!(Instant::now() < give_up_at, "the list was not stored");
     }
     drop(sidecar);
     let sidecar = setup().start();
     sidecar.wait_for_log("revision 9, ");
     assert_eq!(sidecar.request(&read_request("r1")).text(), "kept");
     drop(sidecar);
-    let whole = kept();
+    let whole = stored();
     for (damaged, message) in [
         (whole.replace("up", "xx"), "its checksum does not fit"),
         (whole[..whole.len() - 9].to_owned(), "it was cut off"),
@@ -248,7 +253,8 @@
 
 #[test]
 fn invalid_entry_does_not_block_other_entries() {
-    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
+    let old = FakeServer::start(|_, _| ok("old"));
+    let new = FakeServer::start(|_, _| ok("new"));
     let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&discovery).start();
     discovery.watches.wait(1, "watches");
@@ -309,7 +315,8 @@
 
 #[test]
 fn server_is_identified_by_uid_and_reached_at_its_current_endpoint() {
-    let (before, after) = (FakeServer::start(|_, _| ok("before")), FakeServer::start(|_, _| ok("after")));
+    let before = FakeServer::start(|_, _| ok("before"));
+    let after = FakeServer::start(|_, _| ok("after"));
     let discovery = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", before.address, "up")]).discovery(&discovery).start();
     discovery.watches.wait(1, "watches");
@@ -403,8 +410,11 @@
 
 impl FaultyDiscovery {
     fn start(list: Value) -> FaultyDiscovery {
-        let (mode, watches) = (Arc::new(Mutex::new(StubMode::Answers)), Arc::default());
-        let (list, accepted, abandoned) = (Arc::new(Mutex::new(list)), Recorder::new(), Recorder::new());
+        let mode = Arc::new(Mutex::new(StubMode::Answers));
+        let watches = Arc::default();
+        let list = Arc::new(Mutex::new(list));
+        let accepted = Recorder::new();
+        let abandoned = Recorder::new();
         let state = StubState { mode, list, watches, accepted, abandoned };
         let mut discovery = FaultyDiscovery { address: unique_address(), state, accept_thread: None };
         discovery.set_mode(StubMode::Answers);
@@ -442,15 +452,16 @@
     /// or with `wait_until_abandoned` a hanging call that the sidecar has closed.
     fn lose_calls(&mut self, sidecar: &Sidecar, mode: StubMode, wait_until_abandoned: bool) {
         let refused = || sidecar.log.all().iter().filter(|line| line.contains("refused")).count();
-        let (were_refused, accepted) = (refused(), self.state.accepted.len());
+        let were_refused = refused();
+        let accepted = self.state.accepted.len();
         let were_abandoned = self.state.abandoned.len();
         self.set_mode(mode);
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         match mode {
             StubMode::Answers => {}
             StubMode::Refuses => {
                 while refused() < were_refused + 2 {
-                    assert!(Instant::now() < end, "no call is refused: {:?}", sidecar.log.all());
+                    assert!(Instant::now() < give_up_at, "no call is refused: {:?}", sidecar.log.all());
                     sidecar.log.wait(sidecar.log.len() + 1, "log lines");
                 }
             }
@@ -496,11 +507,11 @@
         let reached = Instant::now();
         discovery.set_mode(StubMode::Answers);
         wait_for_revision(&sidecar, rev);
-        let late = reached.elapsed();
-        println!("{discovery_mode}, {order:?}: {} ms", late.as_millis());
+        let delay = reached.elapsed();
+        println!("{discovery_mode}, {order:?}: {} ms", delay.as_millis());
         // The drain counts as published 6 s after discovery was reachable again, and the grace period is one
         // second.
-        assert!(late < Duration::from_secs(7), "{order:?}: applied after {late:?}");
+        assert!(delay < Duration::from_secs(7), "{order:?}: applied after {delay:?}");
         let before = servers[n].request_count();
         for _ in 0..10 {
             // Whether servers respond in time on a busy machine is not checked here.
--- a/crates/sidecar/tests/operators.rs
+++ b/crates/sidecar/tests/operators.rs
@@ -10,9 +10,15 @@
 use std::os::fd::AsRawFd;
 use std::time::Instant;
 
-fn with_console(setup: Setup) -> (Setup, SocketAddr) {
+/// A setup and the address of its console.
+struct SetupWithConsole {
+    setup: Setup,
+    console: SocketAddr,
+}
+
+fn with_console(setup: Setup) -> SetupWithConsole {
     let console = unique_address();
-    (setup.set("/console", json!(console.to_string())), console)
+    SetupWithConsole { setup: setup.set("/console", json!(console.to_string())), console }
 }
 
 /// The current value of a metric, from the console.
@@ -25,15 +31,15 @@
 
 /// Waits until a metric has this value.
 fn wait_for_metric(console: SocketAddr, name: &str, value: i64) {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while metric(console, name) != value {
-        assert!(Instant::now() < end, "{name} is {}, not {value}", metric(console, name));
+        assert!(Instant::now() < give_up_at, "{name} is {}, not {value}", metric(console, name));
     }
 }
 
 #[test]
 fn console_answers_while_other_connections_are_silent() {
-    let (setup, console) = with_console(Setup::new(vec![]));
+    let SetupWithConsole { setup, console } = with_console(Setup::new(vec![]));
     let sidecar = setup.start();
     // More silent and incomplete connections than slots: the oldest is closed and nobody waits.
     let silent: Vec<TcpStream> = (0..40)
@@ -75,17 +81,17 @@
     });
     let gone = unique_address();
     let known = vec![entry("s1", server.address, "up"), entry("s2", gone, "draining")];
-    let (setup, console) = with_console(Setup::new(known));
+    let SetupWithConsole { setup, console } = with_console(Setup::new(known));
     let sidecar = setup.start();
-    let mut ends = std::collections::HashMap::new();
+    let mut outcomes = std::collections::HashMap::new();
     for n in 0..30 {
         let request =
             if n % 3 == 0 { once_request(&format!("r{n}")) } else { read_request(&format!("r{n}")) };
         let status = sidecar.request(&request).status();
-        *ends.entry((n % 3 == 0, status)).or_insert(0_i64) += 1;
+        *outcomes.entry((n % 3 == 0, status)).or_insert(0_i64) += 1;
     }
     assert_eq!(sidecar.request("GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n").status(), 404);
-    let count = |once, status| ends.get(&(once, status)).copied().unwrap_or(0);
+    let count = |once, status| outcomes.get(&(once, status)).copied().unwrap_or(0);
     let text = console_call(console, b"stats\n");
     for (once, class) in [(true, "once"), (false, "read")] {
         for (name, status) in [("passed", 200), ("dropped", 503), ("bad_gateway", 502)] {
@@ -93,7 +99,7 @@
             assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
         }
     }
-    assert_eq!(ends.values().sum::<i64>(), 30);
+    assert_eq!(outcomes.values().sum::<i64>(), 30);
     assert!(count(true, 502) > 0 && count(false, 200) > 0);
     assert_eq!(metric(console, "upstream_tries"), server.request_count() as i64);
     assert_eq!((metric(console, "in_progress"), metric(console, "known_endpoints")), (0, 2));
@@ -103,10 +109,13 @@
 fn standby_closes_client_connections_without_loss_until_active() {
     let (gate, action) = gated_ok("finished");
     let server = FakeServer::start(move |n, _| if n == 1 { action.clone() } else { ok("x") });
-    let (setup, console) = with_console(Setup::new(vec![entry("s1", server.address, "up")]));
+    let SetupWithConsole { setup, console } =
+        with_console(Setup::new(vec![entry("s1", server.address, "up")]));
     let sidecar = setup.start();
     let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-    let (mut idle, mut busy, mut late) = (sidecar.connect(), sidecar.connect(), sidecar.connect());
+    let mut idle = sidecar.connect();
+    let mut busy = sidecar.connect();
+    let mut late = sidecar.connect();
     idle.send(&read_request("r0"));
     assert_eq!(idle.read_response().status(), 200);
     busy.send(&once_request("r1"));
@@ -155,7 +164,7 @@
     });
     let other = FakeServer::start(|_, m| if m.target() == "/pay" { Action::Close } else { ok("x") });
     let known = vec![entry("s1", server.address, "up"), entry("s2", other.address, "draining")];
-    let (setup, console) = with_console(Setup::new(known));
+    let SetupWithConsole { setup, console } = with_console(Setup::new(known));
     let sidecar = setup.start();
     let new = "GET /new HTTP/1.1\r\nHost: x\r\nX-Request-ID: n1\r\n\r\n";
     assert_eq!(sidecar.request(new).status(), 404);
@@ -175,9 +184,9 @@
     config["settings"]["limits"]["try_limit"] = json!(2);
     sidecar.reload(&config.to_string());
     wait_for_metric(console, "loads", 1);
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while sidecar.request(new).status() != 200 {
-        assert!(Instant::now() < end, "the new class is unknown");
+        assert!(Instant::now() < give_up_at, "the new class is unknown");
     }
     assert_eq!(sidecar.request(&once_request("r1")).status(), 404, "its class was removed");
     let before = server.request_count();
@@ -196,7 +205,8 @@
     );
 
     // An invalid configuration changes nothing, and the message names its key.
-    let (good, mut errors) = (config, 0);
+    let good = config;
+    let mut errors = 0;
     let broken = |change: &dyn Fn(&mut Value)| {
         let mut config = good.clone();
         change(&mut config);
@@ -255,14 +265,13 @@
 }
 
 /// A listening socket that the processes under test inherit.
-fn inherited_listener() -> (TcpListener, SocketAddr) {
+fn inherited_listener() -> TcpListener {
     let listener = TcpListener::bind(unique_address()).unwrap();
     socket2::SockRef::from(&listener).set_cloexec(false).unwrap();
-    let at = listener.local_addr().unwrap();
-    (listener, at)
+    listener
 }
 
-fn setup_on_listener(listener: &TcpListener, at: SocketAddr, known: Vec<Value>) -> (Setup, SocketAddr) {
+fn setup_on_listener(listener: &TcpListener, at: SocketAddr, known: Vec<Value>) -> SetupWithConsole {
     let mut setup = Setup::new(known).set("/listen", json!(at.to_string()));
     setup.env.push(("EDGE_INHERITED_FD", listener.as_raw_fd().to_string()));
     // The name also identifies the process to others of the same sidecar, in a folder that the tests of this
@@ -274,9 +283,10 @@
 #[test]
 fn handover_to_a_second_process_loses_no_request() {
     let server = FakeServer::start(|_, _| ok("x"));
-    let (listener, at) = inherited_listener();
+    let listener = inherited_listener();
+    let at = listener.local_addr().unwrap();
     let known = vec![entry("s1", server.address, "up")];
-    let (setup, _) = setup_on_listener(&listener, at, known.clone());
+    let setup = setup_on_listener(&listener, at, known.clone()).setup;
     // Idle connections are closed at two thirds of this, long after this one is used.
     let old = setup.set("/sidecar/accept_after_term_ms", json!(6000)).start();
     let mut kept = old.connect();
@@ -300,7 +310,7 @@
             asked
         };
         let workers: Vec<_> = (0..4).map(|n| scope.spawn(move || asks(n))).collect();
-        let (setup, console) = setup_on_listener(&listener, at, known);
+        let SetupWithConsole { setup, console } = setup_on_listener(&listener, at, known);
         // The shared socket accepts connections from the start, since the old process serves it.
         let new = setup.spawn();
         new.wait_for_log("listening on");
@@ -311,13 +321,13 @@
         // A kept connection of the old process is served with `Connection: close`.
         kept.send(&read_request("k1"));
         assert_eq!(kept.read_response().header("connection"), Some("close"));
-        let (status, log) = old.wait_for_exit();
+        let Exit { status, log } = old.wait_for_exit();
         assert!(status.success(), "{log}");
         new.wait_for_log("another process of this sidecar runs no more: ");
         let before = metric(console, "upstream_tries");
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         while metric(console, "upstream_tries") < before + 100 {
-            assert!(Instant::now() < end, "the new process serves no requests");
+            assert!(Instant::now() < give_up_at, "the new process serves no requests");
         }
         stop.store(true, std::sync::atomic::Ordering::SeqCst);
         assert!(workers.into_iter().map(|w| w.join().unwrap()).sum::<usize>() > 100);
@@ -331,9 +341,10 @@
 fn connections_between_two_processes_wait_for_the_new_one() {
     let (gate, action) = gated_ok("0");
     let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok(&n.to_string()) });
-    let (listener, at) = inherited_listener();
+    let listener = inherited_listener();
+    let at = listener.local_addr().unwrap();
     let known = vec![entry("s1", server.address, "up")];
-    let old = setup_on_listener(&listener, at, known.clone()).0.start();
+    let old = setup_on_listener(&listener, at, known.clone()).setup.start();
     let mut in_flight = old.connect();
     in_flight.send(&once_request("r0"));
     server.requests.wait(1, "requests");
@@ -350,9 +361,9 @@
         .collect();
     gate.send(()).unwrap();
     assert_eq!(in_flight.read_response().text(), "0");
-    let (status, log) = old.wait_for_exit();
+    let Exit { status, log } = old.wait_for_exit();
     assert!(status.success(), "{log}");
-    let _new = setup_on_listener(&listener, at, known).0.spawn();
+    let _new = setup_on_listener(&listener, at, known).setup.spawn();
     for client in &mut between {
         let mut answer = String::new();
         client.read_to_string(&mut answer).unwrap();
@@ -368,16 +379,17 @@
     let (gate, second_half) = gated(Action::Raw("x".repeat(LONG_BODY_BYTES / 2), AfterWrite::KeepOpen));
     let server = FakeServer::start(move |_, message| match message.target() {
         "/read/long" => {
-            let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n");
-            let half = Action::Raw(told + &"x".repeat(LONG_BODY_BYTES / 2), AfterWrite::KeepOpen);
+            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n");
+            let half = Action::Raw(head + &"x".repeat(LONG_BODY_BYTES / 2), AfterWrite::KeepOpen);
             Action::Sequence(Box::new(half), Box::new(second_half.clone()))
         }
         "/once" => ok(&message.body.len().to_string()),
         _ => ok("x"),
     });
-    let (listener, at) = inherited_listener();
+    let listener = inherited_listener();
+    let at = listener.local_addr().unwrap();
     let known = vec![entry("s1", server.address, "up")];
-    let (setup, _) = setup_on_listener(&listener, at, known.clone());
+    let setup = setup_on_listener(&listener, at, known.clone()).setup;
     let old = setup.set("/sidecar/end_after_term_ms", json!(60_000)).start();
     let mut upload = old.connect();
     upload.send(
@@ -391,15 +403,15 @@
     download.send(&read_request("down").replace("GET /read", "GET /read/long"));
     let mut begun = [0; 1];
     download.stream.read_exact(&mut begun).unwrap();
-    let (setup, console) = setup_on_listener(&listener, at, known);
+    let SetupWithConsole { setup, console } = setup_on_listener(&listener, at, known);
     let new = setup.spawn();
     new.wait_for_log("listening on");
     part(1000);
     old.signal("TERM");
     old.wait_for_log("told to end");
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while metric(console, "upstream_tries") == 0 {
-        assert!(Instant::now() < end, "the new process serves no requests");
+        assert!(Instant::now() < give_up_at, "the new process serves no requests");
         let mut client = TcpStream::connect(at).unwrap();
         client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let request = read_request("beside").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
@@ -417,17 +429,18 @@
     download.stream.read_to_end(&mut got).unwrap();
     let body = got.windows(4).position(|bytes| bytes == b"\r\n\r\n").unwrap() + 4;
     assert_eq!(got.len() - body, LONG_BODY_BYTES);
-    let (status, log) = old.wait_for_exit();
+    let Exit { status, log } = old.wait_for_exit();
     assert!(status.success() && !log.contains("still open"), "{log}");
 }
 
 #[test]
 fn invalid_startup_options_fail_without_disturbing_a_running_process() {
-    let (listener, at) = inherited_listener();
-    let (setup, console) = setup_on_listener(&listener, at, vec![]);
+    let listener = inherited_listener();
+    let at = listener.local_addr().unwrap();
+    let SetupWithConsole { setup, console } = setup_on_listener(&listener, at, vec![]);
     let first = setup.start();
     let assert_start_fails = |setup: Setup, message: &str| {
-        let (status, log) = setup.spawn().wait_for_exit();
+        let Exit { status, log } = setup.spawn().wait_for_exit();
         assert!(!status.success() && log.contains(message), "{message} is not in {log}");
     };
     for (fd, message) in [
@@ -439,7 +452,7 @@
         setup.env.push(("EDGE_INHERITED_FD", fd.to_owned()));
         assert_start_fails(setup, message);
     }
-    let (setup, _) = setup_on_listener(&listener, unique_address(), vec![]);
+    let setup = setup_on_listener(&listener, unique_address(), vec![]).setup;
     assert_start_fails(setup, "right would be");
     let in_use = json!(console.to_string());
     assert_start_fails(
--- a/crates/sidecar/tests/outcomes.rs
+++ b/crates/sidecar/tests/outcomes.rs
@@ -17,10 +17,11 @@
 }
 
 fn start_pair(first: Action) -> ServerPair {
-    let asked = Arc::new(AtomicUsize::new(0));
+    let requests = Arc::new(AtomicUsize::new(0));
     let servers = [(), ()].map(|()| {
-        let (asked, first) = (asked.clone(), first.clone());
-        FakeServer::start(move |_, _| match asked.fetch_add(1, Ordering::SeqCst) {
+        let requests = requests.clone();
+        let first = first.clone();
+        FakeServer::start(move |_, _| match requests.fetch_add(1, Ordering::SeqCst) {
             0 => first.clone(),
             _ => ok("served"),
         })
@@ -125,8 +126,11 @@
     let pair = start_pair(error_response());
     assert_eq!(pair.sidecar.request(&pay_request("r9")).status(), 200);
     for server in &pair.servers {
-        let got = server.requests.wait(1, "requests").remove(0).message;
-        assert_eq!((got.header("x-request-id"), got.header("idempotency-key")), (Some("r9"), Some("k1")));
+        let received = server.requests.wait(1, "requests").remove(0).message;
+        assert_eq!(
+            (received.header("x-request-id"), received.header("idempotency-key")),
+            (Some("r9"), Some("k1"))
+        );
     }
 }
 
@@ -199,8 +203,8 @@
     // Closes each connection after its response without `Connection: close` in the head.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let served = Recorder::new();
-    let count = served.clone();
+    let responses = Recorder::new();
+    let count = responses.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let message = read_message(&mut std::io::BufReader::new(&stream));
@@ -217,7 +221,7 @@
     let sidecar = Setup::new(vec![entry("s1", address, "up")]).start();
     for n in 0..10 {
         assert_eq!(sidecar.request(&once_request(&format!("r{n}"))).status(), 200);
-        served.wait(n + 1, "answers");
+        responses.wait(n + 1, "answers");
     }
 }
 
@@ -235,23 +239,23 @@
     assert_eq!(sidecar.request(&once_request("r2")).status(), 503);
     gate.send(()).unwrap();
     assert_eq!(first.read_response().text(), "first");
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while sidecar.request(&once_request("r3")).status() != 200 {
-        assert!(Instant::now() < end, "the connection slot of the first request is not released");
+        assert!(Instant::now() < give_up_at, "the connection slot of the first request is not released");
     }
 }
 
 /// Retries until at least 45 of 50 requests in a row are answered by this server, which uniform draws do not
 /// produce.
 fn wait_until_preferred(sidecar: &Sidecar, server: &str) {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     loop {
         let answers = (0..50).map(|n| sidecar.request(&read_request(&format!("r{n}"))).text());
         let share = answers.filter(|a| a == server).count();
         if share >= 45 {
             return;
         }
-        assert!(Instant::now() < end, "{share} of 50 responses at the time-out");
+        assert!(Instant::now() < give_up_at, "{share} of 50 responses at the time-out");
     }
 }
 
@@ -261,7 +265,8 @@
         let load = format!(r#"{{"inflight":{inflight},"queue":{inflight},"util":0.5,"other":1}}"#);
         vec![("X-Server-Load", load)]
     };
-    let (full, idle) = (report(30), report(0));
+    let full = report(30);
+    let idle = report(0);
     let busy = FakeServer::start(move |_, _| Action::Reply {
         status: 200,
         headers: full.clone(),
@@ -285,12 +290,12 @@
         FakeServer::start_with_load(|_, _| ok("light"), || r#"{"inflight":0,"queue":0,"util":0}"#.into());
     let known = vec![entry("s1", busy.address, "up"), entry("s2", light.address, "up")];
     let sidecar = Setup::new(known).set("/settings/limits/probes", json!(true)).start();
-    let end = Instant::now() + WAIT_TIMEOUT;
-    let mut asked = 0;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    let mut requests = 0;
     while busy.probes.len() < 5 || light.probes.len() < 5 {
-        assert_eq!(sidecar.request(&read_request(&format!("p{asked}"))).status(), 200);
-        asked += 1;
-        assert!(Instant::now() < end, "no probes");
+        assert_eq!(sidecar.request(&read_request(&format!("p{requests}"))).status(), 200);
+        requests += 1;
+        assert!(Instant::now() < give_up_at, "no probes");
     }
     assert!(busy.probes.all().iter().all(|p| p == "/load"));
     wait_until_preferred(&sidecar, "light");
@@ -309,12 +314,12 @@
 #[test]
 fn keyed_retry_stays_within_its_group() {
     // The servers are in different cells: only the first may get the retry, and it has just failed.
-    let asked = Arc::new(AtomicUsize::new(0));
+    let requests = Arc::new(AtomicUsize::new(0));
     let servers = [(), ()].map(|()| {
-        let asked = asked.clone();
-        FakeServer::start(
-            move |_, _| if asked.fetch_add(1, Ordering::SeqCst) == 0 { error_response() } else { ok("no") },
-        )
+        let requests = requests.clone();
+        FakeServer::start(move |_, _| {
+            if requests.fetch_add(1, Ordering::SeqCst) == 0 { error_response() } else { ok("no") }
+        })
     });
     let mut known = vec![entry("s1", servers[0].address, "up"), entry("s2", servers[1].address, "up")];
     known[1]["pod_group"] = json!(1);
--- a/crates/sidecar/tests/ready.rs
+++ b/crates/sidecar/tests/ready.rs
@@ -136,7 +136,8 @@
         for _ in 0..CLIENTS_PER_PROCESS {
             scope.spawn(|| request_until_stopped(listen, &stop));
         }
-        let (began, wall) = (Instant::now(), SystemTime::now().duration_since(UNIX_EPOCH).unwrap());
+        let began = Instant::now();
+        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
         let sidecar = setup.spawn();
         sidecar.wait_for_log("listening on");
         assert_eq!(
@@ -187,7 +188,8 @@
         (0..ANSWERING_SERVERS).map(|_| FakeServer::start(|_, _| ok("x"))).collect();
     // It accepts connections and never responds.
     let slow = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (down, next) = (unique_address(), AtomicUsize::new(0));
+    let down = unique_address();
+    let next = AtomicUsize::new(0);
     let measured = Recorder::new();
     thread::scope(|scope| {
         for _ in 0..PARALLEL_STARTS.min(starts) {
@@ -197,7 +199,7 @@
                     if n >= starts {
                         return;
                     }
-                    let discovery = if n % 2 == 0 { slow.local_addr().unwrap() } else { down };
+                    let discovery = if n.is_multiple_of(2) { slow.local_addr().unwrap() } else { down };
                     let servers = if n % 4 < 2 { 200 } else { 3100 };
                     measured.push(std::sync::Arc::new(measure_start(servers, discovery, &answering)));
                 }
--- a/crates/sidecar/tests/reload.rs
+++ b/crates/sidecar/tests/reload.rs
@@ -10,7 +10,8 @@
     // Guards against an unhandled SIGHUP, which terminated the process with all accepted requests.
     let (gate, action) = gated_ok("finished");
     let old = FakeServer::start(move |_, _| action.clone());
-    let (before, after) = (StubDiscovery::start(), StubDiscovery::start());
+    let before = StubDiscovery::start();
+    let after = StubDiscovery::start();
     let sidecar = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&before).start();
     before.watches.wait(1, "watches");
     let mut client = sidecar.connect();
@@ -30,8 +31,10 @@
 
 #[test]
 fn full_list_of_a_new_discovery_address_applies_whatever_its_revision() {
-    let (old, new) = (FakeServer::start(|_, _| ok("old")), FakeServer::start(|_, _| ok("new")));
-    let (before, after) = (StubDiscovery::start(), StubDiscovery::start());
+    let old = FakeServer::start(|_, _| ok("old"));
+    let new = FakeServer::start(|_, _| ok("new"));
+    let before = StubDiscovery::start();
+    let after = StubDiscovery::start();
     after.set_full_list(3, vec![entry("s2", new.address, "up")]);
     let mut setup = Setup::new(vec![entry("s1", old.address, "up")]).discovery(&before);
     // The environment still names the old address, but the reloaded file is newer.
--- a/crates/sidecar/tests/requests.rs
+++ b/crates/sidecar/tests/requests.rs
@@ -16,11 +16,14 @@
          Content-Length: 5\r\n\r\nhello",
     );
     assert_eq!((answer.status(), answer.text().as_str()), (200, "the answer"));
-    let got = server.requests.wait(1, "requests").remove(0).message;
-    assert_eq!((got.method(), got.target()), ("POST", "/pay/x/y?a=1&b=%20"));
-    assert_eq!((got.header("x-request-id"), got.header("idempotency-key")), (Some("r1"), Some("k1")));
-    assert_eq!(got.text(), "hello");
-    let wait: f64 = got.header("x-timeout").unwrap().parse().unwrap();
+    let received = server.requests.wait(1, "requests").remove(0).message;
+    assert_eq!((received.method(), received.target()), ("POST", "/pay/x/y?a=1&b=%20"));
+    assert_eq!(
+        (received.header("x-request-id"), received.header("idempotency-key")),
+        (Some("r1"), Some("k1"))
+    );
+    assert_eq!(received.text(), "hello");
+    let wait: f64 = received.header("x-timeout").unwrap().parse().unwrap();
     assert!(wait > 0.0 && wait <= 0.75, "X-Timeout {wait}");
 }
 
@@ -30,8 +33,11 @@
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let answer = sidecar.request(&read_request("r1"));
     assert_eq!((answer.status(), answer.body.len()), (200, 0));
-    let got = server.requests.wait(1, "requests").remove(0).message;
-    assert_eq!((got.method(), got.body.len(), got.header("idempotency-key")), ("GET", 0, None));
+    let received = server.requests.wait(1, "requests").remove(0).message;
+    assert_eq!(
+        (received.method(), received.body.len(), received.header("idempotency-key")),
+        ("GET", 0, None)
+    );
 }
 
 #[test]
@@ -150,9 +156,9 @@
     server.requests.wait(1, "requests");
     assert_eq!(sidecar.request(&read_request("r2")).status(), 503, "the limit applies");
     drop(first);
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     while sidecar.request(&read_request("r3")).status() != 200 {
-        assert!(Instant::now() < end, "the request of the closed client is still in flight");
+        assert!(Instant::now() < give_up_at, "the request of the closed client is still in flight");
     }
 }
 
@@ -177,14 +183,14 @@
         .start();
     // The connection of the health check may still be open.
     sidecar.wait_for_log("listening");
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     let mut first = loop {
         let mut client = sidecar.connect();
         client.send(&read_request("r1"));
         if client.read_response().status() == 200 {
             break client;
         }
-        assert!(Instant::now() < end, "no connection is accepted");
+        assert!(Instant::now() < give_up_at, "no connection is accepted");
     };
     let mut second = sidecar.connect();
     second.send(&read_request("r2"));
--- a/crates/sidecar/tests/services.rs
+++ b/crates/sidecar/tests/services.rs
@@ -53,7 +53,8 @@
 /// A list stored for other services lacks servers that no later change would bring.
 #[test]
 fn list_stored_for_other_services_is_not_used() {
-    let (cart, pay) = (FakeServer::start(|_, _| ok("cart")), FakeServer::start(|_, _| ok("pay")));
+    let cart = FakeServer::start(|_, _| ok("cart"));
+    let pay = FakeServer::start(|_, _| ok("pay"));
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("list");
     let discovery = StubDiscovery::start();
@@ -67,9 +68,9 @@
         9,
         vec![service_entry("cart", "s1", &cart, "up"), service_entry("pay", "s2", &pay, "up")],
     );
-    let end = std::time::Instant::now() + WAIT_TIMEOUT;
+    let give_up_at = std::time::Instant::now() + WAIT_TIMEOUT;
     while !std::fs::read_to_string(&file).unwrap_or_default().contains("\"rev\":9") {
-        assert!(std::time::Instant::now() < end, "the list was not stored");
+        assert!(std::time::Instant::now() < give_up_at, "the list was not stored");
         std::thread::yield_now();
     }
     drop(sidecar);
@@ -93,7 +94,8 @@
         (json!([7]), "sidecar.services: 7 is no name; right would be"),
         (json!(["x".repeat(16 << 10)]), "sidecar.services: names of 16385 bytes in all, over 16384; right"),
     ] {
-        let (status, log) = Setup::new(vec![]).set("/sidecar/services", services).spawn().wait_for_exit();
+        let Exit { status, log } =
+            Setup::new(vec![]).set("/sidecar/services", services).spawn().wait_for_exit();
         assert!(!status.success());
         assert!(log.contains(message), "{log}");
     }
