--- a/crates/sidecar/tests/descriptors.rs
+++ b/crates/sidecar/tests/descriptors.rs
@@ -1,233 +1,237 @@
-//! Idle clients at the bound on descriptors, and beyond it, while discovery is down: what is no traffic keeps its places,
-//! whatever clients hold.
+//! Idle clients at the descriptor limit and beyond it, while discovery is down: everything other than client
+//! traffic keeps its reserved descriptors, however many connections clients open.
 
 mod common;
 
 use common::*;
 use serde_json::json;
-use std::io::{Read, Write};
+use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What the program is told that it may hold: room for twenty clients, where servers have as many.
-const SOCKETS: usize = 104;
-/// The most that clients may have of these, beside four connections to servers and what is kept.
-const CLIENTS: usize = 36;
-/// The grace of a drain, and the longest that a try of discovery is put off: two thirds of it, by the follower.
-const GRACE: Duration = Duration::from_secs(6);
-const TRIES: Duration = Duration::from_secs(4);
+/// `limits.sockets`: room for twenty clients and as many server connections.
+const SOCKET_LIMIT: usize = 104;
+/// Limit on client connections, beside four server connections and the reserved descriptors.
+const CLIENT_LIMIT: usize = 36;
+/// The drain grace period, and the longest delay between attempts to reach discovery: two thirds of the grace
+/// period.
+const DRAIN_GRACE: Duration = Duration::from_secs(6);
+const LONGEST_RETRY_DELAY: Duration = Duration::from_secs(4);
 
-/// One call of the console.
-fn call(console: SocketAddr, line: &str) -> String {
-    let mut stream = TcpStream::connect(console).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    stream.write_all(line.as_bytes()).unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
-}
-
-/// How discovery is down.
+/// How discovery fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outage {
     /// Connections are refused.
     Refuses,
-    /// They do not come up: each try of the program holds a descriptor for as long as it waits.
+    /// Connections are not established: each attempt holds a descriptor while it waits.
     Hangs,
 }
 
-enum Down {
+enum DownDiscovery {
     Refuses(SocketAddr),
-    Hangs(Late),
+    Hangs(SaturatedListener),
 }
 
-impl Down {
-    fn new(outage: Outage) -> Down {
+impl DownDiscovery {
+    fn new(outage: Outage) -> DownDiscovery {
         match outage {
-            Outage::Refuses => Down::Refuses(own_address()),
-            Outage::Hangs => Down::Hangs(Late::new()),
+            Outage::Refuses => DownDiscovery::Refuses(unique_address()),
+            Outage::Hangs => DownDiscovery::Hangs(SaturatedListener::new()),
         }
     }
 
     fn address(&self) -> SocketAddr {
         match self {
-            Down::Refuses(address) => *address,
-            Down::Hangs(late) => late.address,
+            DownDiscovery::Refuses(address) => *address,
+            DownDiscovery::Hangs(listener) => listener.address,
         }
     }
 
-    fn returns(self) -> Discovery {
+    fn restore(self) -> StubDiscovery {
         match self {
-            Down::Refuses(address) => Discovery::on(TcpListener::bind(address).unwrap()),
-            Down::Hangs(late) => late.open_discovery(),
+            DownDiscovery::Refuses(address) => StubDiscovery::start_on(TcpListener::bind(address).unwrap()),
+            DownDiscovery::Hangs(listener) => listener.open_as_discovery(),
         }
     }
 }
 
-/// Idle clients that come whenever there is a place, until they are told to stop: some say nothing, some half of what they
-/// have to say, some ask once and stay.
-fn crowd(listen: SocketAddr, full: &AtomicBool, stop: &AtomicBool) {
+/// Opens connections whenever there is room, until stopped: some stay silent, some send part of a request,
+/// some send one request and stay.
+fn run_idle_clients(listen: SocketAddr, full: &AtomicBool, stop: &AtomicBool) {
     let mut held = std::collections::VecDeque::new();
     for n in 0_usize.. {
         if stop.load(Ordering::SeqCst) {
             return;
         }
         let Ok(mut stream) = TcpStream::connect_timeout(&listen, Duration::from_millis(100)) else {
-            // The machine's own queue is full as well.
+            // The accept queue of the operating system is full as well.
             full.store(true, Ordering::SeqCst);
             continue;
         };
-        let request = read(&format!("crowd{n}"));
+        let request = read_request(&format!("crowd{n}"));
         let _ = stream.write_all(match n % 3 {
             0 => b"",
             1 => &request.as_bytes()[..20],
             _ => request.as_bytes(),
         });
         held.push_back(stream);
-        // Those were closed long ago: the places are far fewer.
-        if held.len() > 3 * SOCKETS {
+        // The oldest were closed long ago: there are far fewer slots.
+        if held.len() > 3 * SOCKET_LIMIT {
             held.pop_front();
         }
     }
 }
 
-/// Asks until it is served, and by whom.
-fn served(sidecar: &Sidecar, id: &str) -> String {
-    let end = Instant::now() + PATIENCE;
+/// Retries until a request is served and returns the response body.
+fn wait_until_served(sidecar: &Sidecar, id: &str) -> String {
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     loop {
         let mut client = sidecar.connect();
-        client.send(&read(id));
-        if let Some(answer) = client.answer_or_end().filter(|answer| answer.status() == 200) {
+        client.send(&read_request(id));
+        if let Some(answer) = client.read_response_or_close().filter(|answer| answer.status() == 200) {
             return answer.text();
         }
-        assert!(Instant::now() < end, "a usual client is kept out");
+        assert!(Instant::now() < give_up_at, "no well-behaved client is served");
     }
 }
 
-/// The list is followed at once when discovery returns, its change is acted on, servers are reached and the console answers,
-/// with a crowd of idle clients that takes every place there is.
-fn all_keep_their_places(outage: Outage, sockets: usize, machine: Option<usize>) {
-    let (gate, wait) = latch("in hand");
-    let old = Server::start(move |_, message| match message.target() {
-        "/read/held" => wait.clone(),
+/// Checks that, while idle clients take every available connection, the watch is reopened when discovery
+/// returns, list changes are applied, servers are reached and the console answers.
+fn check_reserved_descriptors(outage: Outage, sockets: usize, os_limit: Option<usize>) {
+    let (gate, action) = gated_ok("in hand");
+    let old = FakeServer::start(move |_, message| match message.target() {
+        "/read/held" => action.clone(),
         _ => ok("old"),
     });
-    let new = Server::start(|_, _| ok("new"));
-    let (down, console) = (Down::new(outage), own_address());
+    let new = FakeServer::start(|_, _| ok("new"));
+    let down = DownDiscovery::new(outage);
+    let console = unique_address();
     let mut setup = Setup::new(vec![entry("s1", old.address, "up")])
         .set("/discovery", json!(down.address().to_string()))
         .set("/console", json!(console.to_string()))
         .set("/limits/sockets", json!(sockets))
-        .set("/settings/safety/drain_grace", json!(GRACE.as_micros() as u64))
+        .set("/settings/safety/drain_grace", json!(DRAIN_GRACE.as_micros() as u64))
         .set("/settings/classes/0/aim", json!(60_000_000))
         .set("/settings/classes/0/deadline", json!(60_000_000))
-        // No time of their own ends them while this test waits.
+        // Long enough that no client time-out closes them during the test.
         .set("/sidecar/client_request_ms", json!(600_000))
         .set("/sidecar/client_idle_ms", json!(600_000));
-    if sockets == SOCKETS {
-        let (clients, servers) = (json!(CLIENTS), json!(4));
+    if sockets == SOCKET_LIMIT {
+        let clients = json!(CLIENT_LIMIT);
+        let servers = json!(4);
         setup = setup.set("/sidecar/client_connections", clients).set("/sidecar/server_connections", servers);
     }
-    setup.descriptors = machine;
+    setup.descriptor_limit = os_limit;
     let sidecar = setup.start();
     let mut kept = sidecar.connect();
-    kept.send(&read("kept0"));
-    assert_eq!(kept.answer().text(), "old");
+    kept.send(&read_request("kept0"));
+    assert_eq!(kept.read_response().text(), "old");
     let mut held = sidecar.connect();
     held.send(
-        &read("held").replace("GET /read", "GET /read/held").replace("X-Timeout: 0.9", "X-Timeout: 60"),
+        &read_request("held")
+            .replace("GET /read", "GET /read/held")
+            .replace("X-Timeout: 0.9", "X-Timeout: 60"),
     );
     old.requests.wait(2, "requests");
-    let most = machine.unwrap_or(sockets).min(sockets);
-    let (full, stop) = (AtomicBool::new(false), AtomicBool::new(false));
-    let fits = || {
-        let holds = sidecar.descriptors();
-        assert!(holds <= most, "{holds} descriptors of {most}");
-        assert_eq!(call(console, "status\n"), "YES active\n");
+    let limit = os_limit.unwrap_or(sockets).min(sockets);
+    let full = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
+    let check_limits = || {
+        let open = sidecar.open_descriptors();
+        assert!(open <= limit, "{open} descriptors of {limit}");
+        assert_eq!(console_call(console, b"status\n"), "YES active\n");
     };
-    // However this ends, the crowd goes home.
-    struct Home<'a>(&'a AtomicBool);
-    impl Drop for Home<'_> {
+    // Stops the idle clients when the test ends, also by a panic.
+    struct StopOnDrop<'a>(&'a AtomicBool);
+    impl Drop for StopOnDrop<'_> {
         fn drop(&mut self) {
             self.0.store(true, Ordering::SeqCst);
         }
     }
     thread::scope(|scope| {
-        let _home = Home(&stop);
-        scope.spawn(|| crowd(sidecar.listen, &full, &stop));
-        let end = Instant::now() + PATIENCE;
+        let _stop_on_drop = StopOnDrop(&stop);
+        scope.spawn(|| run_idle_clients(sidecar.listen, &full, &stop));
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         while !full.load(Ordering::SeqCst) {
-            assert!(Instant::now() < end, "the places are never full");
-            fits();
+            assert!(Instant::now() < give_up_at, "the accept queue did not fill up");
+            check_limits();
         }
-        // Some tries of discovery fail among them.
+        // Some attempts to reach discovery fail meanwhile.
         let failed = || sidecar.log.all().iter().filter(|l| l.contains(" of discovery at ")).count();
         let before = failed();
         while failed() < before + 3 {
-            assert!(Instant::now() < end, "discovery is not asked for");
-            fits();
+            assert!(Instant::now() < give_up_at, "no attempt to reach discovery");
+            check_limits();
         }
-        let back = Instant::now();
-        let discovery = down.returns();
-        discovery.calls.wait(1, "watches");
-        let asked = back.elapsed();
-        assert!(asked <= TRIES, "{outage:?}: asked {asked:?} after the return of discovery");
-        sidecar.logged("open after revision 7");
-        let (leaves, comes) = (entry("s1", old.address, "draining"), entry("s2", new.address, "up"));
-        let told = Instant::now();
-        discovery.send(9, false, vec![leaves, comes]);
-        sidecar.logged("list changes revision 9: 1 up, 1 draining");
-        let acted = told.elapsed();
-        assert!(acted <= GRACE, "{outage:?}: a drain acted on {acted:?} after it was told");
-        fits();
-        // What was held is served, and a new server is reached.
+        let restored = Instant::now();
+        let discovery = down.restore();
+        discovery.watches.wait(1, "watches");
+        let called_after = restored.elapsed();
+        assert!(
+            called_after <= LONGEST_RETRY_DELAY,
+            "{outage:?}: called {called_after:?} after discovery returned"
+        );
+        sidecar.wait_for_log("open after revision 7");
+        let drained = entry("s1", old.address, "draining");
+        let added = entry("s2", new.address, "up");
+        let published = Instant::now();
+        discovery.publish_changes(9, vec![drained, added]);
+        sidecar.wait_for_log("list changes revision 9: 1 up, 1 draining");
+        let applied_after = published.elapsed();
+        assert!(
+            applied_after <= DRAIN_GRACE,
+            "{outage:?}: a drain applied {applied_after:?} after it was published"
+        );
+        check_limits();
+        // The in-flight request is served, and the new server is reached.
         gate.send(()).unwrap();
-        assert_eq!(held.answer().text(), "in hand");
-        let _ = kept.stream.write_all(read("kept1").as_bytes());
-        assert!(kept.answer_or_end().is_none_or(|answer| answer.text() == "new"));
-        assert_eq!(served(&sidecar, "after"), "new");
-        fits();
+        assert_eq!(held.read_response().text(), "in hand");
+        let _ = kept.stream.write_all(read_request("kept1").as_bytes());
+        assert!(kept.read_response_or_close().is_none_or(|answer| answer.text() == "new"));
+        assert_eq!(wait_until_served(&sidecar, "after"), "new");
+        check_limits();
     });
-    assert!(!sidecar.log.all().iter().any(|line| line.contains("os error 24")), "no descriptor was left");
+    assert!(!sidecar.log.all().iter().any(|line| line.contains("os error 24")), "out of descriptors");
 }
 
 #[test]
-fn idle_clients_at_the_bound_leave_the_list_servers_and_console_their_places() {
+fn idle_clients_at_the_limit_leave_discovery_servers_and_console_their_descriptors() {
     for outage in [Outage::Refuses, Outage::Hangs] {
-        all_keep_their_places(outage, SOCKETS, None);
+        check_reserved_descriptors(outage, SOCKET_LIMIT, None);
     }
 }
 
 #[test]
-fn what_it_is_told_that_it_may_hold_is_enough_where_the_machine_gives_no_more() {
+fn configured_socket_limit_suffices_when_the_os_limit_is_equal() {
     for outage in [Outage::Refuses, Outage::Hangs] {
-        all_keep_their_places(outage, SOCKETS, Some(SOCKETS));
+        check_reserved_descriptors(outage, SOCKET_LIMIT, Some(SOCKET_LIMIT));
     }
 }
 
-/// The limit of the machine binds where it is lower than what the program was told.
+/// The limit of the operating system applies if it is lower than the configured one.
 #[test]
-fn a_lower_limit_of_the_machine_binds_clients_alone() {
+fn lower_os_limit_restricts_clients_only() {
     for outage in [Outage::Refuses, Outage::Hangs] {
-        all_keep_their_places(outage, 1024, Some(SOCKETS));
+        check_reserved_descriptors(outage, 1024, Some(SOCKET_LIMIT));
     }
 }
 
-/// Idle connections to servers that stay held every place at the bound until they were too old, four fifths of the servers'
-/// own time: the log said that the bound was reached while nothing was in hand, and other servers were never asked.
+/// Idle server connections at the limit occupied every slot until they expired, at four fifths of the
+/// servers' idle time-out: the log reported the limit while nothing was in flight, and other servers got no
+/// requests.
 #[test]
-fn idle_connections_at_the_bound_make_room_for_other_servers() {
-    let servers = ["one", "two", "three", "four"].map(|name| Server::start(move |_, _| ok(name)));
+fn idle_server_connections_at_the_limit_make_room_for_other_servers() {
+    let servers = ["one", "two", "three", "four"].map(|name| FakeServer::start(move |_, _| ok(name)));
     let uids = ["s1", "s2", "s3", "s4"];
     let known = servers.iter().zip(uids).map(|(server, uid)| entry(uid, server.address, "up")).collect();
     let sidecar = Setup::new(known).set("/sidecar/server_connections", json!(2)).start();
     for n in 0..100 {
-        assert_eq!(sidecar.ask(&read(&format!("r{n}"))).status(), 200, "request {n}");
+        assert_eq!(sidecar.request(&read_request(&format!("r{n}"))).status(), 200, "request {n}");
     }
-    let asked: Vec<usize> = servers.iter().map(Server::count).collect();
+    let asked: Vec<usize> = servers.iter().map(FakeServer::request_count).collect();
     assert!(asked.iter().all(|asked| *asked > 0), "requests by server: {asked:?}");
     let refused = sidecar.log.all().iter().any(|line| line.contains("server connection limit reached"));
-    assert!(!refused, "nothing was in hand, and no place was found");
+    assert!(!refused, "limit reached although nothing was in flight");
 }
--- a/crates/sidecar/tests/operators.rs
+++ b/crates/sidecar/tests/operators.rs
@@ -1,4 +1,5 @@
-//! What operators meet: the console and its figures, standby, settings at SIGHUP, a second process on one socket.
+//! Operation: the console and its metrics, standby, settings reload by SIGHUP, a second process on the same
+//! socket.
 
 mod common;
 
@@ -9,42 +10,38 @@
 use std::os::fd::AsRawFd;
 use std::time::Instant;
 
-fn with_console(setup: Setup) -> (Setup, SocketAddr) {
-    let console = own_address();
-    (setup.set("/console", json!(console.to_string())), console)
+/// A setup and the address of its console.
+struct SetupWithConsole {
+    setup: Setup,
+    console: SocketAddr,
 }
 
-/// One call of the console.
-fn call(console: SocketAddr, line: &[u8]) -> String {
-    let mut stream = TcpStream::connect(console).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    stream.write_all(line).unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
+fn with_console(setup: Setup) -> SetupWithConsole {
+    let console = unique_address();
+    SetupWithConsole { setup: setup.set("/console", json!(console.to_string())), console }
 }
 
-/// A figure as the console tells it now.
-fn figure(console: SocketAddr, name: &str) -> i64 {
-    let text = call(console, b"stats\n");
+/// The current value of a metric, from the console.
+fn metric(console: SocketAddr, name: &str) -> i64 {
+    let text = console_call(console, b"stats\n");
     assert!(text.ends_with("\nEND\n"), "{text}");
     let line = text.lines().find_map(|line| line.strip_prefix(&format!("svc_{name} ")));
     line.unwrap_or_else(|| panic!("no {name} in\n{text}")).parse().unwrap()
 }
 
-/// Waits until a figure is as it should be.
-fn figure_becomes(console: SocketAddr, name: &str, value: i64) {
-    let end = Instant::now() + PATIENCE;
-    while figure(console, name) != value {
-        assert!(Instant::now() < end, "{name} is {}, not {value}", figure(console, name));
+/// Waits until a metric has this value.
+fn wait_for_metric(console: SocketAddr, name: &str, value: i64) {
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    while metric(console, name) != value {
+        assert!(Instant::now() < give_up_at, "{name} is {}, not {value}", metric(console, name));
     }
 }
 
 #[test]
-fn the_console_answers_each_call_whoever_else_says_nothing() {
-    let (setup, console) = with_console(Setup::new(vec![]));
+fn console_answers_while_other_connections_are_silent() {
+    let SetupWithConsole { setup, console } = with_console(Setup::new(vec![]));
     let sidecar = setup.start();
-    // More silent and half-spoken callers than there are places: the oldest goes, nobody waits.
+    // More silent and incomplete connections than slots: the oldest is closed and nobody waits.
     let silent: Vec<TcpStream> = (0..40)
         .map(|n| {
             let mut stream = TcpStream::connect(console).unwrap();
@@ -53,7 +50,7 @@
         })
         .collect();
     let since = Instant::now();
-    assert_eq!(call(console, b"status\r\n"), "YES active\n");
+    assert_eq!(console_call(console, b"status\r\n"), "YES active\n");
     assert!(since.elapsed().as_secs_f64() < 1.0);
     for (wrong, why) in [
         (&b"\n"[..], "NO the call is empty"),
@@ -61,10 +58,10 @@
         (b"\0\xff\x01\n", "NO no such call"),
         (&[b'x'; 300], "NO the call is too long"),
     ] {
-        let answer = call(console, wrong);
+        let answer = console_call(console, wrong);
         assert!(answer.starts_with(why) && answer.lines().count() == 1, "{answer}");
     }
-    // One that ends its side without a line end is told so.
+    // A half-closed connection without a line end gets an error reply.
     let mut half = TcpStream::connect(console).unwrap();
     half.write_all(b"status").unwrap();
     half.shutdown(std::net::Shutdown::Write).unwrap();
@@ -75,161 +72,175 @@
     drop(sidecar);
 }
 
-/// Guards the figures: what was asked is what ended, under its class and in its way.
+/// Guards the metrics: each request is counted once, under its class and outcome.
 #[test]
-fn each_request_is_counted_once_and_attempts_when_they_are_whole() {
-    let server = Server::start(|n, m| match m.target() {
-        "/once" if n % 2 == 0 => Act::Break,
+fn each_request_and_each_finished_attempt_is_counted_once() {
+    let server = FakeServer::start(|n, m| match m.target() {
+        "/once" if n % 2 == 0 => Action::Close,
         _ => ok("x"),
     });
-    let gone = own_address();
+    let gone = unique_address();
     let known = vec![entry("s1", server.address, "up"), entry("s2", gone, "draining")];
-    let (setup, console) = with_console(Setup::new(known));
+    let SetupWithConsole { setup, console } = with_console(Setup::new(known));
     let sidecar = setup.start();
-    let mut ends = std::collections::HashMap::new();
+    let mut outcomes = std::collections::HashMap::new();
     for n in 0..30 {
-        let request = if n % 3 == 0 { once(&format!("r{n}")) } else { read(&format!("r{n}")) };
-        let status = sidecar.ask(&request).status();
-        *ends.entry((n % 3 == 0, status)).or_insert(0_i64) += 1;
+        let request =
+            if n % 3 == 0 { once_request(&format!("r{n}")) } else { read_request(&format!("r{n}")) };
+        let status = sidecar.request(&request).status();
+        *outcomes.entry((n % 3 == 0, status)).or_insert(0_i64) += 1;
     }
-    assert_eq!(sidecar.ask("GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n").status(), 404);
-    let count = |once, status| ends.get(&(once, status)).copied().unwrap_or(0);
-    let text = call(console, b"stats\n");
+    assert_eq!(sidecar.request("GET /nowhere HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n").status(), 404);
+    let count = |once, status| outcomes.get(&(once, status)).copied().unwrap_or(0);
+    let text = console_call(console, b"stats\n");
     for (once, class) in [(true, "once"), (false, "read")] {
         for (name, status) in [("passed", 200), ("dropped", 503), ("bad_gateway", 502)] {
             let line = format!("svc_{name}{{category=\"{class}\"}} {}", count(once, status));
             assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
         }
     }
-    assert_eq!(ends.values().sum::<i64>(), 30);
+    assert_eq!(outcomes.values().sum::<i64>(), 30);
     assert!(count(true, 502) > 0 && count(false, 200) > 0);
-    assert_eq!(figure(console, "upstream_tries"), server.count() as i64);
-    assert_eq!((figure(console, "in_progress"), figure(console, "known_endpoints")), (0, 2));
+    assert_eq!(metric(console, "upstream_tries"), server.request_count() as i64);
+    assert_eq!((metric(console, "in_progress"), metric(console, "known_endpoints")), (0, 2));
 }
 
 #[test]
-fn standby_sends_clients_away_and_loses_nothing_and_active_ends_it() {
-    let (gate, wait) = latch("finished");
-    let server = Server::start(move |n, _| if n == 1 { wait.clone() } else { ok("x") });
-    let (setup, console) = with_console(Setup::new(vec![entry("s1", server.address, "up")]));
+fn standby_closes_client_connections_without_loss_until_active() {
+    let (gate, action) = gated_ok("finished");
+    let server = FakeServer::start(move |n, _| if n == 1 { action.clone() } else { ok("x") });
+    let SetupWithConsole { setup, console } =
+        with_console(Setup::new(vec![entry("s1", server.address, "up")]));
     let sidecar = setup.start();
     let health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-    let (mut idle, mut busy, mut late) = (sidecar.connect(), sidecar.connect(), sidecar.connect());
-    idle.send(&read("r0"));
-    assert_eq!(idle.answer().status(), 200);
-    busy.send(&once("r1"));
+    let mut idle = sidecar.connect();
+    let mut busy = sidecar.connect();
+    let mut late = sidecar.connect();
+    idle.send(&read_request("r0"));
+    assert_eq!(idle.read_response().status(), 200);
+    busy.send(&once_request("r1"));
     server.requests.wait(2, "requests");
-    assert_eq!(call(console, b"standby\n"), "YES standby\n");
-    // The yes came after the no: from here on none is told otherwise.
-    let answer = sidecar.ask(health);
+    assert_eq!(console_call(console, b"standby\n"), "YES standby\n");
+    // The reply came after the switch: from here on no health check succeeds.
+    let answer = sidecar.request(health);
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
-    assert_eq!(call(console, b"status\n"), "NO standby\n");
-    assert_eq!(call(console, b"standby\n"), "YES standby\n", "an order twice is one");
-    // Who still asks on an open connection is served, and told to go.
-    late.send(&read("r2"));
-    let answer = late.answer();
+    assert_eq!(console_call(console, b"status\n"), "NO standby\n");
+    assert_eq!(
+        console_call(console, b"standby\n"),
+        "YES standby\n",
+        "a repeated command has no further effect"
+    );
+    // A request on an open connection is served with `Connection: close`.
+    late.send(&read_request("r2"));
+    let answer = late.read_response();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    idle.ended();
+    idle.wait_for_close();
     gate.send(()).unwrap();
-    let answer = busy.answer();
+    let answer = busy.read_response();
     assert_eq!((answer.text().as_str(), answer.header("connection")), ("finished", Some("close")));
-    busy.ended();
-    assert_eq!(call(console, b"active\n"), "YES active\n");
-    assert_eq!(sidecar.ask(health).status(), 200);
+    busy.wait_for_close();
+    assert_eq!(console_call(console, b"active\n"), "YES active\n");
+    assert_eq!(sidecar.request(health).status(), 200);
     let mut stays = sidecar.connect();
     for n in 3..5 {
-        stays.send(&read(&format!("r{n}")));
-        assert_eq!(stays.answer().header("connection"), None);
+        stays.send(&read_request(&format!("r{n}")));
+        assert_eq!(stays.read_response().header("connection"), None);
     }
 }
 
-fn named<'a>(config: &'a mut Value, name: &str) -> &'a mut Value {
+fn class_mut<'a>(config: &'a mut Value, name: &str) -> &'a mut Value {
     let classes = config["settings"]["classes"].as_array_mut().unwrap();
     classes.iter_mut().find(|class| class["name"] == name).unwrap()
 }
 
-/// Guards open requests: they keep the class that they were taken under, whatever a reload makes of it.
+/// Guards open requests: they keep the class under which they were accepted, whatever a reload does to it.
 #[test]
-fn settings_are_taken_up_whole_and_open_requests_keep_their_class() {
-    let (gate, wait) = latch("late");
-    let server = Server::start(move |n, m| match (n, m.target()) {
-        (0, _) => wait.clone(),
-        (_, "/pay") => Act::Break,
+fn settings_reload_is_atomic_and_open_requests_keep_their_class() {
+    let (gate, action) = gated_ok("late");
+    let server = FakeServer::start(move |n, m| match (n, m.target()) {
+        (0, _) => action.clone(),
+        (_, "/pay") => Action::Close,
         _ => ok("x"),
     });
-    let other = Server::start(|_, m| if m.target() == "/pay" { Act::Break } else { ok("x") });
+    let other = FakeServer::start(|_, m| if m.target() == "/pay" { Action::Close } else { ok("x") });
     let known = vec![entry("s1", server.address, "up"), entry("s2", other.address, "draining")];
-    let (setup, console) = with_console(Setup::new(known));
+    let SetupWithConsole { setup, console } = with_console(Setup::new(known));
     let sidecar = setup.start();
     let new = "GET /new HTTP/1.1\r\nHost: x\r\nX-Request-ID: n1\r\n\r\n";
-    assert_eq!(sidecar.ask(new).status(), 404);
+    assert_eq!(sidecar.request(new).status(), 404);
     let mut open = sidecar.connect();
-    open.send(&once("r0"));
+    open.send(&once_request("r0"));
     server.requests.wait(1, "requests");
 
-    // A class comes, the open request's class goes, a class becomes one that must not run twice.
+    // One class is added, the open request's class is removed, and one class becomes one that must not run
+    // twice.
     let mut config = sidecar.config.clone();
-    named(&mut config, "pay")["semantics"] = json!("fragile");
-    let mut added = named(&mut config, "read").clone();
+    class_mut(&mut config, "pay")["semantics"] = json!("fragile");
+    let mut added = class_mut(&mut config, "read").clone();
     added["name"] = json!("new");
     let classes = config["settings"]["classes"].as_array_mut().unwrap();
     classes.retain(|class| class["name"] != "once");
     classes.insert(0, added);
     config["settings"]["limits"]["try_limit"] = json!(2);
     sidecar.reload(&config.to_string());
-    figure_becomes(console, "loads", 1);
-    let end = Instant::now() + PATIENCE;
-    while sidecar.ask(new).status() != 200 {
-        assert!(Instant::now() < end, "the new class is not known");
+    wait_for_metric(console, "loads", 1);
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    while sidecar.request(new).status() != 200 {
+        assert!(Instant::now() < give_up_at, "the new class is unknown");
     }
-    assert_eq!(sidecar.ask(&once("r1")).status(), 404, "its class is gone");
-    let before = server.count();
-    assert_eq!(sidecar.ask(&pay("r2")).status(), 502, "it may have run, and must not run twice now");
-    assert_eq!(server.count(), before + 1);
+    assert_eq!(sidecar.request(&once_request("r1")).status(), 404, "its class was removed");
+    let before = server.request_count();
+    assert_eq!(
+        sidecar.request(&pay_request("r2")).status(),
+        502,
+        "it may have run, and now must not run twice"
+    );
+    assert_eq!(server.request_count(), before + 1);
     gate.send(()).unwrap();
-    assert_eq!(open.answer().text(), "late");
-    let text = call(console, b"stats\n");
+    assert_eq!(open.read_response().text(), "late");
+    let text = console_call(console, b"stats\n");
     assert!(
         text.contains("svc_passed{category=\"once\"} 1\n"),
-        "counts never fall, nor do classes go:\n{text}"
+        "counters must not decrease or disappear:\n{text}"
     );
 
-    // Whatever is broken changes nothing, and its key is named.
-    let (good, mut errors) = (config, 0);
+    // An invalid configuration changes nothing, and the message names its key.
+    let good = config;
+    let mut errors = 0;
     let broken = |change: &dyn Fn(&mut Value)| {
         let mut config = good.clone();
         change(&mut config);
         config.to_string()
     };
     let text = good.to_string();
-    for (file, said) in [
+    for (file, message) in [
         (String::new(), "EDGE_CONFIG: not JSON"),
         (text[..text.len() / 2].to_owned(), "EDGE_CONFIG: not JSON"),
         (
-            broken(&|c| named(c, "new")["deadline"] = json!(0)),
+            broken(&|c| class_mut(c, "new")["deadline"] = json!(0)),
             "classes[0].deadline: 0 is no number of microseconds",
         ),
         (
-            broken(&|c| named(c, "new")["deadline"] = json!(-5)),
+            broken(&|c| class_mut(c, "new")["deadline"] = json!(-5)),
             "classes[0].deadline: invalid value: integer `-5`",
         ),
         (
-            broken(&|c| named(c, "new")["deadline"] = json!("soon")),
+            broken(&|c| class_mut(c, "new")["deadline"] = json!("soon")),
             "classes[0].deadline: invalid type: string",
         ),
         (
-            broken(&|c| named(c, "new")["deadline"] = json!(1e300)),
+            broken(&|c| class_mut(c, "new")["deadline"] = json!(1e300)),
             "classes[0].deadline: invalid type: floating",
         ),
         (
-            broken(&|c| drop(named(c, "new").as_object_mut().unwrap().remove("deadline"))),
+            broken(&|c| drop(class_mut(c, "new").as_object_mut().unwrap().remove("deadline"))),
             "missing field `deadline`",
         ),
         (
-            broken(&|c| drop(named(c, "new").as_object_mut().unwrap().remove("gain"))),
+            broken(&|c| drop(class_mut(c, "new").as_object_mut().unwrap().remove("gain"))),
             "settings.classes[0].gain is missing",
         ),
-        (broken(&|c| named(c, "new")["name"] = json!("read")), "'read' stands there twice"),
+        (broken(&|c| class_mut(c, "new")["name"] = json!("read")), "'read' stands there twice"),
         (
             broken(&|c| c["settings"]["limits"]["try_limit"] = json!(0)),
             "limits.try_limit: 0 is no number of attempts",
@@ -246,49 +257,50 @@
     ] {
         sidecar.reload(&file);
         errors += 1;
-        figure_becomes(console, "load_errors", errors);
-        sidecar.logged(said);
-        assert_eq!(sidecar.ask(new).status(), 200, "{said}");
+        wait_for_metric(console, "load_errors", errors);
+        sidecar.wait_for_log(message);
+        assert_eq!(sidecar.request(new).status(), 200, "{message}");
     }
-    assert_eq!(figure(console, "loads"), 1);
+    assert_eq!(metric(console, "loads"), 1);
 }
 
 /// A listening socket that the processes under test inherit.
-fn platforms_listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind(own_address()).unwrap();
+fn inherited_listener() -> TcpListener {
+    let listener = TcpListener::bind(unique_address()).unwrap();
     socket2::SockRef::from(&listener).set_cloexec(false).unwrap();
-    let at = listener.local_addr().unwrap();
-    (listener, at)
+    listener
 }
 
-fn on(listener: &TcpListener, at: SocketAddr, known: Vec<Value>) -> (Setup, SocketAddr) {
+fn setup_on_listener(listener: &TcpListener, at: SocketAddr, known: Vec<Value>) -> SetupWithConsole {
     let mut setup = Setup::new(known).set("/listen", json!(at.to_string()));
     setup.env.push(("EDGE_INHERITED_FD", listener.as_raw_fd().to_string()));
-    // The name is that of the presence, in a folder that tests of this run share.
+    // The name also identifies the process to others of the same sidecar, in a folder that the tests of this
+    // run share.
     with_console(setup.set("/name", json!(at.to_string())))
 }
 
-/// Guards a new version under load: no request meets a refused, reset or unread connection.
+/// Guards an upgrade under load: no request meets a refused, reset or unread connection.
 #[test]
-fn a_second_process_takes_over_and_no_request_is_lost() {
-    let server = Server::start(|_, _| ok("x"));
-    let (listener, at) = platforms_listener();
+fn handover_to_a_second_process_loses_no_request() {
+    let server = FakeServer::start(|_, _| ok("x"));
+    let listener = inherited_listener();
+    let at = listener.local_addr().unwrap();
     let known = vec![entry("s1", server.address, "up")];
-    let (setup, _) = on(&listener, at, known.clone());
-    // What it keeps idle is closed at two thirds of this, long after it is used here.
+    let setup = setup_on_listener(&listener, at, known.clone()).setup;
+    // Idle connections are closed at two thirds of this, long after this one is used.
     let old = setup.set("/sidecar/accept_after_term_ms", json!(6000)).start();
     let mut kept = old.connect();
-    kept.send(&read("k0"));
-    assert_eq!(kept.answer().status(), 200);
+    kept.send(&read_request("k0"));
+    assert_eq!(kept.read_response().status(), 200);
     let stop = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|scope| {
         let asks = |worker: usize| {
             let mut asked = 0;
             while !stop.load(std::sync::atomic::Ordering::SeqCst) {
                 let mut client = TcpStream::connect(at).unwrap();
-                client.set_read_timeout(Some(PATIENCE)).unwrap();
+                client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                 let id = format!("w{worker}-{asked}");
-                let request = read(&id).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+                let request = read_request(&id).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
                 client.write_all(request.as_bytes()).unwrap();
                 let mut answer = String::new();
                 client.read_to_string(&mut answer).unwrap();
@@ -298,24 +310,24 @@
             asked
         };
         let workers: Vec<_> = (0..4).map(|n| scope.spawn(move || asks(n))).collect();
-        let (setup, console) = on(&listener, at, known);
-        // Its socket answers from the start on: the old process serves it.
+        let SetupWithConsole { setup, console } = setup_on_listener(&listener, at, known);
+        // The shared socket accepts connections from the start, since the old process serves it.
         let new = setup.spawn();
-        new.logged("listening on");
-        assert_eq!(call(console, b"status\n"), "YES active\n");
-        old.logged("another process of this sidecar is running: ");
-        new.logged("another process of this sidecar is running: ");
+        new.wait_for_log("listening on");
+        assert_eq!(console_call(console, b"status\n"), "YES active\n");
+        old.wait_for_log("another process of this sidecar is running: ");
+        new.wait_for_log("another process of this sidecar is running: ");
         old.signal("TERM");
-        // Who holds a connection of the old one is served on it, and told to go.
-        kept.send(&read("k1"));
-        assert_eq!(kept.answer().header("connection"), Some("close"));
-        let (status, log) = old.end();
+        // A kept connection of the old process is served with `Connection: close`.
+        kept.send(&read_request("k1"));
+        assert_eq!(kept.read_response().header("connection"), Some("close"));
+        let Exit { status, log } = old.wait_for_exit();
         assert!(status.success(), "{log}");
-        new.logged("another process of this sidecar has stopped: ");
-        let before = figure(console, "upstream_tries");
-        let end = Instant::now() + PATIENCE;
-        while figure(console, "upstream_tries") < before + 100 {
-            assert!(Instant::now() < end, "the new process serves nobody");
+        new.wait_for_log("another process of this sidecar has stopped: ");
+        let before = metric(console, "upstream_tries");
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
+        while metric(console, "upstream_tries") < before + 100 {
+            assert!(Instant::now() < give_up_at, "the new process serves no requests");
         }
         stop.store(true, std::sync::atomic::Ordering::SeqCst);
         assert!(workers.into_iter().map(|w| w.join().unwrap()).sum::<usize>() > 100);
@@ -323,34 +335,35 @@
     });
 }
 
-/// The old process ends, with a request under way, while the new one is not there yet: what comes meanwhile waits in the
-/// socket that the platform holds, and is served by the new one.
+/// The old process exits, with a request in flight, before the new one starts: connections made in between
+/// wait in the inherited socket and are served by the new process.
 #[test]
-fn what_comes_between_two_processes_waits_for_the_new_one() {
-    let (gate, wait) = latch("0");
-    let server = Server::start(move |n, _| if n == 0 { wait.clone() } else { ok(&n.to_string()) });
-    let (listener, at) = platforms_listener();
+fn connections_between_two_processes_wait_for_the_new_one() {
+    let (gate, action) = gated_ok("0");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok(&n.to_string()) });
+    let listener = inherited_listener();
+    let at = listener.local_addr().unwrap();
     let known = vec![entry("s1", server.address, "up")];
-    let old = on(&listener, at, known.clone()).0.start();
-    let mut under_way = old.connect();
-    under_way.send(&once("r0"));
+    let old = setup_on_listener(&listener, at, known.clone()).setup.start();
+    let mut in_flight = old.connect();
+    in_flight.send(&once_request("r0"));
     server.requests.wait(1, "requests");
     old.signal("TERM");
-    old.logged("shutting down");
+    old.wait_for_log("shutting down");
     let mut between: Vec<TcpStream> = (1..4)
         .map(|n| {
             let mut client = TcpStream::connect(at).unwrap();
-            client.set_read_timeout(Some(PATIENCE)).unwrap();
-            let request = read(&format!("r{n}")).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+            client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+            let request = read_request(&format!("r{n}")).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
             client.write_all(request.as_bytes()).unwrap();
             client
         })
         .collect();
     gate.send(()).unwrap();
-    assert_eq!(under_way.answer().text(), "0");
-    let (status, log) = old.end();
+    assert_eq!(in_flight.read_response().text(), "0");
+    let Exit { status, log } = old.wait_for_exit();
     assert!(status.success(), "{log}");
-    let _new = on(&listener, at, known).0.spawn();
+    let _new = setup_on_listener(&listener, at, known).setup.spawn();
     for client in &mut between {
         let mut answer = String::new();
         client.read_to_string(&mut answer).unwrap();
@@ -358,91 +371,101 @@
     }
 }
 
-/// A new process takes over while a body longer than is held comes in, and an answer longer than is held goes out, both half
-/// way: the old process brings both to their end, and then ends, whatever the new one serves beside it.
+/// A new process takes over while an upload and a response, both longer than the buffers, are half
+/// transferred: the old process completes both and then exits, while the new one serves requests.
 #[test]
-fn uploads_and_long_answers_under_way_at_a_hand_over_come_to_their_ends() {
-    const LONG: usize = 400_000;
-    let (gate, rest) = held(Act::Raw("x".repeat(LONG / 2), Then::Keep));
-    let server = Server::start(move |_, message| match message.target() {
+fn uploads_and_long_responses_in_flight_at_a_handover_complete() {
+    const LONG_BODY_BYTES: usize = 400_000;
+    let (gate, second_half) = gated(Action::Raw("x".repeat(LONG_BODY_BYTES / 2), AfterWrite::KeepOpen));
+    let server = FakeServer::start(move |_, message| match message.target() {
         "/read/long" => {
-            let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n");
-            let half = Act::Raw(told + &"x".repeat(LONG / 2), Then::Keep);
-            Act::Both(Box::new(half), Box::new(rest.clone()))
+            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n");
+            let half = Action::Raw(head + &"x".repeat(LONG_BODY_BYTES / 2), AfterWrite::KeepOpen);
+            Action::Sequence(Box::new(half), Box::new(second_half.clone()))
         }
         "/once" => ok(&message.body.len().to_string()),
         _ => ok("x"),
     });
-    let (listener, at) = platforms_listener();
+    let listener = inherited_listener();
+    let at = listener.local_addr().unwrap();
     let known = vec![entry("s1", server.address, "up")];
-    let (setup, _) = on(&listener, at, known.clone());
+    let setup = setup_on_listener(&listener, at, known.clone()).setup;
     let old = setup.set("/sidecar/end_after_term_ms", json!(60_000)).start();
     let mut upload = old.connect();
-    upload.send(&once("up").replace("Content-Length: 4", &format!("Content-Length: {LONG}")));
-    // What is ahead of the body's end by now, with the four bytes that came with the head.
+    upload.send(
+        &once_request("up").replace("Content-Length: 4", &format!("Content-Length: {LONG_BODY_BYTES}")),
+    );
+    // This counts the bytes sent so far; four bytes of the body came with the head.
     let mut part = |bytes: usize| upload.stream.write_all("x".repeat(bytes).as_bytes()).unwrap();
-    part(LONG / 2);
-    old.logged("attempt 0 of request 0 goes out");
+    part(LONG_BODY_BYTES / 2);
+    old.wait_for_log("attempt 0 of request 0 goes out");
     let mut download = old.connect();
-    download.send(&read("down").replace("GET /read", "GET /read/long"));
+    download.send(&read_request("down").replace("GET /read", "GET /read/long"));
     let mut begun = [0; 1];
     download.stream.read_exact(&mut begun).unwrap();
-    let (setup, console) = on(&listener, at, known);
+    let SetupWithConsole { setup, console } = setup_on_listener(&listener, at, known);
     let new = setup.spawn();
-    new.logged("listening on");
+    new.wait_for_log("listening on");
     part(1000);
     old.signal("TERM");
-    old.logged("shutting down");
-    let end = Instant::now() + PATIENCE;
-    while figure(console, "upstream_tries") == 0 {
-        assert!(Instant::now() < end, "the new process serves nobody");
+    old.wait_for_log("shutting down");
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    while metric(console, "upstream_tries") == 0 {
+        assert!(Instant::now() < give_up_at, "the new process serves no requests");
         let mut client = TcpStream::connect(at).unwrap();
-        client.set_read_timeout(Some(PATIENCE)).unwrap();
-        let request = read("beside").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+        client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        let request = read_request("beside").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
         client.write_all(request.as_bytes()).unwrap();
         let mut answer = String::new();
         client.read_to_string(&mut answer).unwrap();
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
-    assert!(!server.ids().contains(&"up".to_owned()), "the upload was to be under way still");
-    part(LONG - LONG / 2 - 1000 - "body".len());
-    let answer = upload.answer();
-    assert_eq!((answer.text(), answer.header("connection")), (LONG.to_string(), Some("close")));
+    assert!(!server.request_ids().contains(&"up".to_owned()), "the upload should still be in flight");
+    part(LONG_BODY_BYTES - LONG_BODY_BYTES / 2 - 1000 - "body".len());
+    let answer = upload.read_response();
+    assert_eq!((answer.text(), answer.header("connection")), (LONG_BODY_BYTES.to_string(), Some("close")));
     gate.send(()).unwrap();
     let mut got = Vec::new();
     download.stream.read_to_end(&mut got).unwrap();
     let body = got.windows(4).position(|bytes| bytes == b"\r\n\r\n").unwrap() + 4;
-    assert_eq!(got.len() - body, LONG);
-    let (status, log) = old.end();
+    assert_eq!(got.len() - body, LONG_BODY_BYTES);
+    let Exit { status, log } = old.wait_for_exit();
     assert!(status.success() && !log.contains("still open"), "{log}");
 }
 
 #[test]
-fn what_is_told_wrong_ends_the_start_and_disturbs_nobody() {
-    let (listener, at) = platforms_listener();
-    let (setup, console) = on(&listener, at, vec![]);
+fn invalid_startup_options_fail_without_disturbing_a_running_process() {
+    let listener = inherited_listener();
+    let at = listener.local_addr().unwrap();
+    let SetupWithConsole { setup, console } = setup_on_listener(&listener, at, vec![]);
     let first = setup.start();
-    let fails = |setup: Setup, said: &str| {
-        let (status, log) = setup.spawn().end();
-        assert!(!status.success() && log.contains(said), "{said} is not in {log}");
+    let assert_start_fails = |setup: Setup, message: &str| {
+        let Exit { status, log } = setup.spawn().wait_for_exit();
+        assert!(!status.success() && log.contains(message), "{message} is not in {log}");
     };
-    for (fd, said) in [
+    for (fd, message) in [
         ("four", "EDGE_INHERITED_FD: 'four' is not a descriptor"),
         ("1", "EDGE_INHERITED_FD: '1' is not a descriptor"),
         ("999", "EDGE_INHERITED_FD: 999 is not an open descriptor"),
     ] {
         let mut setup = Setup::new(vec![]);
         setup.env.push(("EDGE_INHERITED_FD", fd.to_owned()));
-        fails(setup, said);
+        assert_start_fails(setup, message);
     }
-    let (setup, _) = on(&listener, own_address(), vec![]);
-    fails(setup, "; expected ");
+    let setup = setup_on_listener(&listener, unique_address(), vec![]).setup;
+    assert_start_fails(setup, "; expected ");
     let in_use = json!(console.to_string());
-    fails(Setup::new(vec![]).set("/console", in_use), &format!("console: '{console}' can't be listened on"));
+    assert_start_fails(
+        Setup::new(vec![]).set("/console", in_use),
+        &format!("console: '{console}' can't be listened on"),
+    );
     let same = Setup::new(vec![]);
     let listen = same.config["listen"].clone();
-    fails(same.set("/console", listen), "is the address for clients");
-    fails(Setup::new(vec![]).set("/console", json!("here")), "console: 'here' is not an address and port");
-    assert_eq!(call(console, b"status\n"), "YES active\n");
+    assert_start_fails(same.set("/console", listen), "is the address for clients");
+    assert_start_fails(
+        Setup::new(vec![]).set("/console", json!("here")),
+        "console: 'here' is not an address and port",
+    );
+    assert_eq!(console_call(console, b"status\n"), "YES active\n");
     drop(first);
 }
--- a/crates/sidecar/tests/outcomes.rs
+++ b/crates/sidecar/tests/outcomes.rs
@@ -1,205 +1,217 @@
-//! The servers' side: what each outcome of an attempt leads to, and what happens to connections.
+//! Outcomes of attempts and handling of server connections.
 
 mod common;
 
 use common::*;
 use serde_json::json;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::TcpListener;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Two servers of which the one asked first does as told, whichever it is; the other serves.
-struct Pair {
-    servers: [Server; 2],
+/// Two servers of which the first one to get a request performs the given action; all other requests are
+/// served.
+struct ServerPair {
+    servers: [FakeServer; 2],
     sidecar: Sidecar,
 }
 
-fn pair(first: Act) -> Pair {
-    let asked = Arc::new(AtomicUsize::new(0));
+fn start_pair(first: Action) -> ServerPair {
+    let requests = Arc::new(AtomicUsize::new(0));
     let servers = [(), ()].map(|()| {
-        let (asked, first) = (asked.clone(), first.clone());
-        Server::start(move |_, _| match asked.fetch_add(1, Ordering::SeqCst) {
+        let requests = requests.clone();
+        let first = first.clone();
+        FakeServer::start(move |_, _| match requests.fetch_add(1, Ordering::SeqCst) {
             0 => first.clone(),
             _ => ok("served"),
         })
     });
     let known = vec![entry("s1", servers[0].address, "up"), entry("s2", servers[1].address, "up")];
     let sidecar = Setup::new(known).start();
-    Pair { servers, sidecar }
+    ServerPair { servers, sidecar }
 }
 
-impl Pair {
+impl ServerPair {
     fn attempts(&self) -> usize {
-        self.servers.iter().map(Server::count).sum()
+        self.servers.iter().map(FakeServer::request_count).sum()
     }
 }
 
-fn error() -> Act {
-    Act::Reply(500, vec![], "broken".into())
+fn error_response() -> Action {
+    Action::Reply { status: 500, headers: vec![], body: "broken".into() }
 }
 
-/// What each kind of request is answered, and after how many attempts, where the first attempt ends so.
-fn expect(first: &Act, read_is: (u16, usize), once_is: (u16, usize), pay_is: (u16, usize)) {
-    for (request, (status, attempts)) in [(read("r1"), read_is), (once("r1"), once_is), (pay("r1"), pay_is)] {
-        let pair = pair(first.clone());
-        let answer = pair.sidecar.ask(&request);
-        assert_eq!((answer.status(), pair.attempts()), (status, attempts), "{request}");
-        if status == 200 {
-            assert_eq!(answer.text(), "served");
+/// Status of a request and its number of attempts.
+#[derive(Debug, PartialEq, Eq)]
+struct Outcome {
+    status: u16,
+    attempts: usize,
+}
+
+const RETRIED: Outcome = Outcome { status: 200, attempts: 2 };
+const NOT_RETRIED: Outcome = Outcome { status: 502, attempts: 1 };
+
+/// Checks the outcome of a request of each class whose first attempt gets this action.
+fn check_outcomes(first: &Action, read: Outcome, once: Outcome, pay: Outcome) {
+    for (request, expected) in
+        [(read_request("r1"), read), (once_request("r1"), once), (pay_request("r1"), pay)]
+    {
+        let pair = start_pair(first.clone());
+        let response = pair.sidecar.request(&request);
+        let outcome = Outcome { status: response.status(), attempts: pair.attempts() };
+        assert_eq!(outcome, expected, "{request}");
+        if expected.status == 200 {
+            assert_eq!(response.text(), "served");
         }
     }
 }
 
 #[test]
-fn an_error_may_have_run() {
-    expect(&error(), (200, 2), (502, 1), (200, 2));
+fn error_response_is_retried_only_where_a_repeat_is_safe() {
+    check_outcomes(&error_response(), RETRIED, NOT_RETRIED, RETRIED);
 }
 
 #[test]
-fn an_answer_of_no_known_status_may_have_run() {
-    expect(&Act::Reply(404, vec![], String::new()), (200, 2), (502, 1), (200, 2));
-    expect(&Act::Reply(503, vec![], String::new()), (200, 2), (502, 1), (200, 2));
+fn unexpected_status_is_retried_only_where_a_repeat_is_safe() {
+    check_outcomes(&status_only(404), RETRIED, NOT_RETRIED, RETRIED);
+    check_outcomes(&status_only(503), RETRIED, NOT_RETRIED, RETRIED);
 }
 
 #[test]
-fn what_was_turned_away_never_ran() {
-    expect(&turned_away(503), (200, 2), (200, 2), (200, 2));
-    expect(&turned_away(504), (200, 2), (200, 2), (200, 2));
+fn rejected_attempt_is_retried_in_every_class() {
+    check_outcomes(&rejected(503), RETRIED, RETRIED, RETRIED);
+    check_outcomes(&rejected(504), RETRIED, RETRIED, RETRIED);
 }
 
 #[test]
-fn a_connection_that_ends_before_the_answer_may_have_run() {
-    expect(&Act::Break, (200, 2), (502, 1), (200, 2));
+fn connection_closed_before_the_response_is_retried_only_where_a_repeat_is_safe() {
+    check_outcomes(&Action::Close, RETRIED, NOT_RETRIED, RETRIED);
 }
 
 #[test]
-fn a_connection_that_ends_within_the_answer_may_have_run() {
-    // awc ends such a body as if it were whole: it was once served so.
-    let half = Act::Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf".into(), Then::End);
-    expect(&half, (200, 2), (502, 1), (200, 2));
+fn truncated_response_is_retried_only_where_a_repeat_is_safe() {
+    // awc ends such a body as if it were complete, and the truncated response was once served.
+    let half = Action::Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf".into(), AfterWrite::Close);
+    check_outcomes(&half, RETRIED, NOT_RETRIED, RETRIED);
 }
 
 #[test]
-fn a_chunked_answer_is_served_whole_or_not_at_all() {
+fn chunked_response_is_complete_or_an_error() {
     let chunked = |body: &str, then| {
-        Act::Raw(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{body}"), then)
+        Action::Raw(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{body}"), then)
     };
-    let pair = pair(chunked("4\r\nhalf\r\n", Then::End));
-    assert_eq!(pair.sidecar.ask(&once("r1")).status(), 502);
-    let server = Server::start(move |_, _| chunked("4\r\nwhol\r\n1\r\ne\r\n0\r\n\r\n", Then::Keep));
+    let pair = start_pair(chunked("4\r\nhalf\r\n", AfterWrite::Close));
+    assert_eq!(pair.sidecar.request(&once_request("r1")).status(), 502);
+    let server =
+        FakeServer::start(move |_, _| chunked("4\r\nwhol\r\n1\r\ne\r\n0\r\n\r\n", AfterWrite::KeepOpen));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for _ in 0..3 {
-        assert_eq!(sidecar.ask(&once("r1")).text(), "whole");
+        assert_eq!(sidecar.request(&once_request("r1")).text(), "whole");
     }
 }
 
 #[test]
-fn a_redirect_is_not_followed() {
-    let pair = pair(Act::Reply(302, vec![("Location", "/once/again".into())], String::new()));
-    assert_eq!(pair.sidecar.ask(&once("r1")).status(), 502);
+fn redirect_is_not_followed() {
+    let pair = start_pair(Action::Reply {
+        status: 302,
+        headers: vec![("Location", "/once/again".into())],
+        body: String::new(),
+    });
+    assert_eq!(pair.sidecar.request(&once_request("r1")).status(), 502);
     assert_eq!(pair.attempts(), 1);
 }
 
 #[test]
-fn a_repeat_carries_the_same_names() {
-    let pair = pair(error());
-    assert_eq!(pair.sidecar.ask(&pay("r9")).status(), 200);
+fn retry_carries_the_same_request_id_and_idempotency_key() {
+    let pair = start_pair(error_response());
+    assert_eq!(pair.sidecar.request(&pay_request("r9")).status(), 200);
     for server in &pair.servers {
-        let (_, got) = server.requests.wait(1, "requests").remove(0);
-        assert_eq!((got.header("x-request-id"), got.header("idempotency-key")), (Some("r9"), Some("k1")));
+        let received = server.requests.wait(1, "requests").remove(0).message;
+        assert_eq!(
+            (received.header("x-request-id"), received.header("idempotency-key")),
+            (Some("r9"), Some("k1"))
+        );
     }
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
-    // Each request whose first draw is the closed port must be served by the other server all the same.
-    let server = Server::start(|_, _| ok("served"));
+fn refused_connection_is_retried_on_another_server() {
+    // A request whose first draw is the closed port must be served by the other server.
+    let server = FakeServer::start(|_, _| ok("served"));
     for _ in 0..8 {
-        let known = vec![entry("s1", own_address(), "up"), entry("s2", server.address, "up")];
+        let known = vec![entry("s1", unique_address(), "up"), entry("s2", server.address, "up")];
         let sidecar = Setup::new(known).start();
         for n in 0..4 {
-            assert_eq!(sidecar.ask(&once(&format!("r{n}"))).status(), 200);
+            assert_eq!(sidecar.request(&once_request(&format!("r{n}"))).status(), 200);
         }
     }
 }
 
-/// A listener whose queue is full: connections to it never come up.
-fn unreachable() -> (TcpListener, Vec<TcpStream>, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    let mut held = Vec::new();
-    while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-        held.push(stream);
-    }
-    (listener, held, address)
-}
-
 #[test]
-fn a_connection_that_never_comes_up_never_ran() {
-    let (_listener, _held, address) = unreachable();
-    let server = Server::start(|_, _| ok("served"));
-    let known = vec![entry("s1", address, "up"), entry("s2", server.address, "up")];
+fn connect_timeout_is_retried_on_another_server() {
+    let saturated = SaturatedListener::new();
+    let server = FakeServer::start(|_, _| ok("served"));
+    let known = vec![entry("s1", saturated.address, "up"), entry("s2", server.address, "up")];
     let sidecar = Setup::new(known).start();
     for n in 0..6 {
-        assert_eq!(sidecar.ask(&once(&format!("r{n}"))).status(), 200);
+        assert_eq!(sidecar.request(&once_request(&format!("r{n}"))).status(), 200);
     }
 }
 
 #[test]
-fn an_attempt_without_an_answer_ends_in_time_and_with_its_connection() {
-    let server = Server::start(|_, _| Act::Hang);
+fn unanswered_attempt_times_out_and_closes_its_connection() {
+    let server = FakeServer::start(|_, _| Action::Hang);
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let start = Instant::now();
-    assert_eq!(sidecar.ask(&once("r1")).status(), 502);
+    assert_eq!(sidecar.request(&once_request("r1")).status(), 502);
     assert!(start.elapsed() < Duration::from_millis(950));
     server.closed.wait(1, "closed connections");
-    assert_eq!(server.count(), 1);
+    assert_eq!(server.request_count(), 1);
 }
 
 #[test]
-fn a_connection_carries_one_request_at_a_time_and_is_used_again() {
-    let (gate, wait) = latch("first");
-    let server = Server::start(move |n, _| if n == 0 { wait.clone() } else { ok("later") });
+fn server_connection_carries_one_request_at_a_time_and_is_reused() {
+    let (gate, action) = gated_ok("first");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok("later") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     let mut first = sidecar.connect();
-    first.send(&read("r1"));
+    first.send(&read_request("r1"));
     server.requests.wait(1, "requests");
     for n in 0..4 {
-        assert_eq!(sidecar.ask(&read(&format!("q{n}"))).text(), "later");
-        rested();
+        assert_eq!(sidecar.request(&read_request(&format!("q{n}"))).text(), "later");
+        wait_for_connection_rest();
     }
     gate.send(()).unwrap();
-    assert_eq!(first.answer().text(), "first");
-    let by_connection: Vec<usize> = server.requests.all().iter().map(|(c, _)| *c).collect();
+    assert_eq!(first.read_response().text(), "first");
+    let by_connection: Vec<usize> = server.requests.all().iter().map(|request| request.connection).collect();
     assert_eq!(by_connection, [0, 1, 1, 1, 1]);
 }
 
 #[test]
-fn an_idle_connection_is_closed_well_before_the_servers_own_time() {
-    let server = Server::start(|_, _| ok("x"));
+fn idle_server_connection_is_closed_before_the_servers_idle_timeout() {
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/settings/limits/conn_idle", json!(4_000_000))
         .start();
-    assert_eq!(sidecar.ask(&read("r1")).status(), 200);
-    let (_, idle) = server.closed.wait(1, "closed connections")[0];
+    assert_eq!(sidecar.request(&read_request("r1")).status(), 200);
+    let idle = server.closed.wait(1, "closed connections")[0].idle;
     assert!(idle < Duration::from_millis(3500), "closed after {idle:?}");
 }
 
 #[test]
-fn a_connection_that_the_server_closed_while_idle_is_not_written_to() {
-    // Ends each connection after its answer without a word in the answer's head.
+fn connection_closed_by_the_server_while_idle_is_not_reused() {
+    // Closes each connection after its response without `Connection: close` in the head.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let served = Seen::new();
-    let count = served.clone();
+    let responses = Recorder::new();
+    let count = responses.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let message = read_message(&mut std::io::BufReader::new(&stream));
             assert!(matches!(message, Ok(Some(_))));
             let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
             std::io::Write::write_all(&mut &stream, answer).unwrap();
-            // The other side has seen the end once it closes its own.
+            // The sidecar has seen the close once it closes its own side.
             stream.shutdown(std::net::Shutdown::Write).unwrap();
             assert_eq!(std::io::Read::read(&mut &stream, &mut [0]).unwrap(), 0);
             drop(stream);
@@ -208,96 +220,110 @@
     });
     let sidecar = Setup::new(vec![entry("s1", address, "up")]).start();
     for n in 0..10 {
-        assert_eq!(sidecar.ask(&once(&format!("r{n}"))).status(), 200);
-        served.wait(n + 1, "answers");
+        assert_eq!(sidecar.request(&once_request(&format!("r{n}"))).status(), 200);
+        responses.wait(n + 1, "answers");
     }
 }
 
 #[test]
-fn the_bound_on_server_connections_refuses_and_keeps_serving() {
-    let (gate, wait) = latch("first");
-    let server = Server::start(move |n, _| if n == 0 { wait.clone() } else { ok("later") });
+fn server_connection_limit_rejects_requests_and_recovers() {
+    let (gate, action) = gated_ok("first");
+    let server = FakeServer::start(move |n, _| if n == 0 { action.clone() } else { ok("later") });
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")])
         .set("/sidecar/server_connections", json!(1))
         .start();
     let mut first = sidecar.connect();
-    first.send(&once("r1"));
+    first.send(&once_request("r1"));
     server.requests.wait(1, "requests");
-    // It never left, so it is refused, also where it must not run twice.
-    assert_eq!(sidecar.ask(&once("r2")).status(), 503);
+    // It was never sent, so it is rejected with 503 even in the class that must not run twice.
+    assert_eq!(sidecar.request(&once_request("r2")).status(), 503);
     gate.send(()).unwrap();
-    assert_eq!(first.answer().text(), "first");
-    let end = Instant::now() + PATIENCE;
-    while sidecar.ask(&once("r3")).status() != 200 {
-        assert!(Instant::now() < end, "the place of the first is not given back");
+    assert_eq!(first.read_response().text(), "first");
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    while sidecar.request(&once_request("r3")).status() != 200 {
+        assert!(Instant::now() < give_up_at, "the connection slot of the first request is not released");
     }
 }
 
-/// Asks until nearly all of fifty requests in a row are answered by this server, which fair draws never bring.
-fn leans_to(sidecar: &Sidecar, server: &str) {
-    let end = Instant::now() + PATIENCE;
+/// Retries until at least 45 of 50 requests in a row are answered by this server, which uniform draws do not
+/// produce.
+fn wait_until_preferred(sidecar: &Sidecar, server: &str) {
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
     loop {
-        let answers = (0..50).map(|n| sidecar.ask(&read(&format!("r{n}"))).text());
+        let answers = (0..50).map(|n| sidecar.request(&read_request(&format!("r{n}"))).text());
         let share = answers.filter(|a| a == server).count();
         if share >= 45 {
             return;
         }
-        assert!(Instant::now() < end, "{share} of 50 at the end");
+        assert!(Instant::now() < give_up_at, "{share} of 50 responses at the time-out");
     }
 }
 
 #[test]
-fn load_reports_in_answers_move_the_draws() {
+fn load_reports_in_responses_shift_the_draws() {
     let report = |inflight: u32| {
         let load = format!(r#"{{"inflight":{inflight},"queue":{inflight},"util":0.5,"other":1}}"#);
         vec![("X-Server-Load", load)]
     };
-    let (full, idle) = (report(30), report(0));
-    let busy = Server::start(move |_, _| Act::Reply(200, full.clone(), "busy".into()));
-    let light = Server::start(move |_, _| Act::Reply(200, idle.clone(), "light".into()));
+    let full = report(30);
+    let idle = report(0);
+    let busy = FakeServer::start(move |_, _| Action::Reply {
+        status: 200,
+        headers: full.clone(),
+        body: "busy".into(),
+    });
+    let light = FakeServer::start(move |_, _| Action::Reply {
+        status: 200,
+        headers: idle.clone(),
+        body: "light".into(),
+    });
     let known = vec![entry("s1", busy.address, "up"), entry("s2", light.address, "up")];
     let sidecar = Setup::new(known).start();
-    leans_to(&sidecar, "light");
+    wait_until_preferred(&sidecar, "light");
 }
 
 #[test]
-fn probes_are_sent_where_the_settings_allow_them_and_their_reports_count() {
-    let busy = Server::with_load(|_, _| ok("busy"), || r#"{"inflight":30,"queue":29,"util":1}"#.into());
-    let light = Server::with_load(|_, _| ok("light"), || r#"{"inflight":0,"queue":0,"util":0}"#.into());
+fn probes_are_sent_when_enabled_and_their_load_reports_shift_the_draws() {
+    let busy =
+        FakeServer::start_with_load(|_, _| ok("busy"), || r#"{"inflight":30,"queue":29,"util":1}"#.into());
+    let light =
+        FakeServer::start_with_load(|_, _| ok("light"), || r#"{"inflight":0,"queue":0,"util":0}"#.into());
     let known = vec![entry("s1", busy.address, "up"), entry("s2", light.address, "up")];
     let sidecar = Setup::new(known).set("/settings/limits/probes", json!(true)).start();
-    let end = Instant::now() + PATIENCE;
-    let mut asked = 0;
+    let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    let mut requests = 0;
     while busy.probes.len() < 5 || light.probes.len() < 5 {
-        assert_eq!(sidecar.ask(&read(&format!("p{asked}"))).status(), 200);
-        asked += 1;
-        assert!(Instant::now() < end, "no probes");
+        assert_eq!(sidecar.request(&read_request(&format!("p{requests}"))).status(), 200);
+        requests += 1;
+        assert!(Instant::now() < give_up_at, "no probes");
     }
     assert!(busy.probes.all().iter().all(|p| p == "/load"));
-    leans_to(&sidecar, "light");
+    wait_until_preferred(&sidecar, "light");
 }
 
 #[test]
-fn no_probe_is_sent_where_the_settings_forbid_them() {
-    let server = Server::start(|_, _| ok("x"));
+fn no_probes_are_sent_when_disabled() {
+    let server = FakeServer::start(|_, _| ok("x"));
     let sidecar = Setup::new(vec![entry("s1", server.address, "up")]).start();
     for n in 0..50 {
-        assert_eq!(sidecar.ask(&read(&format!("r{n}"))).status(), 200);
+        assert_eq!(sidecar.request(&read_request(&format!("r{n}"))).status(), 200);
     }
     assert_eq!(server.probes.len(), 0);
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_within_its_group() {
-    // The servers stand in different cells: none but the first may get the repeat, and it just failed.
-    let asked = Arc::new(AtomicUsize::new(0));
+fn keyed_retry_stays_within_its_group() {
+    // The servers are in different cells: only the first may get the retry, and it has just failed.
+    let requests = Arc::new(AtomicUsize::new(0));
     let servers = [(), ()].map(|()| {
-        let asked = asked.clone();
-        Server::start(move |_, _| if asked.fetch_add(1, Ordering::SeqCst) == 0 { error() } else { ok("no") })
+        let requests = requests.clone();
+        FakeServer::start(move |_, _| {
+            if requests.fetch_add(1, Ordering::SeqCst) == 0 { error_response() } else { ok("no") }
+        })
     });
     let mut known = vec![entry("s1", servers[0].address, "up"), entry("s2", servers[1].address, "up")];
     known[1]["pod_group"] = json!(1);
     let sidecar = Setup::new(known).set("/settings/classes/2/group", json!("cell")).start();
-    assert_eq!(sidecar.ask(&pay("r1")).status(), 502);
-    assert_eq!(servers.iter().map(Server::count).sum::<usize>(), 1);
+    assert_eq!(sidecar.request(&pay_request("r1")).status(), 502);
+    assert_eq!(servers.iter().map(FakeServer::request_count).sum::<usize>(), 1);
 }
