--- a/crates/hollow/src/account.rs
+++ b/crates/hollow/src/account.rs
@@ -1,7 +1,7 @@
 //! Resource accounting of a hollow sidecar from outside its code: [`Metered`] wraps all of its tasks, and log events
 //! that occur while they are polled are attributed to it.
 
-use crate::SidecarCounts;
+use crate::{AppliedRevision, SidecarCounts};
 use dunlincleat_trial::clock::now;
 use rustix::time::{ClockId, clock_gettime};
 use std::cell::{Cell, RefCell};
@@ -19,8 +19,8 @@
     static CURRENT_ACCOUNT: RefCell<Option<Rc<Account>>> = const { RefCell::new(None) };
 }
 
-/// The sidecar, the revision and the time at which it was applied, for each applied revision.
-pub type AppliedRevisions = Rc<RefCell<Vec<(usize, u64, u64)>>>;
+/// Revisions that sidecars applied since the last report.
+pub type AppliedRevisions = Rc<RefCell<Vec<AppliedRevision>>>;
 
 /// The counters of one sidecar.
 pub struct Account {
@@ -123,13 +123,18 @@
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<F::Output> {
         let account = self.account.clone();
         CURRENT_ACCOUNT.set(Some(account.clone()));
-        let (memory_before, nanos_before) = ((account.allocated)() as i64, thread_nanos());
+        let memory_before = (account.allocated)() as i64;
+        let nanos_before = thread_nanos();
         let polled = self.inner.as_mut().poll(cx);
         account.cpu_nanos.set(account.cpu_nanos.get() + thread_nanos().saturating_sub(nanos_before));
         account.memory.set(account.memory.get() + (account.allocated)() as i64 - memory_before);
         CURRENT_ACCOUNT.set(None);
         if let Some(rev) = account.rev.take() {
-            account.applied_revisions.borrow_mut().push((account.sidecar, rev, now()));
+            account.applied_revisions.borrow_mut().push(AppliedRevision {
+                sidecar: account.sidecar,
+                rev,
+                at: now(),
+            });
         }
         polled
     }
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod account;
 pub mod sidecar;
 
-use account::{Account, LogSubscriber, Metered};
+use account::{Account, AppliedRevisions, LogSubscriber, Metered};
 use anyhow::{Context, Result, bail};
 use dunlincleat_trial::clock::now;
 use dunlincleat_trial::control::{processor_time, resident_memory, write_report};
@@ -49,13 +49,37 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Report {
-    /// The sidecar, the revision and the time at which it was applied, in microseconds of the machine's clock.
+    /// Revisions that were applied since the last report.
     #[serde(rename = "in_force")]
-    RevisionsApplied(Vec<(usize, u64, u64)>),
+    RevisionsApplied(Vec<AppliedRevision>),
     /// Counters.
     Sample(Sample),
 }
 
+/// The application of a revision of the list by a sidecar; written as a tuple.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(usize, u64, u64)", into = "(usize, u64, u64)")]
+pub struct AppliedRevision {
+    /// The sidecar's number.
+    pub sidecar: usize,
+    /// The revision.
+    pub rev: u64,
+    /// When it was applied, in microseconds of the machine's clock.
+    pub at: u64,
+}
+
+impl From<(usize, u64, u64)> for AppliedRevision {
+    fn from((sidecar, rev, at): (usize, u64, u64)) -> AppliedRevision {
+        AppliedRevision { sidecar, rev, at }
+    }
+}
+
+impl From<AppliedRevision> for (usize, u64, u64) {
+    fn from(applied: AppliedRevision) -> (usize, u64, u64) {
+        (applied.sidecar, applied.rev, applied.at)
+    }
+}
+
 /// Counters up to a time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Sample {
@@ -141,10 +165,7 @@
 }
 
 /// Reports applied revisions, counters and the delay of its own timer.
-async fn report(
-    applied_revisions: Rc<RefCell<Vec<(usize, u64, u64)>>>,
-    running: Rc<RefCell<BTreeMap<usize, Running>>>,
-) {
+async fn report(applied_revisions: AppliedRevisions, running: Rc<RefCell<BTreeMap<usize, Running>>>) {
     let mut ticks = interval(REPORT_INTERVAL);
     let mut tick = 0;
     let late = Cell::new(0);
@@ -158,8 +179,10 @@
         tick += 1;
         if tick % REPORTS_PER_SAMPLE == 0 {
             let sidecars = running.borrow().values().map(|running| running.account.counts()).collect();
-            let (at, late) = (now(), late.take());
-            let (cpu, memory) = (processor_time(), resident_memory("self"));
+            let at = now();
+            let late = late.take();
+            let cpu = processor_time();
+            let memory = resident_memory("self");
             write_report(&Report::Sample(Sample { at, late, cpu, memory, sidecars }));
         }
     }
--- a/crates/hollow/src/sidecar.rs
+++ b/crates/hollow/src/sidecar.rs
@@ -177,7 +177,8 @@
     let mode = settings.settings.discovery;
     let interest = if spec.services.is_empty() { Interest::default() } else { Interest::of(spec.services) };
     let own = Rc::new(Own { interest: interest.clone(), ..Own::clone(own) });
-    let (at, seed) = (spec.discovery, spec.seed);
+    let at = spec.discovery;
+    let seed = spec.seed;
     let (follower, known) = Follower::with_interest(clock.now(), own.watch, mode, at, seed, known, interest);
     List::start(follower, clock, own.clone(), engine.clone(), calls);
     let engine_state = Engine::new(settings, spec.seed, MAX_REQUESTS);
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -600,7 +600,7 @@
             From::Control(n, control::Report::Serves(count)) => drop(self.serves.insert(n, count)),
             From::Control(n, control::Report::Sample(sample)) => self.control_sample(n, sample),
             From::Hollow(_, hollow::Report::RevisionsApplied(all)) => {
-                all.into_iter().for_each(|(sidecar, rev, at)| self.took(sidecar, rev, at));
+                all.into_iter().for_each(|applied| self.took(applied.sidecar, applied.rev, applied.at));
             }
             From::Hollow(n, hollow::Report::Sample(sample)) => {
                 let who = format!("hollow process {n}");
--- a/crates/trial/src/audit.rs
+++ b/crates/trial/src/audit.rs
@@ -211,7 +211,8 @@
     for Event { at, what } in history {
         match what {
             EventKind::RequestSent { instance, id, at_most_once, client_timeout } => {
-                let (answers, starts) = (Vec::new(), Vec::new());
+                let answers = Vec::new();
+                let starts = Vec::new();
                 requests.insert(
                     id,
                     Request {
@@ -341,7 +342,8 @@
         let label = format!("request {id} of {}", self.instance);
         if self.at_most_once && self.starts.len() > 1 {
             let second = &self.starts[1];
-            let (at, server) = (second.at, second.server);
+            let at = second.at;
+            let server = second.server;
             add(
                 Property::AtMostOnce,
                 at,
--- a/crates/trial/src/callers.rs
+++ b/crates/trial/src/callers.rs
@@ -234,8 +234,8 @@
         let processes: Vec<u32> = history.borrow().iter().filter_map(|event| pid_of(&event.what)).collect();
 
         let timer_watch = watch_timers(history.clone());
-        let (at, client) =
-            (sidecars.iter().map(|sidecar| sidecar.at.clone()).collect(), http_client(self.client_timeout));
+        let at = sidecars.iter().map(|sidecar| sidecar.at.clone()).collect();
+        let client = http_client(self.client_timeout);
         let calls = Calls { names, at, called, client, history: history.clone(), rng, warm_up: self.warm_up };
         let results = calls.run(self, &processes).await?;
         timer_watch.abort();
@@ -320,7 +320,8 @@
         let count = usize::try_from(callers.duration.as_secs()).unwrap_or(0).max(1);
         let seconds = Rc::new(RefCell::new(vec![SecondSample::default(); count]));
         let permits = std::sync::Arc::new(Semaphore::new(MAX_IN_FLIGHT * 2 * callers.sidecars.max(1)));
-        let (mut tasks, mut cpu_at_start) = (Vec::new(), None);
+        let mut tasks = Vec::new();
+        let mut cpu_at_start = None;
         while let Some(Due { offset, caller, path, planned }) = due.recv().await {
             let second =
                 offset.checked_sub(self.warm_up).and_then(|offset| usize::try_from(offset.as_secs()).ok());
@@ -349,7 +350,9 @@
                 count(&seconds, &|stats| stats.lost += 1);
                 continue;
             };
-            let (client, history, seconds) = (self.client.clone(), self.history.clone(), seconds.clone());
+            let client = self.client.clone();
+            let history = self.history.clone();
+            let seconds = seconds.clone();
             let name = match path {
                 CallPath::Direct => "direct".to_owned(),
                 CallPath::Sidecar => self.names[caller].clone(),
--- a/crates/trial/src/control.rs
+++ b/crates/trial/src/control.rs
@@ -369,9 +369,11 @@
 
 impl Control {
     fn sample(&self) -> Sample {
-        let (changed, sent) = (self.changed.take(), self.sent.borrow());
+        let changed = self.changed.take();
+        let sent = self.sent.borrow();
         let sidecars = changed.iter().filter_map(|sidecar| sent.get(sidecar).copied()).collect();
-        let (at, late) = (now(), self.late.take());
+        let at = now();
+        let late = self.late.take();
         Sample { at, late, cpu: processor_time(), memory: resident_memory("self"), sidecars }
     }
 
@@ -419,7 +421,7 @@
         let mut read = Vec::new();
         loop {
             let target = loop {
-                if let Some((target, length)) = parse_head(&read)? {
+                if let Some(ParsedHead { target, length }) = parse_head(&read)? {
                     read.drain(..length);
                     break target;
                 }
@@ -473,7 +475,8 @@
         self.write(&mut stream, sidecar, &first).await?;
         self.count(sidecar, |sent| sent.messages += 1);
         let mut last_write = Instant::now();
-        let (mut lines, mut discard) = (Vec::new(), [0; 64]);
+        let mut lines = Vec::new();
+        let mut discard = [0; 64];
         loop {
             let until_heartbeat = HEARTBEAT_INTERVAL.saturating_sub(last_write.elapsed());
             tokio::select! {
@@ -503,12 +506,21 @@
     }
 }
 
-/// The target and the length of a request head, once the head is complete.
-fn parse_head(read: &[u8]) -> Result<Option<(String, usize)>> {
+/// A complete request head.
+struct ParsedHead {
+    target: String,
+    length: usize,
+}
+
+/// Parses a request head, once it is complete.
+fn parse_head(read: &[u8]) -> Result<Option<ParsedHead>> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(read).context("invalid HTTP request")? {
-        httparse::Status::Complete(length) => Ok(Some((request.path.unwrap_or_default().to_owned(), length))),
+        httparse::Status::Complete(length) => {
+            let target = request.path.unwrap_or_default().to_owned();
+            Ok(Some(ParsedHead { target, length }))
+        }
         httparse::Status::Partial => Ok(None),
     }
 }
--- a/crates/trial/src/duty_stats.rs
+++ b/crates/trial/src/duty_stats.rs
@@ -38,13 +38,18 @@
     pub held_fraction: f64,
 }
 
+/// When and how a holder was lost.
+struct Loss {
+    at: u64,
+    kind: LossKind,
+}
+
 /// The holder of the duty, and its last loss.
 #[derive(Default)]
 struct HolderTracker<'a> {
     holder: Option<&'a str>,
     since: u64,
-    /// When and how the last holder was lost.
-    lost: Option<(u64, LossKind)>,
+    last_loss: Option<Loss>,
     held_total: u64,
 }
 
@@ -55,7 +60,7 @@
 
     fn lose(&mut self, at: u64, kind: LossKind) {
         if self.holder.take().is_some() {
-            self.lost = Some((at, kind));
+            self.last_loss = Some(Loss { at, kind });
             self.held_total += at.saturating_sub(self.since);
         }
     }
@@ -103,11 +108,12 @@
                 if let Some(stopped) = tracker.holder.and_then(|before| stopped_since.get(before)) {
                     tracker.lose(*stopped, LossKind::Stall);
                 }
-                if let Some((lost_at, kind)) = tracker.lost.take() {
-                    stats.takeovers_ms.entry(kind).or_default().push((at - lost_at) as f64 / 1e3);
+                if let Some(loss) = tracker.last_loss.take() {
+                    stats.takeovers_ms.entry(loss.kind).or_default().push((at - loss.at) as f64 / 1e3);
                 }
                 first.get_or_insert(*at);
-                (tracker.holder, tracker.since) = (Some(process.as_str()), *at);
+                tracker.holder = Some(process.as_str());
+                tracker.since = *at;
             }
             _ => {}
         }
--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -90,7 +90,8 @@
                 self.current_second.borrow_mut().unsent += 1;
                 continue;
             };
-            let (client, application) = (client.clone(), self.clone());
+            let client = client.clone();
+            let application = self.clone();
             tasks.push(actix_rt::spawn(async move {
                 application.current_second.borrow_mut().sent += 1;
                 let (answer, latency) =
@@ -140,7 +141,8 @@
 impl PlannedRequest {
     /// Draws a request of a random class.
     pub(crate) fn draw(rng: &mut SmallRng, client_timeout: Duration, due: Instant) -> PlannedRequest {
-        let (class, number) = (rng.random_range(0..10), rng.random::<u64>());
+        let class = rng.random_range(0..10);
+        let number = rng.random::<u64>();
         PlannedRequest { id: format!("{number:016x}"), class, client_timeout, due }
     }
 
--- a/crates/trial/src/page.rs
+++ b/crates/trial/src/page.rs
@@ -109,7 +109,8 @@
                bar_height: f64,
                colour: &str,
                title_text: &str| {
-        let (left, right) = (x(from), x(until.min(end)));
+        let left = x(from);
+        let right = x(until.min(end));
         // Writing to a string does not fail.
         let _ = write!(
             svg,
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -113,7 +113,8 @@
     pub async fn tcp(&self, from: &str, to: &str, target: Target) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let at = listener.local_addr()?;
-        let (forward, backward) = (self.link(from, to), self.link(to, from));
+        let forward = self.link(from, to);
+        let backward = self.link(to, from);
         let key = (from.to_owned(), to.to_owned());
         let reset = self.resets.borrow_mut().entry(key).or_insert_with(|| watch::channel(0).0).subscribe();
         let open = Rc::new(Cell::new(0));
@@ -127,8 +128,11 @@
                     continue;
                 }
                 open.set(open.get() + 1);
-                let (forward, backward, target) = (forward.clone(), backward.clone(), target.clone());
-                let (mut reset, open) = (reset.clone(), open.clone());
+                let forward = forward.clone();
+                let backward = backward.clone();
+                let target = target.clone();
+                let mut reset = reset.clone();
+                let open = open.clone();
                 reset.mark_unchanged();
                 actix_rt::spawn(async move {
                     let result = relay_connection(stream, forward, backward, target, reset).await;
@@ -149,7 +153,9 @@
     pub async fn udp(&self, from: &str, to: &str, target: Target) -> io::Result<SocketAddr> {
         let socket = Rc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
         let at = socket.local_addr()?;
-        let (forward, backward, links) = (self.link(from, to), self.link(to, from), self.clone());
+        let forward = self.link(from, to);
+        let backward = self.link(to, from);
+        let links = self.clone();
         actix_rt::spawn(async move {
             let mut sources: VecDeque<Source> = VecDeque::new();
             let mut bytes = vec![0; 65_536];
@@ -160,8 +166,10 @@
                 if !sources.iter().any(|known| known.address == source) {
                     let Ok(upstream) = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await else { continue };
                     let upstream = Rc::new(upstream);
-                    let (replies, downstream, backward, links) =
-                        (upstream.clone(), socket.clone(), backward.clone(), links.clone());
+                    let replies = upstream.clone();
+                    let downstream = socket.clone();
+                    let backward = backward.clone();
+                    let links = links.clone();
                     let task = actix_rt::spawn(async move {
                         let mut bytes = vec![0; 65_536];
                         loop {
@@ -203,7 +211,9 @@
             delays.push(delay + LATE_DUPLICATE_DELAY);
         }
         for delay in delays {
-            let (link, from, bytes) = (link.clone(), from.clone(), bytes.to_vec());
+            let link = link.clone();
+            let from = from.clone();
+            let bytes = bytes.to_vec();
             actix_rt::spawn(async move {
                 if !delay.is_zero() {
                     sleep(delay).await;
--- a/crates/trial/src/rig.rs
+++ b/crates/trial/src/rig.rs
@@ -227,7 +227,8 @@
 
     /// Starts the instance, and waits until it serves.
     pub(crate) async fn serve(self) -> Result<Serving> {
-        let (name, at) = (self.name.clone(), self.at.clone());
+        let name = self.name.clone();
+        let at = self.at.clone();
         let (commands, received_commands) = unbounded_channel();
         let (started, mut start_result) = watch::channel(None);
         let task = actix_rt::spawn(self.run(received_commands, started));
@@ -332,7 +333,8 @@
         if let Some(process) = &self.process {
             process.signal(signal);
         }
-        let (at, was) = (self.at.clone(), self.at.get());
+        let at = self.at.clone();
+        let was = self.at.get();
         actix_rt::spawn(async move {
             sleep(DEREGISTRATION_DELAY).await;
             if at.get() == was {
@@ -386,8 +388,9 @@
         let (address_found, mut address) = watch::channel(None::<SocketAddr>);
         let last_lines = Rc::new(RefCell::new(Vec::new()));
         let kept_lines = last_lines.clone();
-        let (member_address, name, history) =
-            (self.member_address.clone(), self.name.clone(), self.history.clone());
+        let member_address = self.member_address.clone();
+        let name = self.name.clone();
+        let history = self.history.clone();
         actix_rt::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
                 if let Some((_, at)) = line.split_once("listening on ") {
@@ -427,7 +430,8 @@
 /// Parses a line of a sidecar's log that reports on a duty.
 fn parse_duty_event(process: &str, line: &str) -> Option<EventKind> {
     let (duty, message) = line.split_once("duty ")?.1.split_once(": ")?;
-    let (process, duty) = (process.to_owned(), duty.to_owned());
+    let process = process.to_owned();
+    let duty = duty.to_owned();
     if let Some(rest) = message.strip_prefix("held here, fence ") {
         let fence = rest.split(',').next()?.parse().ok()?;
         return Some(EventKind::DutyAcquired { process, duty, fence });
--- a/crates/trial/src/schedule.rs
+++ b/crates/trial/src/schedule.rs
@@ -248,7 +248,8 @@
         let mut schedule: Schedule = toml::from_str(&text).with_context(|| path.display().to_string())?;
         for (n, step) in schedule.steps.iter().enumerate() {
             if let Some(name) = step.fault.names().into_iter().find(|name| !participants.contains(name)) {
-                let (all, servers) = (participants.instances.join(", "), participants.servers.join(", "));
+                let all = participants.instances.join(", ");
+                let servers = participants.servers.join(", ");
                 bail!(
                     "{}: step[{n}]: unknown process '{name}'; expected one of {all}, {servers}, list",
                     path.display()
@@ -302,8 +303,8 @@
         match rng.random_range(0..10) {
             0..3 => {
                 let until = at + rng.random_range(50..2 * participants.lease_ms + 500);
-                let (term, disk) =
-                    (rng.random_bool(0.3), if rng.random_bool(0.3) { Disk::Lost } else { Disk::Kept });
+                let term = rng.random_bool(0.3);
+                let disk = if rng.random_bool(0.3) { Disk::Lost } else { Disk::Kept };
                 if self.reserve(&process, at, until + 800) {
                     let end = if term {
                         Fault::Term { process: process.clone() }
--- a/crates/trial/src/soak/client.rs
+++ b/crates/trial/src/soak/client.rs
@@ -176,7 +176,9 @@
     let mut read = Vec::new();
     loop {
         match parse_answer(&read) {
-            Ok(Some((answer, reusable))) => return ExchangeResult::Answered { answer, reusable },
+            Ok(Some(ParsedAnswer { answer, reusable })) => {
+                return ExchangeResult::Answered { answer, reusable };
+            }
             Ok(None) if read.len() <= MAX_HEAD_BYTES => {}
             Ok(None) | Err(_) => return broken_answer("an answer that can't be read"),
         }
@@ -213,8 +215,14 @@
     false
 }
 
+/// A complete answer, and whether its connection can be reused.
+struct ParsedAnswer {
+    answer: Answer,
+    reusable: bool,
+}
+
 /// Parses a complete answer, and whether the connection can be reused.
-fn parse_answer(read: &[u8]) -> Result<Option<(Answer, bool)>, httparse::Error> {
+fn parse_answer(read: &[u8]) -> Result<Option<ParsedAnswer>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(head) = response.parse(read)? else { return Ok(None) };
@@ -230,7 +238,7 @@
         Some(429 | 503) => Answer::Refused,
         _ => Answer::Failed,
     };
-    Ok(Some((answer, reusable)))
+    Ok(Some(ParsedAnswer { answer, reusable }))
 }
 
 /// Idle clients that hold as many connections as they can get: half of them send nothing, the others half a request.
--- a/crates/trial/src/soak/mod.rs
+++ b/crates/trial/src/soak/mod.rs
@@ -74,7 +74,8 @@
         let links = Links::new(rng.random());
         let mut servers = Vec::new();
         for n in 0..SERVER_COUNT {
-            let (name, seed) = (format!("s{n}"), rng.random::<u64>().to_string());
+            let name = format!("s{n}");
+            let seed = rng.random::<u64>().to_string();
             servers.push(StubProcess::start(&self.lab, &["server", &name, "--seed", &seed], &history).await?);
         }
         let mut list = StubProcess::start(&self.lab, &["list", INSTANCE], &history).await?;
--- a/crates/trial/src/stubs.rs
+++ b/crates/trial/src/stubs.rs
@@ -214,7 +214,8 @@
 
 impl Server {
     fn new(name: String, seed: Option<u64>, any_fence: bool) -> Server {
-        let (cores, in_flight) = (Semaphore::new(SERVER_CORES), Cell::new(0));
+        let cores = Semaphore::new(SERVER_CORES);
+        let in_flight = Cell::new(0);
         let rng = seed.map(|seed| RefCell::new(SmallRng::seed_from_u64(seed)));
         Server { name, cores, in_flight, rng, highest_effects: RefCell::default(), any_fence }
     }
@@ -224,7 +225,8 @@
         let text = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
         let number = |name: &str| text(name).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
         let duty = text("x-duty")?.to_owned();
-        let (fence, period) = (number("x-duty-fence"), number("x-duty-period"));
+        let fence = number("x-duty-fence");
+        let period = number("x-duty-period");
         let mut highest_effects = self.highest_effects.borrow_mut();
         let highest = highest_effects.entry(duty.clone()).or_default();
         let accepted = fence >= highest.fence || self.any_fence;
@@ -240,7 +242,8 @@
     }
 
     fn load(&self) -> String {
-        let (in_flight, busy) = (self.in_flight.get(), SERVER_CORES - self.cores.available_permits());
+        let in_flight = self.in_flight.get();
+        let busy = SERVER_CORES - self.cores.available_permits();
         json!({"inflight": in_flight, "queue": in_flight - busy.min(in_flight), "util": busy as f64 / SERVER_CORES as f64})
             .to_string()
     }
@@ -305,7 +308,8 @@
         let (rev, revision) = watch::channel(1);
         let mut addresses = Vec::new();
         for instance in instances {
-            let (lists, revision) = (lists.clone(), revision.clone());
+            let lists = lists.clone();
+            let revision = revision.clone();
             let handler = move |request: Request| {
                 let view = ListView { lists: lists.clone(), instance: instance.clone() };
                 let revision = revision.clone();
