--- a/crates/sidecar/tests/services.rs
+++ b/crates/sidecar/tests/services.rs
@@ -90,8 +90,8 @@
     for (services, message) in [
         (json!("cart"), "sidecar.services: \"cart\"; expected the names of the services called"),
         (json!([]), "sidecar.services: the list is empty; expected"),
-        (json!(["cart", ""]), "sidecar.services: \"\" is the list is empty; expected"),
-        (json!([7]), "sidecar.services: 7 is the list is empty; expected"),
+        (json!(["cart", ""]), "sidecar.services: \"\" is not a name; expected"),
+        (json!([7]), "sidecar.services: 7 is not a name; expected"),
         (
             json!(["x".repeat(16 << 10)]),
             "sidecar.services: the names have 16385 bytes in total, the maximum is 16384; expected",
