--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -3,6 +3,7 @@
 
 use crate::audit::Violation;
 use crate::cold_start::ColdArrivals;
+use crate::scenario::Period;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -150,20 +151,20 @@
 /// Seconds from the end of the last fault until two consecutive seconds served 95% of the goodput before the first
 /// fault.
 #[must_use]
-pub fn recovery_seconds(seconds: &[Second], troubled: Option<(u64, u64)>, lasts: u64) -> Option<f64> {
-    let (first, over) = troubled?;
+pub fn recovery_seconds(seconds: &[Second], faults: Option<Period>, lasts: u64) -> Option<f64> {
+    let Period { begin, end } = faults?;
     let part = |seconds: &[Second]| {
         let (served, wanted) = seconds.iter().fold((0.0, 0.0), |(s, w), n| (s + n.served, w + n.wanted));
         if wanted > 0.0 { served / wanted } else { 1.0 }
     };
     let second = |us: u64| (us as f64 / 1e6).ceil() as usize;
     // The first second is excluded: the simulation warms up.
-    let before = part(seconds.get(1..(first / 1_000_000) as usize).filter(|s| !s.is_empty())?);
+    let before = part(seconds.get(1..(begin / 1_000_000) as usize).filter(|s| !s.is_empty())?);
     let last = (lasts / 1_000_000) as usize;
-    let from = second(over);
+    let from = second(end);
     (from..last.saturating_sub(1))
         .find(|n| seconds.get(*n..n + 2).is_some_and(|two| part(two) >= RECOVERED_PART * before))
-        .map(|n| (n as f64 - over as f64 / 1e6).max(0.0))
+        .map(|n| (n as f64 - end as f64 / 1e6).max(0.0))
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -456,13 +456,31 @@
     Time(Span(200))
 }
 
+/// A period of a scenario, in microseconds from the start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Period {
+    /// When it begins.
+    pub begin: u64,
+    /// When it ends.
+    pub end: u64,
+}
+
+/// The values of a fault that are checked against a range or the zones; `None` where it has no such value.
+#[derive(Default)]
+struct CheckedValues<'a> {
+    part: Option<f64>,
+    factor: Option<f64>,
+    /// Zones with their keys.
+    zones: Vec<(&'static str, &'a str)>,
+}
+
 /// The grace period of a drain.
 pub const DRAIN_GRACE: Span = Span(1_000_000);
 
 impl Fault {
-    /// When it begins and when its cause ends, in microseconds from the start.
+    /// When it begins and when its cause ends.
     #[must_use]
-    pub fn span(&self) -> (u64, u64) {
+    pub fn period(&self) -> Period {
         let (at, duration) = match self {
             Fault::Death { at, back, .. } => (at, back.us()),
             Fault::Deploy { at, part, step } => (at, (step.us() as f64 / part.max(1e-3)) as u64),
@@ -484,7 +502,7 @@
             Fault::Restarts { at, steps, step, back, .. } => (at, *steps as u64 * step.us() + back.us()),
             Fault::Reload { at, .. } => (at, 0),
         };
-        (at.us(), at.us() + duration)
+        Period { begin: at.us(), end: at.us() + duration }
     }
 
     /// Its name in scenario files and reports.
@@ -513,8 +531,8 @@
         }
     }
 
-    /// Its part, factor and zones, each zone with its key, for the checks.
-    fn checked_values(&self) -> (Option<f64>, Option<f64>, Vec<(&'static str, &str)>) {
+    fn checked_values(&self) -> CheckedValues<'_> {
+        let none = CheckedValues::default();
         match self {
             Fault::Death { part, .. }
             | Fault::Deploy { part, .. }
@@ -527,13 +545,19 @@
             | Fault::Spoilt { part, .. }
             | Fault::GiveUp { part, .. }
             | Fault::Abuse { part, .. }
-            | Fault::Restarts { part, .. } => (Some(*part), None, Vec::new()),
-            Fault::Slow { part, factor, .. } => (Some(*part), Some(*factor), Vec::new()),
-            Fault::Burst { factor, .. } | Fault::Reload { factor, .. } => (None, Some(*factor), Vec::new()),
-            Fault::Shift { zone, factor, .. } => (None, Some(*factor), vec![("zone", zone)]),
-            Fault::ZoneLoss { zone, .. } => (None, None, vec![("zone", zone)]),
-            Fault::Cut { from, to, .. } => (None, None, vec![("from", from), ("to", to)]),
-            Fault::ListSilent { .. } => (None, None, Vec::new()),
+            | Fault::Restarts { part, .. } => CheckedValues { part: Some(*part), ..none },
+            Fault::Slow { part, factor, .. } => {
+                CheckedValues { part: Some(*part), factor: Some(*factor), ..none }
+            }
+            Fault::Burst { factor, .. } | Fault::Reload { factor, .. } => {
+                CheckedValues { factor: Some(*factor), ..none }
+            }
+            Fault::Shift { zone, factor, .. } => {
+                CheckedValues { factor: Some(*factor), zones: vec![("zone", zone)], ..none }
+            }
+            Fault::ZoneLoss { zone, .. } => CheckedValues { zones: vec![("zone", zone)], ..none },
+            Fault::Cut { from, to, .. } => CheckedValues { zones: vec![("from", from), ("to", to)], ..none },
+            Fault::ListSilent { .. } => none,
         }
     }
 }
@@ -633,12 +657,12 @@
         }
         for (n, fault) in self.faults.iter().enumerate() {
             let key = |name: &str| format!("fault[{n}].{name}");
-            let (at, _) = fault.span();
-            if at > self.lasts.us() {
-                let (at, end) = (format_duration(Span(at)), format_duration(self.lasts.0));
+            let begin = fault.period().begin;
+            if begin > self.lasts.us() {
+                let (at, end) = (format_duration(Span(begin)), format_duration(self.lasts.0));
                 return Err(invalid(&key("at"), format!("{at} is after the end, {end}")));
             }
-            let (part, factor, zones) = fault.checked_values();
+            let CheckedValues { part, factor, zones } = fault.checked_values();
             within(&key("part"), part.unwrap_or(1.0), 1e-6..=1.0)?;
             within(&key("factor"), factor.unwrap_or(1.0), 0.01..=1000.0)?;
             for (name, zone) in zones {
@@ -657,13 +681,13 @@
         Ok(())
     }
 
-    /// When the first fault begins and the last one ends, in microseconds from the start; `None` without faults.
+    /// When the first fault begins and the last one ends; `None` without faults.
     #[must_use]
-    pub fn fault_span(&self) -> Option<(u64, u64)> {
-        let spans = || self.faults.iter().map(Fault::span);
-        let first = spans().map(|(at, _)| at).min()?;
-        let last = spans().map(|(_, end)| end).max()?;
-        Some((first, last))
+    pub fn fault_period(&self) -> Option<Period> {
+        let periods = || self.faults.iter().map(Fault::period);
+        let begin = periods().map(|period| period.begin).min()?;
+        let end = periods().map(|period| period.end).max()?;
+        Some(Period { begin, end })
     }
 
     /// The mean work of a request, in microseconds.
--- a/crates/fleet/src/timeline.rs
+++ b/crates/fleet/src/timeline.rs
@@ -2,7 +2,7 @@
 //! before the simulation starts.
 
 use crate::node::NodeState;
-use crate::scenario::{DRAIN_GRACE, Fault, Scenario, Termination};
+use crate::scenario::{DRAIN_GRACE, Fault, Period, Scenario, Termination};
 use rand::Rng;
 use rand::rngs::SmallRng;
 
@@ -160,7 +160,7 @@
 fn plan_fault(scenario: &Scenario, fault: &Fault, rng: &mut SmallRng, timeline: &mut Timeline) {
     let (nodes, callers) = (scenario.fleet.nodes, scenario.traffic.instances);
     let zone_of = |name: &str| scenario.fleet.zones.iter().position(|zone| zone == name).unwrap_or(0);
-    let (at, end) = fault.span();
+    let Period { begin: at, end } = fault.period();
     let mut begin_and_end = |begin: Step, restore: Step| {
         timeline.push(at, begin);
         timeline.push(end, restore);
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -14,7 +14,7 @@
 use crate::mutant::{InjectedFault, Mutant};
 use crate::node::{Admission, Job, Node, NodeLoad, NodeProcess, NodeState, Started};
 use crate::report::{Loss, Mark, Report, Second, recovery_seconds};
-use crate::scenario::{DRAIN_GRACE, Fault, Scenario, Termination};
+use crate::scenario::{DRAIN_GRACE, Fault, Period, Scenario, Termination};
 use crate::timeline::{PlannedStep, Probabilities, RandomFault, Step, steps};
 use anyhow::Result;
 use dunlincleat::api::{Attempt, Discovery, Effect, RequestId, ServerId, Span, State, Status, Time};
@@ -35,6 +35,8 @@
 /// The part of its worth that an answer after the aim has.
 const LATE_WORTH_PART: f64 = 0.5;
 const SECOND_US: u64 = 1_000_000;
+/// The IPv4 address of the first node, 127.0.0.1; the others follow.
+const FIRST_NODE_ADDRESS: u32 = 0x7f00_0001;
 /// The Unix time at which simulations start, in microseconds.
 const SIMULATION_START_US: u64 = 1_800_000_000_000_000;
 /// The number of requests that an instance accepts at a time.
@@ -47,6 +49,8 @@
 const KNOWN_WITHIN: Span = Span(6_000_000);
 /// Changes within this time are published in one line, because a release changes many servers at once.
 const CHANGE_BATCH_US: u64 = 20_000;
+/// Callers that retry aggressively wait for this part of the usual backoff.
+const AGGRESSIVE_BACKOFF_DIVISOR: u64 = 10;
 /// The interval at which a caller tries to reach an instance while it has none.
 const RECONNECT_INTERVAL_US: u64 = 20_000;
 /// The connect timeout where an attempt has none of its own.
@@ -101,9 +105,11 @@
 struct ClientRequest {
     caller: u32,
     class: usize,
+    /// Microseconds on a core of a warm node.
     work: f64,
-    first: u64,
-    tries: u32,
+    first_sent: u64,
+    /// Retries so far.
+    retries: u32,
 }
 
 #[derive(Clone, Debug)]
@@ -200,7 +206,7 @@
     origin: ClientRequest,
     answered: bool,
     /// Why its last attempt did not serve it.
-    last: Option<Loss>,
+    last_loss: Option<Loss>,
 }
 
 struct PendingAttempt {
@@ -354,7 +360,7 @@
 
 fn entry(scenario: &Scenario, slots: &[NodeSlot], node: usize, uid: u32, state: State, boot: u64) -> Entry {
     let zone = scenario.fleet.zones[slots[node].zone].clone();
-    let host = Ipv4Addr::from(0x7f00_0001 + node as u32);
+    let host = Ipv4Addr::from(FIRST_NODE_ADDRESS + node as u32);
     let endpoint = (state != State::Removed).then(|| SocketAddr::from((host, 1)));
     let (model, weight) = (String::new(), 1.0);
     Entry { uid: format!("n{uid}"), endpoint, zone, model, cell: 0, state, weight, boot_ms: boot / 1000 }
@@ -456,7 +462,7 @@
         self.schedule(SIMULATION_START_US + SECOND_US, Event::SecondElapsed);
         let end = SIMULATION_START_US + self.scenario.lasts.us();
         // No new requests arrive any more, and all earlier ones are answered by then.
-        let over = end + 2 * self.longest() + SECOND_US;
+        let over = end + 2 * self.longest_deadline() + SECOND_US;
         while let Some(Reverse(Scheduled { at, event, .. })) = self.events.pop() {
             if at > over {
                 break;
@@ -467,7 +473,7 @@
         Ok(())
     }
 
-    fn longest(&self) -> u64 {
+    fn longest_deadline(&self) -> u64 {
         self.scenario.classes.iter().map(|c| c.deadline.us()).max().unwrap_or(0)
     }
 
@@ -625,7 +631,10 @@
                     Termination::Death => self.end_instance(instance),
                     Termination::Term => {
                         self.callers[caller].instance = None;
-                        self.schedule(self.now + self.longest() + SECOND_US, Event::InstanceStops(instance));
+                        self.schedule(
+                            self.now + self.longest_deadline() + SECOND_US,
+                            Event::InstanceStops(instance),
+                        );
                     }
                 }
                 self.schedule(self.now + back_after, Event::InstanceStarts(caller as u32));
@@ -663,8 +672,8 @@
         let cold_peak = self.auditor.cold_peak();
         let Findings { counts, cases } = self.auditor.into_findings();
         let mark = |fault: &Fault| {
-            let (from, to) = fault.span();
-            Mark { name: fault.name().to_owned(), from_s: from as f64 / 1e6, to_s: to as f64 / 1e6 }
+            let Period { begin, end } = fault.period();
+            Mark { name: fault.name().to_owned(), from_s: begin as f64 / 1e6, to_s: end as f64 / 1e6 }
         };
         Report {
             v: REPORT_VERSION,
@@ -693,7 +702,7 @@
             list_refused: self.tally.calls_refused as f64 / self.tally.calls.max(1) as f64,
             p50_ms: latencies.value_at_quantile(0.5) as f64 / 1e3,
             p99_ms: latencies.value_at_quantile(0.99) as f64 / 1e3,
-            recovery_s: recovery_seconds(&seconds_in_run, self.scenario.fault_span(), lasts),
+            recovery_s: recovery_seconds(&seconds_in_run, self.scenario.fault_period(), lasts),
             worst_cold: self.slots.iter().map(|slot| slot.node.peak_overload).fold(0.0, f64::max),
             cold_peak,
             most_connections: self.connections.peak_per_node(),
--- a/crates/fleet/src/world/callers.rs
+++ b/crates/fleet/src/world/callers.rs
@@ -4,6 +4,7 @@
 use super::*;
 
 impl World<'_> {
+    /// Schedules the next request of a caller, as a Poisson process with its present rate.
     pub(super) fn schedule_next_request(&mut self, caller: u32) {
         let Caller { zone, share, .. } = self.callers[caller as usize];
         let rate = self.rate * share * self.traffic_factor * self.zone_factors[zone] / 1e6;
@@ -13,6 +14,7 @@
         }
     }
 
+    /// Draws the work of a request, in microseconds on a core of a warm node.
     pub(super) fn sample_work(&mut self, class: usize) -> f64 {
         let class = &self.scenario.classes[class];
         let mean = class.work.us() as f64;
@@ -28,6 +30,7 @@
         sample.unwrap_or(mean)
     }
 
+    /// Draws a new request of a caller and sends it.
     pub(super) fn new_request(&mut self, caller: u32) {
         let shares: f64 = self.scenario.classes.iter().map(|c| c.share).sum();
         let mut draw = self.rng.random_range(0.0..shares);
@@ -40,14 +43,14 @@
         self.tally.wanted += 1;
         let (worth, nodes) = (self.scenario.classes[class].worth, self.slots.len());
         self.tally.second(self.now, nodes).wanted += worth;
-        self.submit(ClientRequest { caller, class, work, first: self.now, tries: 0 });
+        self.submit(ClientRequest { caller, class, work, first_sent: self.now, retries: 0 });
     }
 
     /// Sends a request of a caller to its instance. Without an instance, the caller tries again later.
     pub(super) fn submit(&mut self, request: ClientRequest) {
         let class = &self.scenario.classes[request.class];
         let (aim, deadline) = (class.aim.us(), class.deadline.us());
-        let left = (request.first + deadline).saturating_sub(self.now);
+        let left = (request.first_sent + deadline).saturating_sub(self.now);
         let Some(instance) = self.callers[request.caller as usize].instance else {
             if left > RECONNECT_INTERVAL_US {
                 return self.schedule(self.now + RECONNECT_INTERVAL_US, Event::Retry(request));
@@ -63,7 +66,8 @@
             left
         };
         self.auditor.request_received(id, self.now, self.effects[request.class], aim, self.now + wait);
-        self.requests.insert(id, SubmittedRequest { instance, origin: request, answered: false, last: None });
+        self.requests
+            .insert(id, SubmittedRequest { instance, origin: request, answered: false, last_loss: None });
         self.schedule(self.now + wait + crate::audit::SLACK_US + 1, Event::RequestExpires(id));
         if self.probabilities.occurs(RandomFault::ClientGivesUp, &mut self.rng) && self.give_up_after < wait {
             self.schedule(self.now + self.give_up_after, Event::ClientLeaves(id));
@@ -72,7 +76,7 @@
             let error = LogNormal::new(0.0, sigma).map_or(1.0, |spread| spread.sample(&mut self.rng));
             Span((request.work * error) as u64)
         });
-        let (class_id, repeat) = (request.class as u32, request.tries > 0);
+        let (class_id, repeat) = (request.class as u32, request.retries > 0);
         let wait = Span(wait);
         let info = RequestInfo { class: class_id, tenant: 0, wait, hint, key: None, repeat, rule: None };
         if let Some(state) = self.instances.get_mut(&instance) {
@@ -86,7 +90,7 @@
     /// Records a request that will not be served: its worth is lost for this reason.
     pub(super) fn record_loss(&mut self, request: ClientRequest, loss: Loss) {
         let (worth, nodes) = (self.scenario.classes[request.class].worth, self.slots.len());
-        let lost = &mut self.tally.second(request.first, nodes).lost;
+        let lost = &mut self.tally.second(request.first_sent, nodes).lost;
         *lost.entry(loss.name().to_owned()).or_default() += worth;
     }
 
@@ -94,13 +98,14 @@
     pub(super) fn settle(&mut self, id: u64) -> Option<(ClientRequest, Option<Loss>)> {
         let request = self.requests.get_mut(&id).filter(|request| !request.answered)?;
         request.answered = true;
-        let (instance, request, last) = (request.instance, request.origin, request.last);
+        let (instance, request, last) = (request.instance, request.origin, request.last_loss);
         if let Some(state) = self.instances.get_mut(&instance) {
             state.open_requests -= 1;
         }
         Some((request, last))
     }
 
+    /// Records the answer that a caller received, and retries if it was not served.
     pub(super) fn answer(&mut self, id: u64, answer: &Answer<u64>) {
         let kind = match answer {
             Answer::Served(body) => AnswerKind::Served(*body),
@@ -111,13 +116,17 @@
         let Some((request, last)) = self.settle(id) else { return };
         let spec = &self.scenario.classes[request.class];
         if let AnswerKind::Served(_) = kind {
-            let in_time = self.now - request.first <= spec.aim.us();
+            let in_time = self.now - request.first_sent <= spec.aim.us();
             let (worth, nodes) = (spec.worth, self.slots.len());
             let part = if in_time { 1.0 } else { LATE_WORTH_PART };
-            *(if in_time { &mut self.tally.in_time } else { &mut self.tally.late }) += 1;
-            self.tally.second(request.first, nodes).served += part * worth;
+            if in_time {
+                self.tally.in_time += 1;
+            } else {
+                self.tally.late += 1;
+            }
+            self.tally.second(request.first_sent, nodes).served += part * worth;
             if !in_time {
-                let lost = &mut self.tally.second(request.first, nodes).lost;
+                let lost = &mut self.tally.second(request.first_sent, nodes).lost;
                 *lost.entry(Loss::Late.name().to_owned()).or_default() += worth - part * worth;
             }
             return;
@@ -136,14 +145,15 @@
     ) {
         let traffic = &self.scenario.traffic;
         let backoff = traffic.backoff.map_or(0, |b| b.us());
-        let mut max_tries = traffic.retries;
+        let mut max_retries = traffic.retries;
         let mut wait = (backoff as f64 * self.rng.random_range(0.5..1.5)) as u64;
         if self.probabilities.occurs(RandomFault::AggressiveRetry, &mut self.rng) {
-            (max_tries, wait) = (max_tries + self.extra_retries, wait / 10);
+            max_retries += self.extra_retries;
+            wait /= AGGRESSIVE_BACKOFF_DIVISOR;
         }
         let deadline = self.scenario.classes[request.class].deadline.us();
-        if harmless && request.tries < max_tries && self.now + wait < request.first + deadline {
-            let again = ClientRequest { tries: request.tries + 1, ..request };
+        if harmless && request.retries < max_retries && self.now + wait < request.first_sent + deadline {
+            let again = ClientRequest { retries: request.retries + 1, ..request };
             return self.schedule(self.now + wait, Event::Retry(again));
         }
         if refused {
--- a/crates/fleet/src/world/instances.rs
+++ b/crates/fleet/src/world/instances.rs
@@ -53,14 +53,15 @@
         self.execute(instance, out);
     }
 
+    /// Carries out the outputs of an instance and schedules its next wake.
     pub(super) fn execute(&mut self, instance: u32, mut out: Vec<EngineOutput>) {
         let mut watch = false;
         for output in out.drain(..) {
             match output {
                 Output::Answer { id, answer } => self.answer(id.0, &answer),
-                Output::Attempt { id, attempt, server, until, connect_timeout: connect, .. } => {
+                Output::Attempt { id, attempt, server, until, connect_timeout, .. } => {
                     let job = Job { instance, request: id.0, attempt: attempt.0 };
-                    self.send_attempt(job, server, until.0, connect);
+                    self.send_attempt(job, server, until.0, connect_timeout);
                 }
                 Output::Cancel { id, attempt, .. } => {
                     let job = Job { instance, request: id.0, attempt: attempt.0 };
@@ -73,8 +74,8 @@
                     let back = self.now + 2 * self.scenario.fleet.network.us();
                     self.schedule(back, Event::ProbeAnswered { instance, server, pool });
                 }
-                Output::Open { server, endpoint: Endpoint { address: SocketAddr::V4(at), .. } } => {
-                    let node = (u32::from(*at.ip()) - 0x7f00_0001) as usize;
+                Output::Open { server, endpoint: Endpoint { address: SocketAddr::V4(address), .. } } => {
+                    let node = (u32::from(*address.ip()) - FIRST_NODE_ADDRESS) as usize;
                     if let Some(state) = self.instances.get_mut(&instance) {
                         state.servers.insert(server, node);
                     }
@@ -138,6 +139,7 @@
         }
     }
 
+    /// Sends the latest changes of the list on all watches; with `heartbeat`, an empty line where there are none.
     pub(super) fn publish_changes(&mut self, heartbeat: bool) {
         let mut lines = std::mem::take(&mut self.lines);
         self.service.publish(self.now, heartbeat, &mut self.rng, &mut lines);
--- a/crates/fleet/src/world/nodes.rs
+++ b/crates/fleet/src/world/nodes.rs
@@ -102,10 +102,10 @@
         }
         if let Some(request) = self.requests.get_mut(&job.request).filter(|request| !request.answered) {
             if status == Status::Ok {
-                latencies.saturating_record((self.now - request.origin.first).max(1));
+                latencies.saturating_record((self.now - request.origin.first_sent).max(1));
             }
-            request.last = match status {
-                Status::Ok | Status::Cancelled | Status::NotSent => request.last,
+            request.last_loss = match status {
+                Status::Ok | Status::Cancelled | Status::NotSent => request.last_loss,
                 Status::Timeout if pending.lost => Some(Loss::Unreachable),
                 Status::Timeout | Status::Rejected if pending.cold => Some(Loss::Cold),
                 Status::Timeout | Status::Rejected => Some(Loss::Queueing),
