--- a/crates/fleet/src/mutant.rs
+++ b/crates/fleet/src/mutant.rs
@@ -67,8 +67,9 @@
         Mutant { inner, fault, delayed: Vec::new(), newest: None, newest_started_at, cold_budget, own_sends }
     }
 
-    /// Returns the server that started last while it is cold and this instance alone has not sent it the whole budget.
-    fn budget_left(&mut self, now: Time) -> Option<ServerId> {
+    /// Takes a request of the budget of the server that started last, while that is cold and this instance alone has not
+    /// sent it the whole budget.
+    fn take_budget(&mut self, now: Time) -> Option<ServerId> {
         let (newest, age) = (self.newest?, (now - self.newest_started_at).0);
         while self.own_sends.front().is_some_and(|at| (now - *at).0 >= self.cold_budget.window) {
             self.own_sends.pop_front();
@@ -81,6 +82,7 @@
         })
     }
 
+    /// Changes the outputs from an index on as the fault demands.
     fn apply_fault(&mut self, now: Time, from: usize, out: &mut Vec<EngineOutput>) {
         let mut modified = Vec::new();
         for mut output in out.drain(from..) {
@@ -108,7 +110,7 @@
                     self.own_sends.clear();
                 }
                 (InjectedFault::TakesBudget, Output::Attempt { server, .. }) => {
-                    *server = self.budget_left(now).unwrap_or(*server);
+                    *server = self.take_budget(now).unwrap_or(*server);
                 }
                 (InjectedFault::FloodsCold, Output::Attempt { server, .. }) => {
                     *server = self.newest.unwrap_or(*server);
--- a/crates/fleet/src/template.rs
+++ b/crates/fleet/src/template.rs
@@ -1,5 +1,5 @@
-//! Turns the text of a scenario into one deployment. Every number and duration can be given as a range such as `{ from
-//! = 0.5, to = 0.7 }`; a seed draws each value from its range, so that each seed is a different deployment.
+//! Turns the text of a scenario into one deployment. Every number and duration can be given as a range such as
+//! `{ from = 0.5, to = 0.7 }`; a seed draws each value from its range, so that each seed is a different deployment.
 //!
 //! The drawn value replaces the range in the text, on the same line, so that later errors name the line as written.
 //! Each value is drawn from the seed and its key alone: adding a range changes no other value. A range type in every
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -18,7 +18,7 @@
 use crate::timeline::{PlannedStep, Probabilities, RandomFault, Step, steps};
 use anyhow::Result;
 use dunlincleat::api::{Attempt, Discovery, Effect, RequestId, ServerId, Span, State, Status, Time};
-use dunlincleat_directory::{Cause, Entry, Follower, Listing, Output as Follow, Timing, WatchId};
+use dunlincleat_directory::{Cause, Entry, Follower, Listing, Output as FollowerOutput, Timing, WatchId};
 use dunlincleat_engine::{Answer, Completion, Endpoint, Engine, Input, Output, PoolId, RequestInfo};
 use dunlincleat_settings::InstanceSettings;
 use hdrhistogram::Histogram;
--- a/crates/fleet/src/world/instances.rs
+++ b/crates/fleet/src/world/instances.rs
@@ -114,7 +114,7 @@
         }
         for output in out {
             match output {
-                Follow::Open { watch, kind, .. } => {
+                FollowerOutput::Open { watch, kind, .. } => {
                     match self.service.call(self.now, instance, watch, kind) {
                         CallOutcome::Opened(line) => {
                             self.schedule(line.at, Event::DiscoveryLine(Box::new(line)))
@@ -125,10 +125,10 @@
                         CallOutcome::NoAnswer => {}
                     }
                 }
-                Follow::Close(watch) => self.service.close(instance, watch),
-                Follow::Deliver(delivery) => self.notify(instance, Input::ServerList(delivery)),
-                Follow::Failed => self.notify(instance, Input::DiscoveryFailed),
-                Follow::Lost { .. } | Follow::Followed { .. } => {}
+                FollowerOutput::Close(watch) => self.service.close(instance, watch),
+                FollowerOutput::Deliver(delivery) => self.notify(instance, Input::ServerList(delivery)),
+                FollowerOutput::Failed => self.notify(instance, Input::DiscoveryFailed),
+                FollowerOutput::Lost { .. } | FollowerOutput::Followed { .. } => {}
             }
         }
         let Some(state) = self.instances.get_mut(&instance) else { return };
