--- a/crates/sidecar/src/config/section.rs
+++ b/crates/sidecar/src/config/section.rs
@@ -149,7 +149,8 @@
         let Some(level) = self.0.get("log") else { return Ok(LevelFilter::INFO) };
         level.as_str().and_then(parse_log_level).with_context(|| {
             format!(
-                "EDGE_CONFIG: sidecar.log: {level} is not a level; expected off, error, warn, info, debug or trace"
+                "EDGE_CONFIG: sidecar.log: {level} is not a level; expected off, error, warn, info, debug \
+                 or trace"
             )
         })
     }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -91,7 +91,7 @@
         StageTiming { standby_notice: STANDBY_NOTICE, accept_after_shutdown: config.accept_after_term };
     let lifecycle = Arc::new(Lifecycle::new(StageMachine::new(std::time::Instant::now(), timing)));
     if let Some(console) = console {
-        tracing::info!("console listening at {}", console.local_addr()?);
+        tracing::info!("console at {}", console.local_addr()?);
         dunlincleat_console::start(console, lifecycle.clone(), metrics.clone(), duty_control.clone())?;
     }
     let (engine, engine_mailbox) = mailbox();
@@ -153,7 +153,8 @@
             result = &mut front_task => return result.context("the HTTP server stopped")?,
             // Without decisions no request can be served. The process exits and its supervisor restarts it.
             result = &mut decision_task => {
-                return result.context("the decision module stopped").and(Err(anyhow!("the decision module stopped")));
+                let stopped = "the decision module stopped";
+                return result.context(stopped).and(Err(anyhow!(stopped)));
             }
             _ = hangup.recv() => reloader.reload(&mut config),
             _ = terminate.recv() => break,
