--- a/crates/status/src/lifecycle/tests.rs
+++ b/crates/status/src/lifecycle/tests.rs
@@ -16,7 +16,9 @@
     ) {
         let mut now = Instant::now();
         let mut machine = StageMachine::new(now, TIMING);
-        let (mut ready, mut standby_since, mut shutdown_since): (bool, Option<Instant>, Option<Instant>) = (false, None, None);
+        let mut ready = false;
+        let mut standby_since: Option<Instant> = None;
+        let mut shutdown_since: Option<Instant> = None;
         for (kind, gap) in steps {
             now += Duration::from_millis(gap);
             let events =
