--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -142,7 +142,7 @@
         out: Option<PathBuf>,
     },
     /// What a sidecar costs against one driver at a time, with the line through each figure's points, as JSON
-    Slopes(slopes::Wanted),
+    Slopes(slopes::Options),
     /// What a day at size costs: real time, memory and both for each instance
     Size {
         /// The scenario
@@ -189,7 +189,7 @@
         Command::Demo(wanted) => demo::run(wanted),
         Command::Trial(wanted) => trial::run(wanted),
         Command::Capacity(wanted) => capacity::run(&wanted),
-        Command::Slopes(wanted) => slopes::run(wanted),
+        Command::Slopes(options) => slopes::run(options),
         Command::Added(wanted) => real::run(&wanted),
         Command::Scale(wanted) => scale::run(wanted),
         Command::Control => dunlincleat_trial::control::run().map(|()| ExitCode::SUCCESS),
--- a/crates/lab/src/slopes/control.rs
+++ b/crates/lab/src/slopes/control.rs
@@ -1,13 +1,16 @@
 //! What the parts of a sidecar cost without its sockets: the follower of discovery, the settings, the engine and the
 //! decision module, called as the sidecar's actors call them. Processor time is this thread's.
 
-use super::list::{OF_A_SERVICE, change, entry, line, listing, pools, rules, settings, site};
-use super::{Context, cpu};
+use super::list::{
+    SERVERS_PER_SERVICE, change, entry, instance_settings, line, listing, rule_set, rules_file, settings_json,
+};
+use super::{Context, thread_cpu_us};
 use crate::memory::allocated;
 use anyhow::{Result, bail};
 use dunlincleat::api::{Discovery, RequestId, Span, State, Status, Time};
 use dunlincleat_directory::{
-    CallKind as Call, Cause, Follower, Input as Word, Lines, Listing, Output as Wants, Timing, WatchId,
+    CallKind, Cause, Follower, Input as FollowerInput, Lines, Listing, Output as FollowerOutput, Timing,
+    WatchId,
 };
 use dunlincleat_engine::{Completion, Engine, Input, Output, RequestInfo};
 use dunlincleat_limits::{Rule, check};
@@ -16,13 +19,13 @@
 use std::sync::Arc;
 
 /// When it begins: far from 0, which means long ago.
-const BEGIN: Time = Time(1_800_000_000_000_000);
+const START: Time = Time(1_800_000_000_000_000);
 /// A sidecar's calls a second in the plan, 690,000 over 3,100.
-pub const CALLS: f64 = 223.0;
+pub const CALLS_PER_S: f64 = 223.0;
 /// Requests that are timed behind one step of a window, and the time between them: all within the patience of a
 /// request, a fiftieth of its aim, or the module would close the window before the next of them.
-const BURST: u64 = 25;
-const APART: Span = Span(200);
+const BURST_REQUESTS: u64 = 25;
+const BURST_GAP: Span = Span(200);
 /// A window: a quarter of the tightest aim.
 const WINDOW: Span = Span(75_000);
 /// Classes of the plan's settings.
@@ -35,8 +38,8 @@
     now: Time,
     watch: WatchId,
     lines: Lines,
-    wants: Vec<Wants>,
-    out: Vec<Output<u64, u64>>,
+    follower_outputs: Vec<FollowerOutput>,
+    engine_outputs: Vec<Output<u64, u64>>,
     rules: Vec<Arc<Rule>>,
     id: u64,
     /// The load that a server reports.
@@ -45,76 +48,89 @@
 
 impl Sidecar {
     /// One that knows so many servers, calls so many services by pools of their own, and follows a watch.
-    fn start(site: &InstanceSettings, seed: u64, servers: usize, services: usize) -> Result<Sidecar> {
+    fn start(settings: &InstanceSettings, seed: u64, servers: usize, services: usize) -> Result<Sidecar> {
         let timing = Timing::derive(Span(2_000_000), Span(6_000_000), Span(1_000_000));
         let at = ([127, 0, 0, 1], 8500).into();
         let (follower, known) =
-            Follower::new(BEGIN, timing, Discovery::Pushed, at, seed, listing(servers, 1));
-        let engine = Engine::new(site, seed, 10_000);
-        let (wants, out, lines) = (Vec::new(), Vec::new(), Lines::default());
-        let (now, watch, load) = (BEGIN, WatchId(0), (|_| 1.0) as fn(u32) -> f64);
-        let rules_of = (services > 0).then(|| rules(services, site)).transpose()?;
-        let mut sidecar =
-            Sidecar { follower, engine, now, watch, lines, wants, out, rules: Vec::new(), id: 0, load };
-        sidecar.tell(Input::ServerList(known));
+            Follower::new(START, timing, Discovery::Pushed, at, seed, listing(servers, 1));
+        let engine = Engine::new(settings, seed, 10_000);
+        let (follower_outputs, engine_outputs, lines) = (Vec::new(), Vec::new(), Lines::default());
+        let (now, watch, load) = (START, WatchId(0), (|_| 1.0) as fn(u32) -> f64);
+        let rules_of = (services > 0).then(|| rule_set(services, settings)).transpose()?;
+        let mut sidecar = Sidecar {
+            follower,
+            engine,
+            now,
+            watch,
+            lines,
+            follower_outputs,
+            engine_outputs,
+            rules: Vec::new(),
+            id: 0,
+            load,
+        };
+        sidecar.engine_input(Input::ServerList(known));
         if let Some(rules) = rules_of {
             sidecar.rules =
                 rules.rules().filter(|rule| rule.name != rules.default_rule().name).cloned().collect();
             if sidecar.rules.len() != services {
                 bail!("{} routes for {services} services", sidecar.rules.len());
             }
-            sidecar.tell(Input::Rules(Arc::new(rules)));
+            sidecar.engine_input(Input::Rules(Arc::new(rules)));
         }
-        sidecar.follower.wake(sidecar.now, &mut sidecar.wants);
-        sidecar.take_calls();
+        sidecar.follower.wake(sidecar.now, &mut sidecar.follower_outputs);
+        sidecar.apply_outputs();
         let watch = sidecar.watch;
-        sidecar.word(Word::Opened(watch));
-        sidecar.read(b"{\"rev\":1,\"all\":false,\"targets\":[]}\n")?;
+        sidecar.follower_input(FollowerInput::Opened(watch));
+        sidecar.receive(b"{\"rev\":1,\"all\":false,\"targets\":[]}\n")?;
         Ok(sidecar)
     }
 
-    fn tell(&mut self, input: Input<u64, u64>) {
-        self.out.clear();
-        self.engine.input(self.now, input, &mut self.out);
-        black_box(&self.out);
+    fn engine_input(&mut self, input: Input<u64, u64>) {
+        self.engine_outputs.clear();
+        self.engine.input(self.now, input, &mut self.engine_outputs);
+        black_box(&self.engine_outputs);
     }
 
     /// Remembers the watch that was opened last, and hands on what was delivered.
-    fn take_calls(&mut self) -> Vec<(WatchId, Call)> {
+    fn apply_outputs(&mut self) -> Vec<(WatchId, CallKind)> {
         let mut calls = Vec::new();
-        for want in std::mem::take(&mut self.wants) {
-            match want {
-                Wants::Open { watch, kind, .. } => {
-                    self.watch = if kind == Call::Check { self.watch } else { watch };
+        for output in std::mem::take(&mut self.follower_outputs) {
+            match output {
+                FollowerOutput::Open { watch, kind, .. } => {
+                    self.watch = if kind == CallKind::Check { self.watch } else { watch };
                     calls.push((watch, kind));
                 }
-                Wants::Deliver(delivery) => {
-                    self.tell(Input::ServerList(delivery));
+                FollowerOutput::Deliver(delivery) => {
+                    self.engine_input(Input::ServerList(delivery));
                     // The shell counts them for its figures after each list.
                     black_box(self.engine.listed_servers());
                 }
-                Wants::Close(_) | Wants::Failed | Wants::Lost { .. } | Wants::Followed { .. } => {}
+                FollowerOutput::Close(_)
+                | FollowerOutput::Failed
+                | FollowerOutput::Lost { .. }
+                | FollowerOutput::Followed { .. } => {}
             }
         }
         calls
     }
 
     /// Tells the follower, and looks at its health as the shell does after each word.
-    fn word(&mut self, word: Word) -> Vec<(WatchId, Call)> {
-        self.follower.input(self.now, word, &mut self.wants);
-        let calls = self.take_calls();
+    fn follower_input(&mut self, input: FollowerInput) -> Vec<(WatchId, CallKind)> {
+        self.follower.input(self.now, input, &mut self.follower_outputs);
+        let calls = self.apply_outputs();
         black_box(self.follower.health());
         calls
     }
 
     /// Bytes of the watch come.
-    fn read(&mut self, bytes: &[u8]) -> Result<Vec<(WatchId, Call)>> {
+    fn receive(&mut self, bytes: &[u8]) -> Result<Vec<(WatchId, CallKind)>> {
         let mut calls = Vec::new();
         let Ok(lines) = self.lines.take(bytes) else { bail!("a line is too long") };
         for line in lines {
             let listing = if line.is_empty() { None } else { Some(Listing::decode(&line)?) };
             let watch = self.watch;
-            calls.extend(self.word(Word::Line(watch, listing)));
+            calls.extend(self.follower_input(FollowerInput::Line(watch, listing)));
         }
         Ok(calls)
     }
@@ -128,12 +144,12 @@
             0 => None,
             n => Some(self.rules[(self.id % n) as usize].clone()),
         };
-        let ask = RequestInfo { wait: Span(740_000), rule, ..RequestInfo::default() };
-        let mut out = std::mem::take(&mut self.out);
+        let request_info = RequestInfo { wait: Span(740_000), rule, ..RequestInfo::default() };
+        let mut out = std::mem::take(&mut self.engine_outputs);
         out.clear();
         self.engine.input(
             self.now,
-            Input::Request { id, info: ask, received: self.now, payload: self.id },
+            Input::Request { id, info: request_info, received: self.now, payload: self.id },
             &mut out,
         );
         let mut probes = 0;
@@ -165,14 +181,14 @@
                 self.engine.input(self.now, input, &mut out);
             }
         }
-        self.out = out;
+        self.engine_outputs = out;
         probes
     }
 
     /// Requests at the plan's rate, with the timers that are due between them.
     fn serve(&mut self, requests: usize) {
         for _ in 0..requests {
-            let next = self.now + Span((1e6 / CALLS) as u64);
+            let next = self.now + Span((1e6 / CALLS_PER_S) as u64);
             while let Some(due) = self.engine.due().filter(|due| *due <= next) {
                 self.now = self.now.max(due);
                 self.wake();
@@ -183,25 +199,25 @@
     }
 
     fn wake(&mut self) {
-        self.out.clear();
-        self.engine.wake(self.now, &mut self.out);
-        black_box(&self.out);
+        self.engine_outputs.clear();
+        self.engine.wake(self.now, &mut self.engine_outputs);
+        black_box(&self.engine_outputs);
     }
 
     /// Served until each server that is called has been asked a few times: the first requests know no loads.
-    fn warm(&mut self, servers: usize) {
-        let called = if self.rules.is_empty() { servers } else { self.rules.len() * OF_A_SERVICE };
+    fn warm_up(&mut self, servers: usize) {
+        let called = if self.rules.is_empty() { servers } else { self.rules.len() * SERVERS_PER_SERVICE };
         self.serve((2 * called).max(500));
     }
 }
 
 /// A value is measured in so many parts, of which the least counts: what disturbs a machine only ever adds.
-const PARTS: usize = 5;
+const REPEATS: usize = 5;
 
 /// The least of several parts, value by value.
-fn least(mut part: impl FnMut() -> Result<Vec<f64>>) -> Result<Vec<f64>> {
+fn least_of_repeats(mut part: impl FnMut() -> Result<Vec<f64>>) -> Result<Vec<f64>> {
     let mut least = part()?;
-    for _ in 1..PARTS {
+    for _ in 1..REPEATS {
         for (least, value) in least.iter_mut().zip(part()?) {
             *least = least.min(value);
         }
@@ -211,63 +227,64 @@
 
 /// A sidecar in service: a decision, the steps of one window over all its modules, and a request at the plan's rate with
 /// the steps that are brought forward for it.
-fn in_service(context: &Context, servers: usize, services: usize) -> Result<Vec<f64>> {
-    let mut sidecar = Sidecar::start(&site(CLASSES, false)?, context.seed, servers, services)?;
-    sidecar.warm(servers);
-    let effort = context.effort / PARTS as f64;
-    least(|| {
-        let (mut decisions, mut steps, mut counted) = (0.0_f64, 0.0_f64, 0u64);
-        let (begun, all) = (sidecar.now, 4 * services.max(1) as u64);
+fn request_costs(context: &Context, servers: usize, services: usize) -> Result<Vec<f64>> {
+    let mut sidecar = Sidecar::start(&instance_settings(CLASSES, false)?, context.seed, servers, services)?;
+    sidecar.warm_up(servers);
+    let cpu_budget_us = context.cpu_budget_us / REPEATS as f64;
+    least_of_repeats(|| {
+        let (mut decisions, mut steps, mut rounds) = (0.0_f64, 0.0_f64, 0u64);
+        let (started, all) = (sidecar.now, 4 * services.max(1) as u64);
         // Bounded where one of the two is hardly anything beside the other.
-        while counted < all || decisions.min(steps) < effort && decisions + steps < 4.0 * effort {
+        while rounds < all || decisions.min(steps) < cpu_budget_us && decisions + steps < 4.0 * cpu_budget_us
+        {
             let Some(due) = sidecar.engine.due() else { bail!("no window is due") };
             sidecar.now = sidecar.now.max(due);
-            let first = cpu();
+            let first = thread_cpu_us();
             sidecar.wake();
-            steps += cpu() - first;
-            counted += 1;
+            steps += thread_cpu_us() - first;
+            rounds += 1;
             // One that finds its window old has it closed; that is a step, and not counted to the decisions.
             for _ in 0..services.max(1) {
                 sidecar.request();
             }
-            let first = cpu();
-            for _ in 0..BURST {
-                sidecar.now = sidecar.now + APART;
+            let first = thread_cpu_us();
+            for _ in 0..BURST_REQUESTS {
+                sidecar.now = sidecar.now + BURST_GAP;
                 sidecar.request();
             }
-            decisions += cpu() - first;
+            decisions += thread_cpu_us() - first;
         }
-        let windows = (sidecar.now - begun).as_f64() / WINDOW.as_f64();
-        let (mut requests, first) = (0, cpu());
-        while cpu() - first < effort || requests < 100 {
+        let windows = (sidecar.now - started).as_f64() / WINDOW.as_f64();
+        let (mut requests, first) = (0, thread_cpu_us());
+        while thread_cpu_us() - first < cpu_budget_us || requests < 100 {
             sidecar.serve(100);
             requests += 100;
         }
-        let request = (cpu() - first) / f64::from(requests);
-        Ok(vec![decisions / (counted * BURST) as f64, steps / windows, request])
+        let request = (thread_cpu_us() - first) / f64::from(requests);
+        Ok(vec![decisions / (rounds * BURST_REQUESTS) as f64, steps / windows, request])
     })
 }
 
 /// All servers in one module.
-pub fn path(context: &Context, servers: usize) -> Result<Vec<f64>> {
-    in_service(context, servers, 0)
+pub fn request(context: &Context, servers: usize) -> Result<Vec<f64>> {
+    request_costs(context, servers, 0)
 }
 
 /// Requests to one pool of six servers.
-pub fn path_in_pool(context: &Context, servers: usize) -> Result<Vec<f64>> {
-    in_service(context, servers, 1)
+pub fn request_in_pool(context: &Context, servers: usize) -> Result<Vec<f64>> {
+    request_costs(context, servers, 1)
 }
 
 /// Requests to so many pools of six servers in turn, of all servers that are known.
-pub fn path_by_services(context: &Context, services: usize) -> Result<Vec<f64>> {
-    in_service(context, context.many, services)
+pub fn request_by_services(context: &Context, services: usize) -> Result<Vec<f64>> {
+    request_costs(context, context.default_servers, services)
 }
 
 /// Bytes that a sidecar's state holds: the follower, the engine and its modules.
-fn held(context: &Context, servers: usize, services: usize) -> Result<f64> {
-    let site = site(CLASSES, false)?;
+fn state_bytes(context: &Context, servers: usize, services: usize) -> Result<f64> {
+    let settings = instance_settings(CLASSES, false)?;
     let before = allocated();
-    let mut sidecar = Sidecar::start(&site, context.seed, servers, services)?;
+    let mut sidecar = Sidecar::start(&settings, context.seed, servers, services)?;
     sidecar.serve(500);
     let held = allocated().saturating_sub(before);
     drop(sidecar);
@@ -276,32 +293,32 @@
 
 /// State by servers.
 pub fn state(context: &Context, servers: usize) -> Result<Vec<f64>> {
-    Ok(vec![held(context, servers, 0)?])
+    Ok(vec![state_bytes(context, servers, 0)?])
 }
 
 /// State by services.
 pub fn state_by_services(context: &Context, services: usize) -> Result<Vec<f64>> {
-    Ok(vec![held(context, context.many, services)?])
+    Ok(vec![state_bytes(context, context.default_servers, services)?])
 }
 
 /// A thing is done again and again until it has taken the processor time that is to be measured; its time for one.
-fn timed(context: &Context, mut once: impl FnMut(u64) -> Result<()>) -> Result<f64> {
+fn cpu_per_iteration(context: &Context, mut once: impl FnMut(u64) -> Result<()>) -> Result<f64> {
     once(0)?;
     let mut n = 0;
-    let each = least(|| {
-        let (before, first) = (n, cpu());
-        while cpu() - first < context.effort / PARTS as f64 || n - before < 4 {
+    let each = least_of_repeats(|| {
+        let (before, first) = (n, thread_cpu_us());
+        while thread_cpu_us() - first < context.cpu_budget_us / REPEATS as f64 || n - before < 4 {
             n += 1;
             once(n)?;
         }
-        Ok(vec![(cpu() - first) / (n - before) as f64])
+        Ok(vec![(thread_cpu_us() - first) / (n - before) as f64])
     })?;
     Ok(each[0])
 }
 
 /// A change of one server, and the whole list, as lines of a watch: taken in by the follower and handed to the engine.
-pub fn words(context: &Context, servers: usize) -> Result<Vec<f64>> {
-    let mut sidecar = Sidecar::start(&site(CLASSES, false)?, context.seed, servers, 0)?;
+pub fn list_updates(context: &Context, servers: usize) -> Result<Vec<f64>> {
+    let mut sidecar = Sidecar::start(&instance_settings(CLASSES, false)?, context.seed, servers, 0)?;
     // Told beforehand: what discovery spends on its words is not the sidecar's.
     let changes: Vec<String> = (0..2 * servers.min(200) as u64)
         .map(|n| {
@@ -309,119 +326,126 @@
             change(n as usize / 2, state, 2)
         })
         .collect();
-    let applied = timed(context, |n| {
+    let applied = cpu_per_iteration(context, |n| {
         sidecar.now = sidecar.now + Span(1000);
-        let word = &changes[n as usize % changes.len()];
-        sidecar.read(word.as_bytes()).map(drop)
+        let update = &changes[n as usize % changes.len()];
+        sidecar.receive(update.as_bytes()).map(drop)
     })?;
     let whole = line(&listing(servers, 3));
-    let taken = timed(context, |_| {
+    let whole_applied = cpu_per_iteration(context, |_| {
         sidecar.now = sidecar.now + Span(1000);
-        sidecar.read(whole.as_bytes()).map(drop)
+        sidecar.receive(whole.as_bytes()).map(drop)
     })?;
-    Ok(vec![applied, changes[0].len() as f64, taken, whole.len() as f64])
+    Ok(vec![applied, changes[0].len() as f64, whole_applied, whole.len() as f64])
 }
 
 /// What a second with so many changes takes, of a sidecar that knows all servers, and the bytes that come.
-pub fn changes(context: &Context, a_second: usize) -> Result<Vec<f64>> {
-    let mut sidecar = Sidecar::start(&site(CLASSES, false)?, context.seed, context.many, 0)?;
+pub fn changes(context: &Context, changes_per_s: usize) -> Result<Vec<f64>> {
+    let mut sidecar =
+        Sidecar::start(&instance_settings(CLASSES, false)?, context.seed, context.default_servers, 0)?;
     let mut rev = 1;
-    let mut told = |sidecar: &mut Sidecar, n: usize| -> Result<usize> {
+    let mut apply_change = |sidecar: &mut Sidecar, n: usize| -> Result<usize> {
         rev += 1;
         let state = if n.is_multiple_of(2) { State::Draining } else { State::Ready };
-        let word = change((n / 2) % context.many, state, rev);
-        sidecar.now = sidecar.now + Span(1_000_000 / a_second as u64);
-        sidecar.read(word.as_bytes())?;
-        Ok(word.len())
+        let line = change((n / 2) % context.default_servers, state, rev);
+        sidecar.now = sidecar.now + Span(1_000_000 / changes_per_s as u64);
+        sidecar.receive(line.as_bytes())?;
+        Ok(line.len())
     };
     let mut n = 0;
-    least(|| {
-        let (mut seconds, mut bytes, first) = (0.0, 0, cpu());
-        while cpu() - first < context.effort / PARTS as f64 || seconds < 1.0 {
-            for _ in 0..a_second {
-                bytes += told(&mut sidecar, n)?;
+    least_of_repeats(|| {
+        let (mut seconds, mut bytes, first) = (0.0, 0, thread_cpu_us());
+        while thread_cpu_us() - first < context.cpu_budget_us / REPEATS as f64 || seconds < 1.0 {
+            for _ in 0..changes_per_s {
+                bytes += apply_change(&mut sidecar, n)?;
                 n += 1;
             }
             seconds += 1.0;
         }
-        let took = (cpu() - first) / 1e6;
+        let took = (thread_cpu_us() - first) / 1e6;
         Ok(vec![took / seconds, bytes as f64 / seconds])
     })
 }
 
 /// A watch breaks and is opened anew, at a discovery where nothing changed: what the follower asks for until it rests.
 pub fn reconnect(context: &Context, servers: usize) -> Result<Vec<f64>> {
-    let mut sidecar = Sidecar::start(&site(CLASSES, false)?, context.seed, servers, 0)?;
+    let mut sidecar = Sidecar::start(&instance_settings(CLASSES, false)?, context.seed, servers, 0)?;
     let whole = line(&listing(servers, 1));
-    let (mut bytes, mut messages, mut breaks) = (0, 0, 0);
-    let (mut took, mut least) = (0.0, f64::INFINITY);
-    while took < context.effort || breaks < PARTS as u32 {
-        breaks += 1;
-        let first = cpu();
+    let (mut bytes, mut messages, mut reconnects) = (0, 0, 0);
+    let (mut total, mut cheapest) = (0.0, f64::INFINITY);
+    while total < context.cpu_budget_us || reconnects < REPEATS as u32 {
+        reconnects += 1;
+        let first = thread_cpu_us();
         let broken = sidecar.watch;
-        let mut calls = sidecar.word(Word::Ended(broken, Cause::Broke("reset".to_owned())));
+        let mut calls =
+            sidecar.follower_input(FollowerInput::Ended(broken, Cause::Broke("reset".to_owned())));
         // Until the bound of a word is over nothing more comes of a break.
-        let rests = sidecar.now + Span(8_000_000);
-        let mut speaks = sidecar.now;
-        while sidecar.now < rests {
-            for (watch, ask) in std::mem::take(&mut calls) {
+        let end = sidecar.now + Span(8_000_000);
+        let mut last_heartbeat = sidecar.now;
+        while sidecar.now < end {
+            for (watch, kind) in std::mem::take(&mut calls) {
                 // The call and its answer.
                 messages += 2;
                 let after = br#"{"rev":1,"all":false,"targets":[]}"#;
-                match ask {
-                    Call::ChangesAfter(_) => {
+                match kind {
+                    CallKind::ChangesAfter(_) => {
                         bytes += after.len() + 1;
-                        sidecar.word(Word::Opened(watch));
-                        speaks = sidecar.now;
+                        sidecar.follower_input(FollowerInput::Opened(watch));
+                        last_heartbeat = sidecar.now;
                         let listing = Listing::decode(after)?;
-                        calls.extend(sidecar.word(Word::Line(watch, Some(listing))));
+                        calls.extend(sidecar.follower_input(FollowerInput::Line(watch, Some(listing))));
                     }
-                    Call::FullList | Call::Check => {
+                    CallKind::FullList | CallKind::Check => {
                         bytes += whole.len();
                         let listing = Listing { whole: true, ..Listing::decode(whole.as_bytes())? };
-                        calls.extend(sidecar.word(Word::Line(watch, Some(listing))));
-                        if ask == Call::FullList {
+                        calls.extend(sidecar.follower_input(FollowerInput::Line(watch, Some(listing))));
+                        if kind == CallKind::FullList {
                             bail!("the whole list was asked for before a watch");
                         }
                     }
                 }
             }
             // Its signs of life, which come with or without a break and are not counted to it.
-            let life = speaks + Span(2_000_000);
-            sidecar.now =
-                sidecar.follower.due().unwrap_or(life).min(life).min(rests).max(sidecar.now + Span(1));
-            if sidecar.now >= life {
-                speaks = life;
-                calls.extend(sidecar.read(b"\n")?);
+            let heartbeat_due = last_heartbeat + Span(2_000_000);
+            sidecar.now = sidecar
+                .follower
+                .due()
+                .unwrap_or(heartbeat_due)
+                .min(heartbeat_due)
+                .min(end)
+                .max(sidecar.now + Span(1));
+            if sidecar.now >= heartbeat_due {
+                last_heartbeat = heartbeat_due;
+                calls.extend(sidecar.receive(b"\n")?);
             }
-            sidecar.follower.wake(sidecar.now, &mut sidecar.wants);
-            calls.extend(sidecar.take_calls());
+            sidecar.follower.wake(sidecar.now, &mut sidecar.follower_outputs);
+            calls.extend(sidecar.apply_outputs());
         }
-        least = least.min(cpu() - first);
-        took += cpu() - first;
+        cheapest = cheapest.min(thread_cpu_us() - first);
+        total += thread_cpu_us() - first;
     }
-    let each = f64::from(breaks);
-    Ok(vec![bytes as f64 / each, f64::from(messages) / each, least])
+    let each = f64::from(reconnects);
+    Ok(vec![bytes as f64 / each, f64::from(messages) / each, cheapest])
 }
 
 /// New settings and the operator's file, read, proved and handed to the engine, as on SIGHUP but for the file around
 /// them.
-fn taken_up(context: &Context, servers: usize, services: usize, classes: usize) -> Result<f64> {
-    let first = site(classes, false)?;
+fn settings_cost(context: &Context, servers: usize, services: usize, classes: usize) -> Result<f64> {
+    let first = instance_settings(classes, false)?;
     let mut sidecar = Sidecar::start(&first, context.seed, servers, services)?;
     sidecar.serve(200);
-    let (settings, file) = (settings(classes, false), pools(services));
-    let mut held = Arc::new(first);
-    let mut succession = ClassNumbering::default();
-    timed(context, |n| {
+    let (settings, file) = (settings_json(classes, false), rules_file(services));
+    let mut current = Arc::new(first);
+    let mut numbering = ClassNumbering::default();
+    cpu_per_iteration(context, |n| {
         sidecar.now = sidecar.now + Span(1_000_000);
         // Another figure each time: nothing may be spared for being alike.
         let settings = settings.replace("\"cold\":1000000", &format!("\"cold\":{}", 1_000_000 + n));
-        held = Arc::new(succession.apply(sidecar.now, &held, read(&settings)?).instance);
-        let rules = check(&file, &held).rules;
-        sidecar.tell(Input::Settings { site: held.clone(), shadow: None });
+        current = Arc::new(numbering.apply(sidecar.now, &current, read(&settings)?).instance);
+        let rules = check(&file, &current).rules;
+        sidecar.engine_input(Input::Settings { site: current.clone(), shadow: None });
         if let Some(rules) = rules.filter(|_| services > 0) {
-            sidecar.tell(Input::Rules(Arc::new(rules)));
+            sidecar.engine_input(Input::Rules(Arc::new(rules)));
         }
         Ok(())
     })
@@ -429,23 +453,23 @@
 
 /// Settings by servers.
 pub fn settings_by_servers(context: &Context, servers: usize) -> Result<Vec<f64>> {
-    Ok(vec![taken_up(context, servers, 0, CLASSES)?])
+    Ok(vec![settings_cost(context, servers, 0, CLASSES)?])
 }
 
 /// Settings by classes.
 pub fn settings_by_classes(context: &Context, classes: usize) -> Result<Vec<f64>> {
-    Ok(vec![taken_up(context, 60.min(context.many), 0, classes)?])
+    Ok(vec![settings_cost(context, 60.min(context.default_servers), 0, classes)?])
 }
 
 /// Settings by services, each with a pool.
 pub fn settings_by_services(context: &Context, services: usize) -> Result<Vec<f64>> {
-    Ok(vec![taken_up(context, context.many, services, CLASSES)?])
+    Ok(vec![settings_cost(context, context.default_servers, services, CLASSES)?])
 }
 
 /// Probes of one round, where probes cost nothing, with each second server busy and with all of them.
 pub fn probes(context: &Context, servers: usize) -> Result<Vec<f64>> {
     let round = |load: fn(u32) -> f64| -> Result<f64> {
-        let mut sidecar = Sidecar::start(&site(CLASSES, true)?, context.seed, servers, 0)?;
+        let mut sidecar = Sidecar::start(&instance_settings(CLASSES, true)?, context.seed, servers, 0)?;
         sidecar.load = load;
         let (mut probes, mut rounds) = (0, 0);
         for n in 0..400 {
@@ -462,7 +486,7 @@
 }
 
 /// A look at what is measured here: a list is read as it was told.
-pub fn proved(servers: usize) -> Result<()> {
+pub fn check_list_round_trip(servers: usize) -> Result<()> {
     let read = Listing::decode(line(&listing(servers, 1)).trim_end().as_bytes())?;
     if read.entries.len() != servers || read.entries.first() != Some(&entry(0)) {
         bail!("a list of {servers} servers is not read as it was told");
--- a/crates/lab/src/slopes/fit.rs
+++ b/crates/lab/src/slopes/fit.rs
@@ -10,15 +10,15 @@
 use rand::{Rng, SeedableRng};
 
 /// A figure whose points are this near to one value, in the mean, does not grow.
-pub const FLAT: f64 = 0.05;
+pub const MAX_CONSTANT_RESIDUAL: f64 = 0.05;
 /// A form that misses the points by more than this, in the mean, is not theirs.
-pub const BORNE: f64 = 0.15;
+pub const MAX_RESIDUAL: f64 = 0.15;
 /// Another form is worse where it misses by this many times as much, and by [`MARGIN`] more.
-pub const FACTOR: f64 = 1.5;
+pub const MIN_RESIDUAL_RATIO: f64 = 1.5;
 /// The least difference of two residuals that tells forms apart.
-pub const MARGIN: f64 = 0.01;
+pub const MIN_RESIDUAL_DIFFERENCE: f64 = 0.01;
 /// How many times the rounds are drawn anew.
-const DRAWS: usize = 1000;
+const BOOTSTRAP_DRAWS: usize = 1000;
 
 /// What the points come to.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -65,47 +65,47 @@
 }
 
 /// The root of the mean square of relative distances, by the points that are left after `free` figures were chosen.
-fn residual(distances: impl Iterator<Item = f64>, points: usize, free: usize) -> f64 {
+fn residual(distances: impl Iterator<Item = f64>, points: usize, parameters: usize) -> f64 {
     let sum: f64 = distances.map(|d| d * d).sum();
-    (sum / points.saturating_sub(free).max(1) as f64).sqrt()
+    (sum / points.saturating_sub(parameters).max(1) as f64).sqrt()
 }
 
 /// The line with the least relative distances; flat where all sizes are alike.
 fn line(sizes: &[f64], values: &[f64]) -> Line {
     let scales = scales(values);
     let weights: Vec<f64> = scales.iter().map(|s| 1.0 / (s * s)).collect();
-    let all: f64 = weights.iter().sum();
-    let mean = |of: &[f64]| of.iter().zip(&weights).map(|(v, w)| v * w).sum::<f64>() / all;
-    let (x, y) = (mean(sizes), mean(values));
+    let total_weight: f64 = weights.iter().sum();
+    let mean = |of: &[f64]| of.iter().zip(&weights).map(|(v, w)| v * w).sum::<f64>() / total_weight;
+    let (mean_size, mean_value) = (mean(sizes), mean(values));
     let each = || sizes.iter().zip(values).zip(&weights);
-    let square: f64 = each().map(|((a, _), w)| w * (a - x) * (a - x)).sum();
-    let product: f64 = each().map(|((a, b), w)| w * (a - x) * (b - y)).sum();
-    let slope = if square > 0.0 { product / square } else { 0.0 };
-    let intercept = y - slope * x;
-    let apart = sizes.iter().zip(values).zip(&scales).map(|((a, b), s)| (b - intercept - slope * a) / s);
-    Line { intercept, slope, residual: residual(apart, values.len(), 2) }
+    let size_squares: f64 = each().map(|((a, _), w)| w * (a - mean_size) * (a - mean_size)).sum();
+    let size_value_products: f64 = each().map(|((a, b), w)| w * (a - mean_size) * (b - mean_value)).sum();
+    let slope = if size_squares > 0.0 { size_value_products / size_squares } else { 0.0 };
+    let intercept = mean_value - slope * mean_size;
+    let distances = sizes.iter().zip(values).zip(&scales).map(|((a, b), s)| (b - intercept - slope * a) / s);
+    Line { intercept, slope, residual: residual(distances, values.len(), 2) }
 }
 
 /// How far the values are from the one that is nearest to all of them.
-fn flat(values: &[f64]) -> f64 {
+fn constant_residual(values: &[f64]) -> f64 {
     let scales = scales(values);
     let weight = |s: &f64| 1.0 / (s * s);
-    let all: f64 = scales.iter().map(weight).sum();
-    let mean = values.iter().zip(&scales).map(|(v, s)| v * weight(s)).sum::<f64>() / all;
+    let total_weight: f64 = scales.iter().map(weight).sum();
+    let mean = values.iter().zip(&scales).map(|(v, s)| v * weight(s)).sum::<f64>() / total_weight;
     residual(values.iter().zip(&scales).map(|(v, s)| (v - mean) / s), values.len(), 1)
 }
 
 /// What the values grow like.
-fn form(sizes: &[f64], values: &[f64]) -> Form {
+fn growth_form(sizes: &[f64], values: &[f64]) -> Form {
     if sizes.len() < 4 {
         return Form::NotClear;
     }
-    if flat(values) <= FLAT {
+    if constant_residual(values) <= MAX_CONSTANT_RESIDUAL {
         return Form::Constant;
     }
     let tried = |form: Form, f: fn(f64) -> f64| {
-        let bent: Vec<f64> = sizes.iter().map(|size| f(*size)).collect();
-        let line = line(&bent, values);
+        let transformed: Vec<f64> = sizes.iter().map(|size| f(*size)).collect();
+        let line = line(&transformed, values);
         // What falls as the driver grows is none of these.
         (form, if line.slope > 0.0 { line.residual } else { f64::INFINITY })
     };
@@ -116,8 +116,8 @@
     ];
     tried.sort_by(|a, b| a.1.total_cmp(&b.1));
     let [(best, least), (_, next), _] = tried;
-    let apart = next >= least * FACTOR && next >= least + MARGIN;
-    if least <= BORNE && apart { best } else { Form::NotClear }
+    let distinct = next >= least * MIN_RESIDUAL_RATIO && next >= least + MIN_RESIDUAL_DIFFERENCE;
+    if least <= MAX_RESIDUAL && distinct { best } else { Form::NotClear }
 }
 
 /// Fits the points. Rounds are drawn anew as wholes, as what disturbs a round disturbs all its sizes.
@@ -129,19 +129,20 @@
     let rounds = points.iter().map(|point| point.values.len()).min().unwrap_or(0);
     let mut rng = SmallRng::seed_from_u64(seed);
     let drawn = |rng: &mut SmallRng| {
-        let these: Vec<usize> = (0..rounds).map(|_| rng.random_range(0..rounds)).collect();
-        let value =
-            |point: &Point| median(&these.iter().map(|round| point.values[*round]).collect::<Vec<_>>());
+        let drawn_rounds: Vec<usize> = (0..rounds).map(|_| rng.random_range(0..rounds)).collect();
+        let value = |point: &Point| {
+            median(&drawn_rounds.iter().map(|round| point.values[*round]).collect::<Vec<_>>())
+        };
         line(&sizes, &points.iter().map(value).collect::<Vec<_>>()).slope
     };
     let mut slopes: Vec<f64> = match rounds {
         0 => vec![slope],
-        _ => (0..DRAWS).map(|_| drawn(&mut rng)).collect(),
+        _ => (0..BOOTSTRAP_DRAWS).map(|_| drawn(&mut rng)).collect(),
     };
     slopes.sort_by(f64::total_cmp);
     let at = |part: f64| slopes[((slopes.len() - 1) as f64 * part).round() as usize];
     Fit {
-        form: form(&sizes, &values),
+        form: growth_form(&sizes, &values),
         intercept,
         slope,
         slope_low: at(0.025),
--- a/crates/lab/src/slopes/list.rs
+++ b/crates/lab/src/slopes/list.rs
@@ -9,7 +9,7 @@
 use std::fmt::Write;
 
 /// Servers of a service: the plan's endpoints over its services, 3,100 over 490.
-pub const OF_A_SERVICE: usize = 6;
+pub const SERVERS_PER_SERVICE: usize = 6;
 /// The plan's zones.
 const ZONES: usize = 8;
 
@@ -21,7 +21,7 @@
         uid: format!("s-{:08x}", (n as u32).wrapping_mul(0x9e37_79b1)),
         endpoint: Some(([10, a, b, c], 5000).into()),
         zone: format!("z{}", n % ZONES),
-        model: format!("service-{:03}", n / OF_A_SERVICE),
+        model: format!("service-{:03}", n / SERVERS_PER_SERVICE),
         cell: (n % 4) as u32,
         state: State::Ready,
         weight: 1.0,
@@ -46,7 +46,7 @@
 }
 
 /// The settings object: loads in answers, no prices, and probes where they are wanted.
-pub fn settings(classes: usize, probes: bool) -> String {
+pub fn settings_json(classes: usize, probes: bool) -> String {
     let zones: Vec<String> = (0..ZONES).map(|n| format!("\"z{n}\"")).collect();
     let class = |n: usize| {
         format!(
@@ -64,12 +64,12 @@
 }
 
 /// The settings as they are read.
-pub fn site(classes: usize, probes: bool) -> Result<InstanceSettings> {
-    read(&settings(classes, probes)).context("the settings")
+pub fn instance_settings(classes: usize, probes: bool) -> Result<InstanceSettings> {
+    read(&settings_json(classes, probes)).context("the settings")
 }
 
 /// The operator's file: a pool and a route for each service that is called.
-pub fn pools(services: usize) -> String {
+pub fn rules_file(services: usize) -> String {
     let mut text = String::from("version = 1\n");
     for n in 0..services {
         // Writing to a text can't fail.
@@ -83,8 +83,8 @@
 }
 
 /// The operator's file as it is read.
-pub fn rules(services: usize, site: &InstanceSettings) -> Result<RuleSet> {
-    let Checked { faults, rules } = check(&pools(services), site);
+pub fn rule_set(services: usize, settings: &InstanceSettings) -> Result<RuleSet> {
+    let Checked { faults, rules } = check(&rules_file(services), settings);
     let Some(rules) = rules else {
         let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
         bail!("the operator's file: {}", faults.join("; "));
--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab/src/slopes/mod.rs
@@ -19,7 +19,7 @@
 
 /// What is wanted of a run of slopes.
 #[derive(Args)]
-pub struct Wanted {
+pub struct Options {
     /// How often each size is measured
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=100))]
     rounds: u64,
@@ -45,65 +45,65 @@
     program: PathBuf,
     small: bool,
     /// Processor time to be spent on a value, in microseconds.
-    effort: f64,
+    cpu_budget_us: f64,
     /// The servers that are known where another driver is varied: the plan's.
-    many: usize,
+    default_servers: usize,
     /// Another one each round.
     seed: u64,
     /// The least part of the requests that the program served in a play that counts, of the group in hand.
-    served: Cell<f64>,
+    min_served: Cell<f64>,
 }
 
 /// Processor time of this thread in microseconds.
-fn cpu() -> f64 {
+fn thread_cpu_us() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1e6 + time.tv_nsec as f64 / 1e3
 }
 
 /// A figure of a group.
-struct Spec {
+struct FigureSpec {
     name: &'static str,
     unit: Unit,
-    what: &'static str,
+    description: &'static str,
 }
 
 /// Figures that are measured together, at each size of one driver.
 struct Group {
     driver: &'static str,
     sizes: &'static [usize],
-    small: &'static [usize],
+    small_sizes: &'static [usize],
     /// It runs the sidecar's program.
-    program: bool,
+    runs_sidecar: bool,
     measure: fn(&Context, usize) -> Result<Vec<f64>>,
-    figures: &'static [Spec],
+    figures: &'static [FigureSpec],
 }
 
-const fn spec(name: &'static str, unit: Unit, what: &'static str) -> Spec {
-    Spec { name, unit, what }
+const fn figure_spec(name: &'static str, unit: Unit, description: &'static str) -> FigureSpec {
+    FigureSpec { name, unit, description }
 }
 
-const SERVERS: &str = "known-servers";
-const SERVICES: &str = "services-called";
-const KNOWN: &[usize] = &[6, 60, 200, 1000, 3100];
-const KNOWN_SMALL: &[usize] = &[6, 12, 24, 48];
-const CALLED: &[usize] = &[1, 5, 20, 60];
-const CALLED_SMALL: &[usize] = &[1, 2, 4, 8];
+const KNOWN_SERVERS: &str = "known-servers";
+const SERVICES_CALLED: &str = "services-called";
+const SERVER_SIZES: &[usize] = &[6, 60, 200, 1000, 3100];
+const SERVER_SIZES_SMALL: &[usize] = &[6, 12, 24, 48];
+const SERVICE_SIZES: &[usize] = &[1, 5, 20, 60];
+const SERVICE_SIZES_SMALL: &[usize] = &[1, 2, 4, 8];
 
 const GROUPS: &[Group] = &[
     Group {
-        driver: SERVERS,
-        sizes: KNOWN,
-        small: KNOWN_SMALL,
-        program: false,
-        measure: control::path,
+        driver: KNOWN_SERVERS,
+        sizes: SERVER_SIZES,
+        small_sizes: SERVER_SIZES_SMALL,
+        runs_sidecar: false,
+        measure: control::request,
         figures: &[
-            spec(
+            figure_spec(
                 "decision",
                 Unit::Micros,
                 "A request through the engine and the module over all servers, and its end.",
             ),
-            spec("window-step", Unit::Micros, "One step of a window over all servers."),
-            spec(
+            figure_spec("window-step", Unit::Micros, "One step of a window over all servers."),
+            figure_spec(
                 "request",
                 Unit::Micros,
                 "A request at 223 a second with the timers and the steps of windows that fall to it.",
@@ -111,23 +111,23 @@
         ],
     },
     Group {
-        driver: SERVERS,
-        sizes: KNOWN,
-        small: KNOWN_SMALL,
-        program: false,
-        measure: control::path_in_pool,
+        driver: KNOWN_SERVERS,
+        sizes: SERVER_SIZES,
+        small_sizes: SERVER_SIZES_SMALL,
+        runs_sidecar: false,
+        measure: control::request_in_pool,
         figures: &[
-            spec(
+            figure_spec(
                 "decision-in-pool",
                 Unit::Micros,
                 "The same decision in a pool of 6 of the servers that are known.",
             ),
-            spec(
+            figure_spec(
                 "window-step-in-pool",
                 Unit::Micros,
                 "The steps of one window of both modules: the pool's and that of all servers.",
             ),
-            spec(
+            figure_spec(
                 "request-in-pool",
                 Unit::Micros,
                 "A request to the pool at 223 a second with the steps that fall to it.",
@@ -135,23 +135,23 @@
         ],
     },
     Group {
-        driver: SERVICES,
-        sizes: CALLED,
-        small: CALLED_SMALL,
-        program: false,
-        measure: control::path_by_services,
+        driver: SERVICES_CALLED,
+        sizes: SERVICE_SIZES,
+        small_sizes: SERVICE_SIZES_SMALL,
+        runs_sidecar: false,
+        measure: control::request_by_services,
         figures: &[
-            spec(
+            figure_spec(
                 "decision-by-services",
                 Unit::Micros,
                 "A decision in one of so many pools of 6 servers, 3,100 servers known.",
             ),
-            spec(
+            figure_spec(
                 "window-step-by-services",
                 Unit::Micros,
                 "The steps of one window of all modules: each pool's and that of all 3,100 servers.",
             ),
-            spec(
+            figure_spec(
                 "request-by-services",
                 Unit::Micros,
                 "A request at 223 a second over so many pools in turn, with the steps that fall to it, 3,100 known.",
@@ -159,68 +159,68 @@
         ],
     },
     Group {
-        driver: SERVERS,
-        sizes: KNOWN,
-        small: KNOWN_SMALL,
-        program: false,
+        driver: KNOWN_SERVERS,
+        sizes: SERVER_SIZES,
+        small_sizes: SERVER_SIZES_SMALL,
+        runs_sidecar: false,
         measure: control::state,
-        figures: &[spec(
+        figures: &[figure_spec(
             "state",
             Unit::Bytes,
             "What the follower, the engine and the module hold, as allocated.",
         )],
     },
     Group {
-        driver: SERVICES,
-        sizes: CALLED,
-        small: CALLED_SMALL,
-        program: false,
+        driver: SERVICES_CALLED,
+        sizes: SERVICE_SIZES,
+        small_sizes: SERVICE_SIZES_SMALL,
+        runs_sidecar: false,
         measure: control::state_by_services,
-        figures: &[spec(
+        figures: &[figure_spec(
             "state-by-services",
             Unit::Bytes,
             "What the follower, the engine and all modules hold with so many pools of 6 servers, 3,100 known.",
         )],
     },
     Group {
-        driver: SERVERS,
-        sizes: KNOWN,
-        small: KNOWN_SMALL,
-        program: false,
-        measure: control::words,
+        driver: KNOWN_SERVERS,
+        sizes: SERVER_SIZES,
+        small_sizes: SERVER_SIZES_SMALL,
+        runs_sidecar: false,
+        measure: control::list_updates,
         figures: &[
-            spec(
+            figure_spec(
                 "change-applied",
                 Unit::Micros,
                 "One server's change: read, judged by the follower and taken in by the engine.",
             ),
-            spec("change-bytes", Unit::Bytes, "One server's change as a line of a watch."),
-            spec(
+            figure_spec("change-bytes", Unit::Bytes, "One server's change as a line of a watch."),
+            figure_spec(
                 "whole-list-applied",
                 Unit::Micros,
                 "The whole list, as it was held: read, judged and taken in.",
             ),
-            spec("whole-list-bytes", Unit::Bytes, "The whole list in discovery's form."),
+            figure_spec("whole-list-bytes", Unit::Bytes, "The whole list in discovery's form."),
         ],
     },
     Group {
-        driver: SERVERS,
-        sizes: KNOWN,
-        small: KNOWN_SMALL,
-        program: false,
+        driver: KNOWN_SERVERS,
+        sizes: SERVER_SIZES,
+        small_sizes: SERVER_SIZES_SMALL,
+        runs_sidecar: false,
         measure: control::reconnect,
         figures: &[
-            spec(
+            figure_spec(
                 "reconnect-bytes",
                 Unit::Bytes,
                 "What discovery tells after a watch broke, nothing having changed, without heads and signs of life.",
             ),
-            spec(
+            figure_spec(
                 "reconnect-messages",
                 Unit::Messages,
                 "Calls of discovery after a watch broke, and their answers.",
             ),
-            spec(
+            figure_spec(
                 "reconnect-applied",
                 Unit::Micros,
                 "A watch that broke, until all that it brings is taken in.",
@@ -230,25 +230,25 @@
     Group {
         driver: "changes-a-second",
         sizes: &[1, 5, 20, 60, 200],
-        small: CALLED_SMALL,
-        program: false,
+        small_sizes: SERVICE_SIZES_SMALL,
+        runs_sidecar: false,
         measure: control::changes,
         figures: &[
-            spec(
+            figure_spec(
                 "changes-followed",
                 Unit::PartOfCore,
                 "So many changes of single servers a second, 3,100 known.",
             ),
-            spec("changes-bytes", Unit::Bytes, "What they bring in a second as lines of a watch."),
+            figure_spec("changes-bytes", Unit::Bytes, "What they bring in a second as lines of a watch."),
         ],
     },
     Group {
-        driver: SERVERS,
-        sizes: KNOWN,
-        small: KNOWN_SMALL,
-        program: false,
+        driver: KNOWN_SERVERS,
+        sizes: SERVER_SIZES,
+        small_sizes: SERVER_SIZES_SMALL,
+        runs_sidecar: false,
         measure: control::settings_by_servers,
-        figures: &[spec(
+        figures: &[figure_spec(
             "settings-taken-up",
             Unit::Micros,
             "New settings of one class: read, succeeded to and taken in by the engine.",
@@ -257,40 +257,40 @@
     Group {
         driver: "classes",
         sizes: &[1, 5, 20, 60, 200],
-        small: CALLED_SMALL,
-        program: false,
+        small_sizes: SERVICE_SIZES_SMALL,
+        runs_sidecar: false,
         measure: control::settings_by_classes,
-        figures: &[spec(
+        figures: &[figure_spec(
             "settings-by-classes",
             Unit::Micros,
             "New settings of so many classes, 60 servers known.",
         )],
     },
     Group {
-        driver: SERVICES,
-        sizes: CALLED,
-        small: CALLED_SMALL,
-        program: false,
+        driver: SERVICES_CALLED,
+        sizes: SERVICE_SIZES,
+        small_sizes: SERVICE_SIZES_SMALL,
+        runs_sidecar: false,
         measure: control::settings_by_services,
-        figures: &[spec(
+        figures: &[figure_spec(
             "settings-by-services",
             Unit::Micros,
             "New settings and an operator's file with so many pools, read, proved and taken in, 3,100 known.",
         )],
     },
     Group {
-        driver: SERVERS,
-        sizes: KNOWN,
-        small: KNOWN_SMALL,
-        program: false,
+        driver: KNOWN_SERVERS,
+        sizes: SERVER_SIZES,
+        small_sizes: SERVER_SIZES_SMALL,
+        runs_sidecar: false,
         measure: control::probes,
         figures: &[
-            spec(
+            figure_spec(
                 "probe-round",
                 Unit::Messages,
                 "Probes of one round where each second server is busy and probes are free.",
             ),
-            spec(
+            figure_spec(
                 "probe-round-busy",
                 Unit::Messages,
                 "Probes of one round where every server is busy and probes are free.",
@@ -300,58 +300,70 @@
     Group {
         driver: "members",
         sizes: &[5, 20, 60, 200, 1000],
-        small: &[3, 5, 10, 20],
-        program: false,
+        small_sizes: &[3, 5, 10, 20],
+        runs_sidecar: false,
         measure: duty::lease,
         figures: &[
-            spec(
+            figure_spec(
                 "lease-messages",
                 Unit::Messages,
                 "Datagrams of all members together in a lease of 1.5 s of one duty that all stand for, 5 of them voters.",
             ),
-            spec("lease-bytes", Unit::Bytes, "The bytes of these datagrams."),
-            spec("lease-renewed", Unit::Micros, "Processor time of all members together in one lease."),
+            figure_spec("lease-bytes", Unit::Bytes, "The bytes of these datagrams."),
+            figure_spec(
+                "lease-renewed",
+                Unit::Micros,
+                "Processor time of all members together in one lease.",
+            ),
         ],
     },
     Group {
-        driver: SERVERS,
-        sizes: KNOWN,
-        small: KNOWN_SMALL,
-        program: true,
+        driver: KNOWN_SERVERS,
+        sizes: SERVER_SIZES,
+        small_sizes: SERVER_SIZES_SMALL,
+        runs_sidecar: true,
         measure: program::by_servers,
         figures: &[
-            spec(
+            figure_spec(
                 "memory-idle",
                 Unit::Bytes,
                 "Resident memory of the program, its list followed and nothing asked of it.",
             ),
-            spec("cpu-idle", Unit::PartOfCore, "Processor time of the program while nothing is asked of it."),
-            spec(
+            figure_spec(
+                "cpu-idle",
+                Unit::PartOfCore,
+                "Processor time of the program while nothing is asked of it.",
+            ),
+            figure_spec(
                 "reload",
                 Unit::Micros,
                 "A SIGHUP with the same configuration, in which the whole list stands.",
             ),
-            spec(
+            figure_spec(
                 "memory-in-service",
                 Unit::Bytes,
                 "Resident memory of the program after seconds of 223 calls a second.",
             ),
-            spec("cpu-in-service", Unit::PartOfCore, "Processor time of the program at 223 calls a second."),
+            figure_spec(
+                "cpu-in-service",
+                Unit::PartOfCore,
+                "Processor time of the program at 223 calls a second.",
+            ),
         ],
     },
     Group {
         driver: "calls-a-second",
         sizes: &[50, 100, 223, 446],
-        small: &[20, 40, 60, 80],
-        program: true,
+        small_sizes: &[20, 40, 60, 80],
+        runs_sidecar: true,
         measure: program::by_calls_few,
         figures: &[
-            spec(
+            figure_spec(
                 "memory-by-calls-60",
                 Unit::Bytes,
                 "Resident memory of the program in service, 60 servers known.",
             ),
-            spec(
+            figure_spec(
                 "cpu-by-calls-60",
                 Unit::PartOfCore,
                 "Processor time of the program in service, 60 servers known.",
@@ -361,16 +373,16 @@
     Group {
         driver: "calls-a-second",
         sizes: &[50, 100, 223, 446],
-        small: &[20, 40, 60, 80],
-        program: true,
+        small_sizes: &[20, 40, 60, 80],
+        runs_sidecar: true,
         measure: program::by_calls_many,
         figures: &[
-            spec(
+            figure_spec(
                 "memory-by-calls-3100",
                 Unit::Bytes,
                 "Resident memory of the program in service, 3,100 servers known.",
             ),
-            spec(
+            figure_spec(
                 "cpu-by-calls-3100",
                 Unit::PartOfCore,
                 "Processor time of the program in service, 3,100 servers known.",
@@ -380,15 +392,15 @@
 ];
 
 /// The groups that hold a figure that is wanted.
-fn wanted_groups(only: &[String]) -> Result<Vec<&'static Group>> {
+fn selected_groups(only: &[String]) -> Result<Vec<&'static Group>> {
     let all: Vec<&str> = GROUPS.iter().flat_map(|group| group.figures.iter().map(|spec| spec.name)).collect();
     if let Some(unknown) = only.iter().find(|name| !all.contains(&name.as_str())) {
         bail!("--only: '{unknown}' is no figure; right would be one of {}", all.join(", "));
     }
-    let wants = |group: &&Group| {
+    let selected = |group: &&Group| {
         only.is_empty() || group.figures.iter().any(|spec| only.iter().any(|name| name == spec.name))
     };
-    Ok(GROUPS.iter().filter(wants).collect())
+    Ok(GROUPS.iter().filter(selected).collect())
 }
 
 /// The commit of the folder that it is called in, as git abbreviates it.
@@ -399,19 +411,26 @@
 }
 
 /// Measures what is wanted and writes the result.
-pub fn run(wanted: Wanted) -> Result<ExitCode> {
-    let groups = wanted_groups(&wanted.only)?;
-    let rounds = wanted.rounds as usize;
-    let program = match groups.iter().any(|group| group.program) {
-        true => crate::runs::programs("dunlincleat-sidecar", "--program", wanted.program.as_deref())?.1,
+pub fn run(options: Options) -> Result<ExitCode> {
+    let groups = selected_groups(&options.only)?;
+    let rounds = options.rounds as usize;
+    let program = match groups.iter().any(|group| group.runs_sidecar) {
+        true => crate::runs::programs("dunlincleat-sidecar", "--program", options.program.as_deref())?.1,
         false => PathBuf::new(),
     };
-    let (effort, many) = if wanted.small { (1000.0, 96) } else { (50_000.0, 3100) };
+    let (cpu_budget_us, default_servers) = if options.small { (1000.0, 96) } else { (50_000.0, 3100) };
     let lab = std::env::current_exe()?;
-    let mut context =
-        Context { lab, program, small: wanted.small, effort, many, seed: 0, served: Cell::new(1.0) };
-    control::proved(many)?;
-    let sizes = |group: &Group| if wanted.small { group.small } else { group.sizes };
+    let mut context = Context {
+        lab,
+        program,
+        small: options.small,
+        cpu_budget_us,
+        default_servers,
+        seed: 0,
+        min_served: Cell::new(1.0),
+    };
+    control::check_list_round_trip(default_servers)?;
+    let sizes = |group: &Group| if options.small { group.small_sizes } else { group.sizes };
     let mut values: Vec<Vec<Vec<Vec<f64>>>> = groups
         .iter()
         .map(|group| vec![vec![Vec::with_capacity(rounds); sizes(group).len()]; group.figures.len()])
@@ -420,7 +439,7 @@
     for round in 0..rounds {
         context.seed = 7 + round as u64;
         for ((group, values), served) in groups.iter().zip(&mut values).zip(&mut served) {
-            context.served.set(*served);
+            context.min_served.set(*served);
             eprintln!("round {}: {} by {}", round + 1, group.figures[0].name, group.driver);
             for (at, size) in sizes(group).iter().enumerate() {
                 let measured = (group.measure)(&context, *size)
@@ -437,19 +456,19 @@
                     figure[at].push(value);
                 }
             }
-            *served = context.served.get();
+            *served = context.min_served.get();
         }
     }
     let mut figures = Vec::new();
     for ((group, values), served) in groups.iter().zip(values).zip(served) {
         for (spec, values) in group.figures.iter().zip(values) {
-            if !wanted.only.is_empty() && !wanted.only.iter().any(|name| name == spec.name) {
+            if !options.only.is_empty() && !options.only.iter().any(|name| name == spec.name) {
                 continue;
             }
             let point = |(size, values): (&usize, Vec<f64>)| Point { at: *size as f64, values };
             let points: Vec<Point> = sizes(group).iter().zip(values).map(point).collect();
-            let mut figure = figure(group, spec, points);
-            if group.program {
+            let mut figure = fitted_figure(group, spec, points);
+            if group.runs_sidecar {
                 let part =
                     format!(" Of the requests {:.1}% or more were served in each play.", served * 100.0);
                 figure.what += &part;
@@ -458,7 +477,7 @@
         }
     }
     for figure in &figures {
-        crate::say(&told(figure));
+        crate::say(&summary_line(figure));
     }
     // Where a machine keeps its files is nothing that a result should tell.
     let name = |told: String| match PathBuf::from(&told).is_absolute() {
@@ -477,17 +496,17 @@
         figures,
     };
     let text = serde_json::to_string_pretty(&slopes)? + "\n";
-    std::fs::write(&wanted.out, text).with_context(|| wanted.out.display().to_string())?;
+    std::fs::write(&options.out, text).with_context(|| options.out.display().to_string())?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn figure(group: &Group, spec: &Spec, points: Vec<Point>) -> Figure {
+fn fitted_figure(group: &Group, spec: &FigureSpec, points: Vec<Point>) -> Figure {
     let fit = fit::fit(&points, 1);
     Figure {
         name: spec.name.to_owned(),
         driver: group.driver.to_owned(),
         unit: spec.unit,
-        what: spec.what.to_owned(),
+        what: spec.description.to_owned(),
         points,
         form: fit.form,
         intercept: fit.intercept,
@@ -499,7 +518,7 @@
 }
 
 /// A figure as one line for persons.
-fn told(figure: &Figure) -> String {
+fn summary_line(figure: &Figure) -> String {
     let form = match figure.form {
         Form::Constant => "constant",
         Form::Linear => "linear",
@@ -507,23 +526,23 @@
         Form::Quadratic => "quadratic",
         Form::NotClear => "not clear",
     };
-    let point = |point: &Point| format!("{}: {}", point.at, short(fit::median(&point.values)));
+    let point = |point: &Point| format!("{}: {}", point.at, four_digits(fit::median(&point.values)));
     let points: Vec<String> = figure.points.iter().map(point).collect();
     format!(
         "{} by {}: {}; {form}, {} + {} n (95% from {} to {}), residual {:.0}%",
         figure.name,
         figure.driver,
         points.join(", "),
-        short(figure.intercept),
-        short(figure.slope),
-        short(figure.slope_low),
-        short(figure.slope_high),
+        four_digits(figure.intercept),
+        four_digits(figure.slope),
+        four_digits(figure.slope_low),
+        four_digits(figure.slope_high),
         figure.residual * 100.0
     )
 }
 
 /// A number in four digits.
-fn short(value: f64) -> String {
+fn four_digits(value: f64) -> String {
     let digits = if value == 0.0 { 0 } else { (3 - value.abs().log10().floor() as i32).clamp(0, 9) };
     format!("{value:.*}", digits as usize)
 }
--- a/crates/lab/tests/slopes.rs
+++ b/crates/lab/tests/slopes.rs
@@ -16,17 +16,17 @@
 const SIZES: [f64; 5] = [6.0, 60.0, 200.0, 1000.0, 3100.0];
 
 /// Three rounds of a form, each value off by up to this part of it.
-fn planted(f: impl Fn(f64) -> f64, noise: f64, seed: u64) -> Vec<Point> {
+fn generated_points(f: impl Fn(f64) -> f64, noise: f64, seed: u64) -> Vec<Point> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut off = || 1.0 + noise * rng.random_range(-1.0..1.0);
     SIZES.map(|at| Point { at, values: (0..3).map(|_| f(at) * off()).collect() }).to_vec()
 }
 
-type Planted = (Form, fn(f64) -> f64);
+type GeneratedForm = (Form, fn(f64) -> f64);
 
 #[test]
-fn planted_forms_are_named_through_noise() {
-    let forms: [Planted; 6] = [
+fn known_forms_are_identified_despite_noise() {
+    let forms: [GeneratedForm; 6] = [
         (Form::Constant, |_| 42.0),
         (Form::Linear, |n| 0.1 * n),
         (Form::Linear, |n| 5e6 + 6000.0 * n),
@@ -36,43 +36,47 @@
     ];
     for (form, f) in forms {
         for seed in 0..50 {
-            let found = fit::fit(&planted(f, 0.02, seed), 1);
+            let found = fit::fit(&generated_points(f, 0.02, seed), 1);
             assert_eq!(found.form, form, "at 3100: {}, seed {seed}: {found:?}", f(3100.0));
         }
     }
 }
 
 #[test]
-fn a_line_is_found_with_its_interval_and_without_residual_where_there_is_none() {
-    let exact = fit::fit(&planted(|n| 7.0 + 0.25 * n, 0.0, 1), 1);
+fn line_has_its_interval_and_no_residual_on_exact_points() {
+    let exact = fit::fit(&generated_points(|n| 7.0 + 0.25 * n, 0.0, 1), 1);
     assert!((exact.intercept - 7.0).abs() < 1e-6 && (exact.slope - 0.25).abs() < 1e-9, "{exact:?}");
     assert!(exact.residual < 1e-9 && exact.slope_low == exact.slope_high, "{exact:?}");
     for seed in 0..50 {
-        let found = fit::fit(&planted(|n| 7.0 + 0.25 * n, 0.05, seed), 1);
+        let found = fit::fit(&generated_points(|n| 7.0 + 0.25 * n, 0.05, seed), 1);
         assert!(found.slope_low <= found.slope && found.slope <= found.slope_high, "{found:?}");
         assert!((0.23..0.27).contains(&found.slope) && found.residual < 0.1, "{found:?}");
-        assert_eq!(found, fit::fit(&planted(|n| 7.0 + 0.25 * n, 0.05, seed), 1), "the same each time");
+        assert_eq!(
+            found,
+            fit::fit(&generated_points(|n| 7.0 + 0.25 * n, 0.05, seed), 1),
+            "the same each time"
+        );
     }
 }
 
 /// Guards the page from forms that nothing bears out.
 #[test]
-fn noise_and_too_few_sizes_are_not_clear() {
+fn noise_and_too_few_sizes_give_no_clear_form() {
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut any = || f64::exp(rng.random_range(-2.0..2.0));
         let noise = SIZES.map(|at| Point { at, values: vec![any(), any(), any()] }).to_vec();
         assert_eq!(fit::fit(&noise, 1).form, Form::NotClear, "seed {seed}: {noise:?}");
     }
-    let few = planted(|n| n, 0.0, 1);
+    let few = generated_points(|n| n, 0.0, 1);
     assert_eq!(fit::fit(&few[..3], 1).form, Form::NotClear, "three sizes bear more than one form");
     // Between two forms: neither is named.
-    let between = fit::fit(&planted(|n| n.powf(1.07), 0.0, 1), 1);
+    let between = fit::fit(&generated_points(|n| n.powf(1.07), 0.0, 1), 1);
     assert_eq!(between.form, Form::NotClear, "{between:?}");
-    let falls = fit::fit(&planted(|n| 1000.0 / n, 0.0, 1), 1);
+    let falls = fit::fit(&generated_points(|n| 1000.0 / n, 0.0, 1), 1);
     assert_eq!(falls.form, Form::NotClear, "{falls:?}");
     assert_eq!(fit::fit(&[], 1).form, Form::NotClear, "nothing was measured");
-    let zeros = fit::fit(&planted(|_| 0.0, 0.0, 1), 1);
+    let zeros = fit::fit(&generated_points(|_| 0.0, 0.0, 1), 1);
     assert_eq!((zeros.form, zeros.slope), (Form::Constant, 0.0), "{zeros:?}");
 }
 
@@ -81,14 +85,14 @@
 }
 
 /// A short run of these figures, read as the page's writer reads it.
-fn measured(figures: &[&str]) -> Slopes {
+fn run_short(figures: &[&str]) -> Slopes {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("slopes.json");
     let mut arguments = vec!["slopes", "--small", "--rounds", "1", "--out", path.to_str().unwrap()];
     figures.iter().for_each(|name| arguments.extend(["--only", name]));
     let out = lab(&arguments);
-    let said = String::from_utf8_lossy(&out.stderr);
-    assert_eq!(out.status.code(), Some(0), "{said}");
+    let stderr = String::from_utf8_lossy(&out.stderr);
+    assert_eq!(out.status.code(), Some(0), "{stderr}");
     let read: Slopes = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
     assert_eq!((read.v, read.kind.as_str(), read.rounds), (VERSION, KIND, 1));
     assert!(
@@ -113,8 +117,8 @@
 /// What is counted is the same each time: lists grow by the server, changes do not, and a broken watch brings the whole
 /// list.
 #[test]
-fn counts_grow_as_they_must() {
-    let read = measured(&["change-bytes", "whole-list-bytes", "reconnect-bytes", "reconnect-messages"]);
+fn counted_figures_grow_with_their_drivers() {
+    let read = run_short(&["change-bytes", "whole-list-bytes", "reconnect-bytes", "reconnect-messages"]);
     let [change, list, reconnect, messages] = &read.figures[..] else { panic!("four figures") };
     assert_eq!((change.form, change.unit), (Form::Constant, Unit::Bytes));
     assert_eq!((list.form, list.driver.as_str()), (Form::Linear, "known-servers"));
@@ -132,7 +136,7 @@
 /// Voters have those that ask spread their asking, so what a duty costs grows slower than its members.
 #[test]
 fn probes_and_leases_are_counted() {
-    let read = measured(&["probe-round", "probe-round-busy", "lease-messages", "lease-bytes"]);
+    let read = run_short(&["probe-round", "probe-round-busy", "lease-messages", "lease-bytes"]);
     for figure in &read.figures {
         assert!(values(figure).iter().all(|value| *value > 0.0), "{figure:?}");
     }
@@ -147,7 +151,7 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_dunlincleat-lab")).with_file_name("dunlincleat-sidecar");
     let build = ["build", "--locked", "-p", "dunlincleat-sidecar"];
     assert!(Command::new(env!("CARGO")).args(build).status().unwrap().success() && program.is_file());
-    let read = measured(&[]);
+    let read = run_short(&[]);
     let figure = |name: &str| {
         read.figures.iter().find(|figure| figure.name == name).unwrap_or_else(|| panic!("{name}"))
     };
@@ -171,19 +175,19 @@
 }
 
 #[test]
-fn an_unknown_figure_is_told_with_those_that_are_known() {
+fn unknown_figure_is_rejected_with_the_known_names() {
     let out = lab(&["slopes", "--only", "memory", "--out", "/nonexistent/slopes.json"]);
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert_eq!(out.status.code(), Some(2), "{said}");
+    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert_eq!(out.status.code(), Some(2), "{stderr}");
     assert!(
-        said.contains("--only: 'memory' is no figure; right would be one of decision, window-step"),
-        "{said}"
+        stderr.contains("--only: 'memory' is no figure; right would be one of decision, window-step"),
+        "{stderr}"
     );
     let out =
         lab(&["slopes", "--only", "memory-idle", "--program", "/nonexistent/sidecar", "--out", "x.json"]);
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
-        out.status.code() == Some(2) && said.contains("--program: /nonexistent/sidecar is no program"),
-        "{said}"
+        out.status.code() == Some(2) && stderr.contains("--program: /nonexistent/sidecar is no program"),
+        "{stderr}"
     );
 }
