--- a/crates/lab/src/slopes/control.rs
+++ b/crates/lab/src/slopes/control.rs
@@ -1,5 +1,5 @@
-//! What the parts of a sidecar cost without its sockets: the follower of discovery, the settings, the engine and the
-//! decision module, called as the sidecar's actors call them. Processor time is this thread's.
+//! Cost of a sidecar's state machines without its sockets: the follower of discovery, the settings, the engine and the
+//! decision module, called the way the sidecar's actors call them. Processor time is that of the calling thread.
 
 use super::list::{
     SERVERS_PER_SERVICE, change, entry, instance_settings, line, listing, rule_set, rules_file, settings_json,
@@ -18,20 +18,21 @@
 use std::hint::black_box;
 use std::sync::Arc;
 
-/// When it begins: far from 0, which means long ago.
+/// Simulated start time; 0 would mean "long ago" to the state machines.
 const START: Time = Time(1_800_000_000_000_000);
-/// A sidecar's calls a second in the plan, 690,000 over 3,100.
+/// Calls per second of one sidecar in the plan: 690,000 over 3,100 endpoints.
 pub const CALLS_PER_S: f64 = 223.0;
-/// Requests that are timed behind one step of a window, and the time between them: all within the patience of a
-/// request, a fiftieth of its aim, or the module would close the window before the next of them.
+/// Requests that are timed after one step of a window.
 const BURST_REQUESTS: u64 = 25;
+/// Time between the requests of a burst. A whole burst has to fit into a fiftieth of a request's aim, or the decision
+/// module would close the window between two of them.
 const BURST_GAP: Span = Span(200);
-/// A window: a quarter of the tightest aim.
+/// Length of a window: a quarter of the tightest aim.
 const WINDOW: Span = Span(75_000);
-/// Classes of the plan's settings.
+/// Number of classes in the plan's settings.
 const CLASSES: usize = 1;
 
-/// A sidecar's control path without sockets.
+/// The state machines of one sidecar, driven without sockets.
 struct Sidecar {
     follower: Follower,
     engine: Engine<u64, u64>,
@@ -42,12 +43,12 @@
     engine_outputs: Vec<Output<u64, u64>>,
     rules: Vec<Arc<Rule>>,
     id: u64,
-    /// The load that a server reports.
+    /// Load that a server reports, by server number.
     load: fn(u32) -> f64,
 }
 
 impl Sidecar {
-    /// One that knows so many servers, calls so many services by pools of their own, and follows a watch.
+    /// Starts a sidecar that knows `servers` servers, has one pool for each of `services` services, and follows a watch.
     fn start(settings: &InstanceSettings, seed: u64, servers: usize, services: usize) -> Result<Sidecar> {
         let timing = Timing::derive(Span(2_000_000), Span(6_000_000), Span(1_000_000));
         let at = ([127, 0, 0, 1], 8500).into();
@@ -92,7 +93,8 @@
         black_box(&self.engine_outputs);
     }
 
-    /// Remembers the watch that was opened last, and hands on what was delivered.
+    /// Applies the follower's outputs: records the watch opened last, passes deliveries to the engine, and returns the calls
+    /// to make to discovery.
     fn apply_outputs(&mut self) -> Vec<(WatchId, CallKind)> {
         let mut calls = Vec::new();
         for output in std::mem::take(&mut self.follower_outputs) {
@@ -103,7 +105,7 @@
                 }
                 FollowerOutput::Deliver(delivery) => {
                     self.engine_input(Input::ServerList(delivery));
-                    // The shell counts them for its figures after each list.
+                    // The sidecar counts the listed servers for its metrics after each list.
                     black_box(self.engine.listed_servers());
                 }
                 FollowerOutput::Close(_)
@@ -115,7 +117,7 @@
         calls
     }
 
-    /// Tells the follower, and looks at its health as the shell does after each word.
+    /// Passes an input to the follower and reads its health, as the sidecar does after each input.
     fn follower_input(&mut self, input: FollowerInput) -> Vec<(WatchId, CallKind)> {
         self.follower.input(self.now, input, &mut self.follower_outputs);
         let calls = self.apply_outputs();
@@ -123,10 +125,10 @@
         calls
     }
 
-    /// Bytes of the watch come.
+    /// Receives bytes of the watch.
     fn receive(&mut self, bytes: &[u8]) -> Result<Vec<(WatchId, CallKind)>> {
         let mut calls = Vec::new();
-        let Ok(lines) = self.lines.take(bytes) else { bail!("a line is too long") };
+        let Ok(lines) = self.lines.take(bytes) else { bail!("a line of the watch exceeds the length limit") };
         for line in lines {
             let listing = if line.is_empty() { None } else { Some(Listing::decode(&line)?) };
             let watch = self.watch;
@@ -135,8 +137,8 @@
         Ok(calls)
     }
 
-    /// One request, answered at once after 5 ms of its own clock; the probes that went out with it, which are
-    /// answered first.
+    /// Sends one request, which is answered immediately with a reported latency of 5 ms. Returns the number of probes sent
+    /// with it; these are answered first.
     fn request(&mut self) -> u64 {
         self.id += 1;
         let id = RequestId(self.id);
@@ -185,7 +187,7 @@
         probes
     }
 
-    /// Requests at the plan's rate, with the timers that are due between them.
+    /// Sends requests at the plan's rate and runs the timers that come due between them.
     fn serve(&mut self, requests: usize) {
         for _ in 0..requests {
             let next = self.now + Span((1e6 / CALLS_PER_S) as u64);
@@ -204,17 +206,17 @@
         black_box(&self.engine_outputs);
     }
 
-    /// Served until each server that is called has been asked a few times: the first requests know no loads.
+    /// Serves requests until each called server has been tried a few times: the first decisions know no loads.
     fn warm_up(&mut self, servers: usize) {
         let called = if self.rules.is_empty() { servers } else { self.rules.len() * SERVERS_PER_SERVICE };
         self.serve((2 * called).max(500));
     }
 }
 
-/// A value is measured in so many parts, of which the least counts: what disturbs a machine only ever adds.
+/// Number of times a value is measured; the smallest counts, as disturbances on the machine only add time.
 const REPEATS: usize = 5;
 
-/// The least of several parts, value by value.
+/// Measures [`REPEATS`] times and takes the minimum of each value.
 fn least_of_repeats(mut part: impl FnMut() -> Result<Vec<f64>>) -> Result<Vec<f64>> {
     let mut least = part()?;
     for _ in 1..REPEATS {
@@ -225,8 +227,8 @@
     Ok(least)
 }
 
-/// A sidecar in service: a decision, the steps of one window over all its modules, and a request at the plan's rate with
-/// the steps that are brought forward for it.
+/// Cost of a decision, of one window's steps over all modules, and of a request at the plan's rate together with the
+/// window steps that it triggers.
 fn request_costs(context: &Context, servers: usize, services: usize) -> Result<Vec<f64>> {
     let mut sidecar = Sidecar::start(&instance_settings(CLASSES, false)?, context.seed, servers, services)?;
     sidecar.warm_up(servers);
@@ -234,16 +236,16 @@
     least_of_repeats(|| {
         let (mut decisions, mut steps, mut rounds) = (0.0_f64, 0.0_f64, 0u64);
         let (started, all) = (sidecar.now, 4 * services.max(1) as u64);
-        // Bounded where one of the two is hardly anything beside the other.
+        // The second bound ends the loop where one of the two costs is negligible beside the other.
         while rounds < all || decisions.min(steps) < cpu_budget_us && decisions + steps < 4.0 * cpu_budget_us
         {
-            let Some(due) = sidecar.engine.due() else { bail!("no window is due") };
+            let Some(due) = sidecar.engine.due() else { bail!("the engine has no window due") };
             sidecar.now = sidecar.now.max(due);
             let first = thread_cpu_us();
             sidecar.wake();
             steps += thread_cpu_us() - first;
             rounds += 1;
-            // One that finds its window old has it closed; that is a step, and not counted to the decisions.
+            // A request that finds its window expired closes it. That is a step, so it is not timed as a decision.
             for _ in 0..services.max(1) {
                 sidecar.request();
             }
@@ -265,22 +267,22 @@
     })
 }
 
-/// All servers in one module.
+/// Request costs with all servers in one module.
 pub fn request(context: &Context, servers: usize) -> Result<Vec<f64>> {
     request_costs(context, servers, 0)
 }
 
-/// Requests to one pool of six servers.
+/// Request costs in one pool of six servers.
 pub fn request_in_pool(context: &Context, servers: usize) -> Result<Vec<f64>> {
     request_costs(context, servers, 1)
 }
 
-/// Requests to so many pools of six servers in turn, of all servers that are known.
+/// Request costs over `services` pools of six servers in turn, with the default number of servers known.
 pub fn request_by_services(context: &Context, services: usize) -> Result<Vec<f64>> {
     request_costs(context, context.default_servers, services)
 }
 
-/// Bytes that a sidecar's state holds: the follower, the engine and its modules.
+/// Bytes allocated for a sidecar's state: the follower, the engine and its modules.
 fn state_bytes(context: &Context, servers: usize, services: usize) -> Result<f64> {
     let settings = instance_settings(CLASSES, false)?;
     let before = allocated();
@@ -291,17 +293,17 @@
     Ok(held as f64)
 }
 
-/// State by servers.
+/// State size by known servers.
 pub fn state(context: &Context, servers: usize) -> Result<Vec<f64>> {
     Ok(vec![state_bytes(context, servers, 0)?])
 }
 
-/// State by services.
+/// State size by called services.
 pub fn state_by_services(context: &Context, services: usize) -> Result<Vec<f64>> {
     Ok(vec![state_bytes(context, context.default_servers, services)?])
 }
 
-/// A thing is done again and again until it has taken the processor time that is to be measured; its time for one.
+/// Repeats an operation until the processor time budget is spent, and returns the time of one iteration.
 fn cpu_per_iteration(context: &Context, mut once: impl FnMut(u64) -> Result<()>) -> Result<f64> {
     once(0)?;
     let mut n = 0;
@@ -316,10 +318,11 @@
     Ok(each[0])
 }
 
-/// A change of one server, and the whole list, as lines of a watch: taken in by the follower and handed to the engine.
+/// Cost and size of one server's change and of the whole list, each received as a line of a watch, applied by the follower
+/// and passed to the engine.
 pub fn list_updates(context: &Context, servers: usize) -> Result<Vec<f64>> {
     let mut sidecar = Sidecar::start(&instance_settings(CLASSES, false)?, context.seed, servers, 0)?;
-    // Told beforehand: what discovery spends on its words is not the sidecar's.
+    // Encoded in advance: discovery's cost of writing the lines is not the sidecar's.
     let changes: Vec<String> = (0..2 * servers.min(200) as u64)
         .map(|n| {
             let state = if n.is_multiple_of(2) { State::Draining } else { State::Ready };
@@ -339,7 +342,7 @@
     Ok(vec![applied, changes[0].len() as f64, whole_applied, whole.len() as f64])
 }
 
-/// What a second with so many changes takes, of a sidecar that knows all servers, and the bytes that come.
+/// Processor time and bytes of a second with `changes_per_s` changes, with the default number of servers known.
 pub fn changes(context: &Context, changes_per_s: usize) -> Result<Vec<f64>> {
     let mut sidecar =
         Sidecar::start(&instance_settings(CLASSES, false)?, context.seed, context.default_servers, 0)?;
@@ -367,7 +370,8 @@
     })
 }
 
-/// A watch breaks and is opened anew, at a discovery where nothing changed: what the follower asks for until it rests.
+/// Bytes, messages and processor time of a reconnect after a broken watch, where nothing changed meanwhile, until the
+/// follower makes no further calls.
 pub fn reconnect(context: &Context, servers: usize) -> Result<Vec<f64>> {
     let mut sidecar = Sidecar::start(&instance_settings(CLASSES, false)?, context.seed, servers, 0)?;
     let whole = line(&listing(servers, 1));
@@ -379,12 +383,12 @@
         let broken = sidecar.watch;
         let mut calls =
             sidecar.follower_input(FollowerInput::Ended(broken, Cause::Broke("reset".to_owned())));
-        // Until the bound of a word is over nothing more comes of a break.
+        // Past the staleness bound a broken watch causes no further calls.
         let end = sidecar.now + Span(8_000_000);
         let mut last_heartbeat = sidecar.now;
         while sidecar.now < end {
             for (watch, kind) in std::mem::take(&mut calls) {
-                // The call and its answer.
+                // The call and its response.
                 messages += 2;
                 let after = br#"{"rev":1,"all":false,"targets":[]}"#;
                 match kind {
@@ -400,12 +404,12 @@
                         let listing = Listing { whole: true, ..Listing::decode(whole.as_bytes())? };
                         calls.extend(sidecar.follower_input(FollowerInput::Line(watch, Some(listing))));
                         if kind == CallKind::FullList {
-                            bail!("the whole list was asked for before a watch");
+                            bail!("the follower requested the whole list before reopening its watch");
                         }
                     }
                 }
             }
-            // Its signs of life, which come with or without a break and are not counted to it.
+            // Heartbeats arrive with or without a reconnect, so their bytes are not counted.
             let heartbeat_due = last_heartbeat + Span(2_000_000);
             sidecar.now = sidecar
                 .follower
@@ -428,8 +432,8 @@
     Ok(vec![bytes as f64 / each, f64::from(messages) / each, cheapest])
 }
 
-/// New settings and the operator's file, read, proved and handed to the engine, as on SIGHUP but for the file around
-/// them.
+/// Cost of new settings and an operator's file: parsed, validated and passed to the engine, as on SIGHUP but without the
+/// surrounding configuration file.
 fn settings_cost(context: &Context, servers: usize, services: usize, classes: usize) -> Result<f64> {
     let first = instance_settings(classes, false)?;
     let mut sidecar = Sidecar::start(&first, context.seed, servers, services)?;
@@ -439,7 +443,7 @@
     let mut numbering = ClassNumbering::default();
     cpu_per_iteration(context, |n| {
         sidecar.now = sidecar.now + Span(1_000_000);
-        // Another figure each time: nothing may be spared for being alike.
+        // A different value each time, so that no work is skipped for unchanged settings.
         let settings = settings.replace("\"cold\":1000000", &format!("\"cold\":{}", 1_000_000 + n));
         current = Arc::new(numbering.apply(sidecar.now, &current, read(&settings)?).instance);
         let rules = check(&file, &current).rules;
@@ -451,22 +455,22 @@
     })
 }
 
-/// Settings by servers.
+/// Settings cost by known servers.
 pub fn settings_by_servers(context: &Context, servers: usize) -> Result<Vec<f64>> {
     Ok(vec![settings_cost(context, servers, 0, CLASSES)?])
 }
 
-/// Settings by classes.
+/// Settings cost by classes.
 pub fn settings_by_classes(context: &Context, classes: usize) -> Result<Vec<f64>> {
     Ok(vec![settings_cost(context, 60.min(context.default_servers), 0, classes)?])
 }
 
-/// Settings by services, each with a pool.
+/// Settings cost by called services, each with a pool.
 pub fn settings_by_services(context: &Context, services: usize) -> Result<Vec<f64>> {
     Ok(vec![settings_cost(context, context.default_servers, services, CLASSES)?])
 }
 
-/// Probes of one round, where probes cost nothing, with each second server busy and with all of them.
+/// Probes sent in one round where probes are free, with every second server busy and with all servers busy.
 pub fn probes(context: &Context, servers: usize) -> Result<Vec<f64>> {
     let round = |load: fn(u32) -> f64| -> Result<f64> {
         let mut sidecar = Sidecar::start(&instance_settings(CLASSES, true)?, context.seed, servers, 0)?;
@@ -475,7 +479,7 @@
         for n in 0..400 {
             sidecar.now = sidecar.now + Span(10_000);
             let sent = sidecar.request();
-            // What part of the servers is busy is learnt by probes.
+            // The first requests are left out: the sidecar first learns from probes which servers are busy.
             if n >= 200 && sent > 0 {
                 (probes, rounds) = (probes + sent, rounds + 1);
             }
@@ -485,11 +489,11 @@
     Ok(vec![round(|server| f64::from(server % 2))?, round(|_| 2.0)?])
 }
 
-/// A look at what is measured here: a list is read as it was told.
+/// Checks the test data: a generated list decodes to the servers that it was encoded from.
 pub fn check_list_round_trip(servers: usize) -> Result<()> {
     let read = Listing::decode(line(&listing(servers, 1)).trim_end().as_bytes())?;
     if read.entries.len() != servers || read.entries.first() != Some(&entry(0)) {
-        bail!("a list of {servers} servers is not read as it was told");
+        bail!("a generated list of {servers} servers does not decode to the same entries");
     }
     Ok(())
 }
--- a/crates/lab/src/slopes/duty.rs
+++ b/crates/lab/src/slopes/duty.rs
@@ -1,4 +1,4 @@
-//! One duty and its members, over a network that loses nothing: what a lease costs all of them together.
+//! Cost of one duty's lease to all members together, over a simulated network without loss.
 
 use super::{Context, thread_cpu_us};
 use anyhow::{Result, bail};
@@ -6,24 +6,25 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The default lease, and by how many millionths clocks may run off.
+/// Length of a lease, in microseconds: the default.
 const LEASE_US: u64 = 1_500_000;
+/// Tolerated clock drift, in parts per million: the default.
 const DRIFT_PPM: u64 = 10_000;
-/// A datagram's way.
+/// One-way delay of a datagram, in microseconds.
 const NETWORK_DELAY_US: u64 = 500;
 const FLEET: &str = "fleet";
 
-/// What is to happen to a member, in order of time and then of saying.
+/// A scheduled event at a member, ordered by time and then by insertion.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Event {
     at: u64,
     sequence: u64,
     to: usize,
-    /// Who said it, and its bytes; nothing where the member is to be woken.
+    /// Sender and bytes of a datagram; `None` for a timer.
     datagram: Option<(usize, Vec<u8>)>,
 }
 
-/// What was said.
+/// Datagrams sent and their bytes.
 #[derive(Clone, Copy, Default)]
 struct Traffic {
     messages: u64,
@@ -33,7 +34,7 @@
 struct Fleet {
     members: Vec<Member>,
     names: Vec<String>,
-    /// The next waking that is set for each.
+    /// Earliest scheduled timer of each member, in microseconds; `u64::MAX` for none.
     wake_times: Vec<u64>,
     events: BinaryHeap<Reverse<Event>>,
     sequence: u64,
@@ -68,7 +69,7 @@
         self.events.push(Reverse(Event { at, sequence: self.sequence, to, datagram }));
     }
 
-    /// Has a member woken when it wants to be.
+    /// Schedules a member's next timer, unless an earlier one is scheduled already.
     fn schedule_wake(&mut self, n: usize) {
         let wake_at = self.members[n].wake_at().0;
         if wake_at < self.wake_times[n] {
@@ -87,7 +88,7 @@
                 }
                 Some((from, bytes)) => {
                     let Some(read) = Datagram::decode(&bytes, FLEET) else {
-                        bail!("a datagram can't be read")
+                        bail!("member {to} received a datagram that does not decode")
                     };
                     let Datagram { from: name, incarnation, in_reply_to, message, .. } = read;
                     (Some(from), Input::Received { from: name, incarnation, in_reply_to, message })
@@ -114,10 +115,10 @@
     }
 }
 
-/// Messages, bytes and processor time of all members together in one lease, with a holder that renews.
+/// Messages, bytes and processor time of all members together during one lease, with a holder that renews it.
 pub fn lease(context: &Context, members: usize) -> Result<Vec<f64>> {
     let mut fleet = Fleet::new(members);
-    // Until those that ask have spread as voters tell them to: at the most over 32 leases.
+    // Voters spread the requests of the candidates over at most 32 leases; this is over after the warm-up.
     let (warm_up_leases, measured_leases) = (64, 64);
     fleet.run_until(warm_up_leases * LEASE_US)?;
     let (before, first) = (fleet.traffic, thread_cpu_us());
--- a/crates/lab/src/slopes/fit.rs
+++ b/crates/lab/src/slopes/fit.rs
@@ -1,43 +1,44 @@
-//! The line through a figure's points, its interval, and a test of what the figure grows like. Pure: the draws of the
-//! bootstrap are seeded, the same points give the same fit.
+//! Fits a line through a figure's points with a bootstrap interval, and tests how the figure grows. The bootstrap is
+//! seeded: the same points give the same fit.
 //!
-//! Sizes span a factor of hundreds and noise is a part of what is measured, so each point counts by its *relative*
-//! distance. A form `value = a + b f(size)` is named where its points are within [`BORNE`] of it and every other form
-//! is clearly worse; a figure within [`FLAT`] of one value is constant whatever else fits it too.
+//! Sizes span a factor of hundreds and noise is proportional to the value, so each point counts by its *relative*
+//! distance. A form `value = a + b f(size)` is named where its residual is at most [`MAX_RESIDUAL`] and every other form
+//! is clearly worse. A figure within [`MAX_CONSTANT_RESIDUAL`] of one value is constant, whatever other form fits it.
 
 use super::result::{Form, Point};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A figure whose points are this near to one value, in the mean, does not grow.
+/// Largest root mean square relative distance of the points from one value for a figure to count as constant.
 pub const MAX_CONSTANT_RESIDUAL: f64 = 0.05;
-/// A form that misses the points by more than this, in the mean, is not theirs.
+/// Largest residual of a form that is accepted.
 pub const MAX_RESIDUAL: f64 = 0.15;
-/// Another form is worse where it misses by this many times as much, and by [`MARGIN`] more.
+/// Another form is clearly worse where its residual is this many times as large, and also larger by
+/// [`MIN_RESIDUAL_DIFFERENCE`].
 pub const MIN_RESIDUAL_RATIO: f64 = 1.5;
-/// The least difference of two residuals that tells forms apart.
+/// Smallest difference of two residuals that distinguishes two forms.
 pub const MIN_RESIDUAL_DIFFERENCE: f64 = 0.01;
-/// How many times the rounds are drawn anew.
+/// Number of bootstrap resamples.
 const BOOTSTRAP_DRAWS: usize = 1000;
 
-/// What the points come to.
+/// Result of a fit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// What they grow like.
+    /// How the points grow.
     pub form: Form,
-    /// Where the line begins.
+    /// Intercept of the line.
     pub intercept: f64,
-    /// What it rises by for one more of the driver.
+    /// Slope of the line, for each unit of the driver.
     pub slope: f64,
-    /// The 95% interval of that.
+    /// Lower end of the slope's 95% interval.
     pub slope_low: f64,
-    /// Its upper end.
+    /// Upper end of the slope's 95% interval.
     pub slope_high: f64,
-    /// How far the points are from the line, each as a part of its point.
+    /// Root mean square distance of the points from the line, relative to each point.
     pub residual: f64,
 }
 
-/// A line through points.
+/// A fitted line.
 #[derive(Clone, Copy, Debug)]
 struct Line {
     intercept: f64,
@@ -45,7 +46,7 @@
     residual: f64,
 }
 
-/// The value that the rounds bear: half of them are under it.
+/// The median; 0 for no values.
 pub fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -56,21 +57,21 @@
     }
 }
 
-/// What a distance at a value is a part of: the value, or a thousandth of the largest where that is more.
+/// Divisors for relative distances: each value, or a thousandth of the largest value where that is more.
 fn scales(values: &[f64]) -> Vec<f64> {
     let most = values.iter().fold(0.0f64, |most, v| most.max(v.abs()));
-    // Where all are zero each distance is zero too, whatever it is a part of.
+    // Where all values are zero, each distance is zero whatever the divisor.
     let least = if most > 0.0 { most / 1000.0 } else { 1.0 };
     values.iter().map(|v| v.abs().max(least)).collect()
 }
 
-/// The root of the mean square of relative distances, by the points that are left after `free` figures were chosen.
+/// Root mean square of relative distances, with the degrees of freedom left after fitting `parameters` parameters.
 fn residual(distances: impl Iterator<Item = f64>, points: usize, parameters: usize) -> f64 {
     let sum: f64 = distances.map(|d| d * d).sum();
     (sum / points.saturating_sub(parameters).max(1) as f64).sqrt()
 }
 
-/// The line with the least relative distances; flat where all sizes are alike.
+/// Weighted least squares line by relative distance; its slope is 0 where all sizes are equal.
 fn line(sizes: &[f64], values: &[f64]) -> Line {
     let scales = scales(values);
     let weights: Vec<f64> = scales.iter().map(|s| 1.0 / (s * s)).collect();
@@ -86,7 +87,7 @@
     Line { intercept, slope, residual: residual(distances, values.len(), 2) }
 }
 
-/// How far the values are from the one that is nearest to all of them.
+/// Residual of the best constant for the values.
 fn constant_residual(values: &[f64]) -> f64 {
     let scales = scales(values);
     let weight = |s: &f64| 1.0 / (s * s);
@@ -95,7 +96,7 @@
     residual(values.iter().zip(&scales).map(|(v, s)| (v - mean) / s), values.len(), 1)
 }
 
-/// What the values grow like.
+/// Form of growth that the values support.
 fn growth_form(sizes: &[f64], values: &[f64]) -> Form {
     if sizes.len() < 4 {
         return Form::NotClear;
@@ -106,7 +107,7 @@
     let tried = |form: Form, f: fn(f64) -> f64| {
         let transformed: Vec<f64> = sizes.iter().map(|size| f(*size)).collect();
         let line = line(&transformed, values);
-        // What falls as the driver grows is none of these.
+        // A figure that falls as the driver grows has none of these forms.
         (form, if line.slope > 0.0 { line.residual } else { f64::INFINITY })
     };
     let mut tried = [
@@ -120,7 +121,7 @@
     if least <= MAX_RESIDUAL && distinct { best } else { Form::NotClear }
 }
 
-/// Fits the points. Rounds are drawn anew as wholes, as what disturbs a round disturbs all its sizes.
+/// Fits the points. The bootstrap resamples whole rounds, as a disturbance affects all sizes of a round.
 #[must_use]
 pub fn fit(points: &[Point], seed: u64) -> Fit {
     let sizes: Vec<f64> = points.iter().map(|point| point.at).collect();
--- a/crates/lab/src/slopes/list.rs
+++ b/crates/lab/src/slopes/list.rs
@@ -1,5 +1,5 @@
-//! The fleet as one sidecar is told of it: a list of any size in discovery's form, in services of six servers, and the
-//! settings and the operator's file that go with it.
+//! Generated inputs of one sidecar: a server list of any size in discovery's format, in services of six servers, with
+//! matching settings and operator's file.
 
 use anyhow::{Context, Result, bail};
 use dunlincleat::api::State;
@@ -8,16 +8,16 @@
 use dunlincleat_settings::{InstanceSettings, read};
 use std::fmt::Write;
 
-/// Servers of a service: the plan's endpoints over its services, 3,100 over 490.
+/// Servers of one service: the plan's 3,100 endpoints over its 490 services, rounded.
 pub const SERVERS_PER_SERVICE: usize = 6;
-/// The plan's zones.
+/// Number of zones in the plan.
 const ZONES: usize = 8;
 
-/// A server's place in the list, from 0.
+/// List entry of server number `n`, from 0.
 pub fn entry(n: usize) -> Entry {
     let [_, a, b, c] = (n as u32).to_be_bytes();
     Entry {
-        // Names of discovery's own length, in no order.
+        // As long as discovery's own names, and not sorted.
         uid: format!("s-{:08x}", (n as u32).wrapping_mul(0x9e37_79b1)),
         endpoint: Some(([10, a, b, c], 5000).into()),
         zone: format!("z{}", n % ZONES),
@@ -29,23 +29,23 @@
     }
 }
 
-/// So many servers, in whole.
+/// A full list of `servers` servers.
 pub fn listing(servers: usize, rev: u64) -> Listing {
     Listing { rev, whole: true, entries: (0..servers).map(entry).collect(), decode_errors: Vec::new() }
 }
 
-/// What changed of one server, as a line of a watch.
+/// A change of one server, encoded as a line of a watch.
 pub fn change(n: usize, state: State, rev: u64) -> String {
     let entries = vec![Entry { state, ..entry(n) }];
     line(&Listing { rev, whole: false, entries, decode_errors: Vec::new() })
 }
 
-/// A list as a line of a watch.
+/// A list, encoded as a line of a watch.
 pub fn line(listing: &Listing) -> String {
     format!("{}\n", listing.to_value())
 }
 
-/// The settings object: loads in answers, no prices, and probes where they are wanted.
+/// Settings as JSON: loads in responses, no prices, and probes where enabled.
 pub fn settings_json(classes: usize, probes: bool) -> String {
     let zones: Vec<String> = (0..ZONES).map(|n| format!("\"z{n}\"")).collect();
     let class = |n: usize| {
@@ -63,16 +63,16 @@
     )
 }
 
-/// The settings as they are read.
+/// The parsed settings.
 pub fn instance_settings(classes: usize, probes: bool) -> Result<InstanceSettings> {
     read(&settings_json(classes, probes)).context("the settings")
 }
 
-/// The operator's file: a pool and a route for each service that is called.
+/// Operator's file with a pool and a route for each called service.
 pub fn rules_file(services: usize) -> String {
     let mut text = String::from("version = 1\n");
     for n in 0..services {
-        // Writing to a text can't fail.
+        // Writing to a `String` does not fail.
         let _ = write!(
             text,
             "[[route]]\nname = \"to {n:03}\"\nmatch = {{ path = \"/class-0/{n:03}/**\" }}\npool = \"service-{n:03}\"\n\
@@ -82,7 +82,7 @@
     text
 }
 
-/// The operator's file as it is read.
+/// The parsed operator's file.
 pub fn rule_set(services: usize, settings: &InstanceSettings) -> Result<RuleSet> {
     let Checked { faults, rules } = check(&rules_file(services), settings);
     let Some(rules) = rules else {
--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab/src/slopes/mod.rs
@@ -1,6 +1,7 @@
-//! `slopes`: what a sidecar costs against one driver at a time, measured on the very crates and on the program itself.
-//! Rounds go over all sizes in turn, so that what disturbs the machine for a while disturbs no size alone. Processor
-//! time and counts, never wall time; what sidecars on one control machine cost is measured by a scale run.
+//! `slopes`: measures what a sidecar costs as one driver grows, on the sidecar's own crates and on its program.
+//! Every round covers all sizes, so that a temporary disturbance of the machine does not affect one size alone.
+//! Figures are processor time and counts, never wall time. The cost of sidecars to a control machine is measured by a
+//! scale run instead.
 
 mod control;
 mod duty;
@@ -17,62 +18,62 @@
 use std::path::PathBuf;
 use std::process::{Command, ExitCode};
 
-/// What is wanted of a run of slopes.
+/// Command-line options of `slopes`.
 #[derive(Args)]
 pub struct Options {
-    /// How often each size is measured
+    /// Number of times each size is measured
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=100))]
     rounds: u64,
-    /// Measure this figure alone; may be given again
+    /// Measure only this figure; may be repeated
     #[arg(long, value_name = "NAME")]
     only: Vec<String>,
-    /// The sidecar's program; that beside this one where it is not told
+    /// The sidecar's program [default: `dunlincleat-sidecar` in the folder of this program]
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Tiny sizes and short times, to see that it runs: no figures to rely on
+    /// Use tiny sizes and short times, as a smoke test: the figures are not reliable
     #[arg(long)]
     small: bool,
-    /// The file that the result is written to
+    /// Write the result to this file
     #[arg(long, value_name = "FILE")]
     out: PathBuf,
 }
 
-/// What a measurement is told beside its size.
+/// Parameters of a measurement other than its size.
 struct Context {
-    /// This program, which holds the stand-ins.
+    /// Path of this program, which also runs the stubs.
     lab: PathBuf,
-    /// The sidecar's.
+    /// Path of the sidecar's program.
     program: PathBuf,
     small: bool,
-    /// Processor time to be spent on a value, in microseconds.
+    /// Processor time to spend on one value, in microseconds.
     cpu_budget_us: f64,
-    /// The servers that are known where another driver is varied: the plan's.
+    /// Number of servers known where the driver is something else: the plan's number of endpoints.
     default_servers: usize,
-    /// Another one each round.
+    /// Differs in each round.
     seed: u64,
-    /// The least part of the requests that the program served in a play that counts, of the group in hand.
+    /// Smallest fraction of requests served in any accepted run of the current group.
     min_served: Cell<f64>,
 }
 
-/// Processor time of this thread in microseconds.
+/// Processor time of the calling thread, in microseconds.
 fn thread_cpu_us() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1e6 + time.tv_nsec as f64 / 1e3
 }
 
-/// A figure of a group.
+/// Name, unit and description of a measured figure.
 struct FigureSpec {
     name: &'static str,
     unit: Unit,
     description: &'static str,
 }
 
-/// Figures that are measured together, at each size of one driver.
+/// Figures that are measured together at each size of one driver.
 struct Group {
     driver: &'static str,
     sizes: &'static [usize],
     small_sizes: &'static [usize],
-    /// It runs the sidecar's program.
+    /// The measurement runs the sidecar's program.
     runs_sidecar: bool,
     measure: fn(&Context, usize) -> Result<Vec<f64>>,
     figures: &'static [FigureSpec],
@@ -391,11 +392,11 @@
     },
 ];
 
-/// The groups that hold a figure that is wanted.
+/// The groups that contain a selected figure; all groups where none is selected.
 fn selected_groups(only: &[String]) -> Result<Vec<&'static Group>> {
     let all: Vec<&str> = GROUPS.iter().flat_map(|group| group.figures.iter().map(|spec| spec.name)).collect();
     if let Some(unknown) = only.iter().find(|name| !all.contains(&name.as_str())) {
-        bail!("--only: '{unknown}' is no figure; right would be one of {}", all.join(", "));
+        bail!("--only: unknown figure '{unknown}'; expected one of {}", all.join(", "));
     }
     let selected = |group: &&Group| {
         only.is_empty() || group.figures.iter().any(|spec| only.iter().any(|name| name == spec.name))
@@ -403,14 +404,14 @@
     Ok(GROUPS.iter().filter(selected).collect())
 }
 
-/// The commit of the folder that it is called in, as git abbreviates it.
+/// Abbreviated commit checked out in the working folder; empty where git does not report one.
 fn commit() -> String {
     let out = Command::new("git").args(["rev-parse", "--short", "HEAD"]).output().ok();
     let text = out.filter(|out| out.status.success()).and_then(|out| String::from_utf8(out.stdout).ok());
     text.unwrap_or_default().trim().to_owned()
 }
 
-/// Measures what is wanted and writes the result.
+/// Measures the selected figures and writes the result file.
 pub fn run(options: Options) -> Result<ExitCode> {
     let groups = selected_groups(&options.only)?;
     let rounds = options.rounds as usize;
@@ -431,6 +432,7 @@
     };
     control::check_list_round_trip(default_servers)?;
     let sizes = |group: &Group| if options.small { group.small_sizes } else { group.sizes };
+    // Values by group, figure, size and round.
     let mut values: Vec<Vec<Vec<Vec<f64>>>> = groups
         .iter()
         .map(|group| vec![vec![Vec::with_capacity(rounds); sizes(group).len()]; group.figures.len()])
@@ -446,7 +448,7 @@
                     .with_context(|| format!("{} at {size} {}", group.figures[0].name, group.driver))?;
                 if measured.len() != group.figures.len() {
                     bail!(
-                        "{}: {} values for {} figures",
+                        "{}: measurement returned {} values for {} figures",
                         group.figures[0].name,
                         measured.len(),
                         group.figures.len()
@@ -479,7 +481,7 @@
     for figure in &figures {
         crate::say(&summary_line(figure));
     }
-    // Where a machine keeps its files is nothing that a result should tell.
+    // Paths of the local machine do not belong in a result that is published.
     let name = |told: String| match PathBuf::from(&told).is_absolute() {
         true => told.rsplit('/').next().unwrap_or_default().to_owned(),
         false => told,
@@ -500,6 +502,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// Fits the points and assembles the figure as it is written to the result file.
 fn fitted_figure(group: &Group, spec: &FigureSpec, points: Vec<Point>) -> Figure {
     let fit = fit::fit(&points, 1);
     Figure {
@@ -517,7 +520,7 @@
     }
 }
 
-/// A figure as one line for persons.
+/// One human-readable line for a figure.
 fn summary_line(figure: &Figure) -> String {
     let form = match figure.form {
         Form::Constant => "constant",
@@ -541,7 +544,7 @@
     )
 }
 
-/// A number in four digits.
+/// Formats a number with four significant digits.
 fn four_digits(value: f64) -> String {
     let digits = if value == 0.0 { 0 } else { (3 - value.abs().log10().floor() as i32).clamp(0, 9) };
     format!("{value:.*}", digits as usize)
--- a/crates/lab/src/slopes/program.rs
+++ b/crates/lab/src/slopes/program.rs
@@ -1,5 +1,5 @@
-//! What the program itself takes: one sidecar as a process, beside the trial's list and application, and servers of any
-//! number on loopback that answer at once but for 5 ms. Its processor time and memory are the machine's own count.
+//! Cost of the sidecar's program: one sidecar process beside the trial's stub discovery and application, with any number
+//! of stub servers on loopback that respond after 5 ms. Processor time and memory are read from the kernel.
 
 use super::Context;
 use super::control::CALLS_PER_S;
@@ -23,20 +23,21 @@
 use tokio::process::ChildStderr;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long anything may take to begin or to end.
+/// Time limit for a process to start, to log a line or to exit.
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a server works on a request.
+/// Time a stub server takes for a request.
 const SERVICE_TIME: Duration = Duration::from_millis(5);
-/// The longest head of a request that a server reads, in bytes.
+/// Longest request head that a stub server reads, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// New files that are taken up one after another.
+/// Number of configuration reloads that are timed together.
 const RELOADS: u32 = 5;
-/// Plays that a value may take, until one served this part of what was asked.
+/// Runs that a value may take, until one serves at least [`MIN_SERVED`] of its requests.
 const MAX_RUNS: usize = 3;
+/// Fraction of requests that a run has to serve to be accepted without another attempt.
 const MIN_SERVED: f64 = 0.98;
 const NAME: &str = "one";
 
-/// For how long what is measured.
+/// Lengths of the phases of a run.
 struct Durations {
     settle: Duration,
     idle: Duration,
@@ -59,7 +60,7 @@
     served: f64,
 }
 
-/// Processor time of a process in microseconds, over its threads.
+/// Processor time of a process over all its threads, in microseconds.
 fn process_cpu_us(id: u32) -> Result<f64> {
     let mut sum = 0.0;
     let folder = format!("/proc/{id}/task");
@@ -72,7 +73,7 @@
     Ok(sum / 1000.0)
 }
 
-/// Memory of a process in bytes, as far as it is resident.
+/// Resident memory of a process, in bytes.
 fn resident_bytes(id: u32) -> Result<f64> {
     let path = format!("/proc/{id}/status");
     let text = std::fs::read_to_string(&path).with_context(|| path.clone())?;
@@ -81,7 +82,7 @@
     Ok(kb.with_context(|| format!("{path}: no VmRSS"))? * 1024.0)
 }
 
-/// Answers each request on a connection after a while, until it ends.
+/// Responds to each request on a connection after [`SERVICE_TIME`], until the connection is closed.
 async fn serve_connection(mut stream: TcpStream) -> std::io::Result<()> {
     let load = r#"{"inflight":1,"queue":0,"util":0.2}"#;
     let (mut read, mut part) = (Vec::new(), [0; 4096]);
@@ -113,7 +114,7 @@
     }
 }
 
-/// Servers that serve for as long as this is held.
+/// Stub servers; they stop when this is dropped.
 struct StubServers {
     addresses: Vec<(String, SocketAddr)>,
     tasks: Vec<actix_rt::task::JoinHandle<()>>,
@@ -137,7 +138,7 @@
         Ok(StubServers { addresses, tasks })
     }
 
-    /// As the list tells of them; of no service.
+    /// Their entries in the list, without a service.
     fn list_entries(&self) -> Vec<ListedServer> {
         let listed = |(uid, at): &(String, SocketAddr)| ListedServer {
             uid: uid.clone(),
@@ -154,7 +155,7 @@
     }
 }
 
-/// The first line of a process that says this.
+/// The first log line of the sidecar that contains this text.
 async fn wait_for_line(lines: &mut Lines<BufReader<ChildStderr>>, what: &str) -> Result<String> {
     let find = async {
         let mut last = String::new();
@@ -164,12 +165,14 @@
             }
             last = line;
         }
-        bail!("the sidecar ended: {last}")
+        bail!("the sidecar exited; its last log line: {last}")
     };
-    timeout(STEP_TIMEOUT, find).await.map_err(|_| anyhow!("the sidecar does not say '{what}'"))?
+    timeout(STEP_TIMEOUT, find)
+        .await
+        .map_err(|_| anyhow!("the sidecar did not log '{what}' within {} s", STEP_TIMEOUT.as_secs()))?
 }
 
-/// The list's process, which tells one sidecar of these servers.
+/// Starts the stub discovery with these servers on its list for one sidecar.
 async fn start_discovery(
     lab: &Path,
     servers: &StubServers,
@@ -177,19 +180,21 @@
     let mut process = Process::start(lab, lab, &["stand", "list", NAME], &[])?;
     let (mut commands, out, _) = process.streams()?;
     let mut lines = BufReader::new(out).lines();
-    let first = timeout(STEP_TIMEOUT, lines.next_line()).await.context("the list does not begin")??;
-    let event: Event = serde_json::from_str(&first.context("the list ended")?)?;
+    let first = timeout(STEP_TIMEOUT, lines.next_line())
+        .await
+        .context("the stub discovery did not start in time")??;
+    let event: Event = serde_json::from_str(&first.context("the stub discovery exited")?)?;
     let EventKind::Listening { addresses: on } = event.what else {
-        bail!("the list does not say where it listens")
+        bail!("the stub discovery did not report where it listens")
     };
-    // It ends where nobody reads what it saw.
+    // The process exits when its events are no longer read.
     actix_rt::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
     let replace = ListCommand::ReplaceLists(BTreeMap::from([(NAME.to_owned(), servers.list_entries())]));
     commands.write_all((serde_json::to_string(&replace)? + "\n").as_bytes()).await?;
-    Ok((process, commands, *on.first().context("the list listens nowhere")?))
+    Ok((process, commands, *on.first().context("the stub discovery listens on no address")?))
 }
 
-/// What the sidecar is told at its start.
+/// The sidecar's configuration file.
 fn sidecar_config(discovery: SocketAddr, servers: &StubServers, seed: u64) -> Value {
     let listed = servers.list_entries();
     let known = list_body(listed.iter().map(|server| (server, "up")), true, 1);
@@ -209,8 +214,8 @@
     })
 }
 
-/// Its figures, idle where that is wanted, and then in service with so many calls a second; and the part of these that
-/// was served.
+/// Runs one sidecar and measures it, idle and on reloads where `measure_idle` is set, then in service at `calls` calls a
+/// second.
 async fn run_once(context: &Context, servers: usize, calls: f64, measure_idle: bool) -> Result<RunResult> {
     let times = Durations::of(context);
     let servers = StubServers::start(servers).await?;
@@ -242,7 +247,7 @@
             sidecar.signal(Signal::HUP);
             wait_for_line(&mut lines, "SIGHUP: new configuration").await?;
         }
-        // The engine hears of it behind that line.
+        // The engine receives the configuration only after that line is logged.
         sleep(times.settle / 4).await;
         let spent = process_cpu_us(id)? - first - idle * started.elapsed().as_micros() as f64;
         figures.push((spent / f64::from(RELOADS)).max(0.0));
@@ -264,7 +269,7 @@
     sleep(times.in_service - times.in_service / 10).await;
     let serving = (process_cpu_us(id)? - first) / started.elapsed().as_micros() as f64;
     let memory = resident_bytes(id)?;
-    timeout(STEP_TIMEOUT, load).await.context("the application does not end")??;
+    timeout(STEP_TIMEOUT, load).await.context("the application did not exit in time")??;
 
     let sent_requests =
         history.borrow().iter().filter(|event| matches!(event.what, EventKind::RequestSent { .. })).count();
@@ -272,16 +277,16 @@
     let served = history.borrow().iter().filter(served).count() as f64 / sent_requests.max(1) as f64;
     eprintln!("  {} servers, {calls} calls a second: {:.1}% served", servers.addresses.len(), served * 100.0);
     sidecar.signal(Signal::TERM);
-    timeout(STEP_TIMEOUT, sidecar.wait()).await.context("the sidecar does not end")??;
+    timeout(STEP_TIMEOUT, sidecar.wait()).await.context("the sidecar did not exit in time")??;
     log.abort();
     drop(commands);
-    timeout(STEP_TIMEOUT, list.wait()).await.context("the list does not end")??;
+    timeout(STEP_TIMEOUT, list.wait()).await.context("the stub discovery did not exit in time")??;
     figures.extend([memory, serving]);
     Ok(RunResult { figures, served })
 }
 
-/// Where the machine stands still for a while, requests come late and are refused, which is no service: played again,
-/// twice at the most, and the play counts that served the most.
+/// Figures of the run that served the largest fraction of its requests, out of at most [`MAX_RUNS`]. Where the machine
+/// stalls, requests arrive late and are refused, and the processor time is not that of a sidecar in service.
 fn best_run(context: &Context, servers: usize, calls: f64, measure_idle: bool) -> Result<Vec<f64>> {
     let mut best = RunResult { figures: Vec::new(), served: 0.0 };
     for _ in 0..MAX_RUNS {
@@ -301,22 +306,22 @@
     Ok(figures)
 }
 
-/// Idle and in service at the plan's calls a second, by servers.
+/// Idle and in service at the plan's calls per second, by known servers.
 pub fn by_servers(context: &Context, servers: usize) -> Result<Vec<f64>> {
     best_run(context, servers, CALLS_PER_S, true)
 }
 
-/// In service by calls a second, at few servers known and at all of them.
+/// In service, by calls per second, with this number of servers known.
 fn by_calls(context: &Context, servers: usize, calls: usize) -> Result<Vec<f64>> {
     best_run(context, servers, calls as f64, false)
 }
 
-/// At 60 servers.
+/// In service, by calls per second, with 60 servers known.
 pub fn by_calls_few(context: &Context, calls: usize) -> Result<Vec<f64>> {
     by_calls(context, 60.min(context.default_servers), calls)
 }
 
-/// At all servers.
+/// In service, by calls per second, with the default number of servers known.
 pub fn by_calls_many(context: &Context, calls: usize) -> Result<Vec<f64>> {
     by_calls(context, context.default_servers, calls)
 }
--- a/crates/lab/src/slopes/result.rs
+++ b/crates/lab/src/slopes/result.rs
@@ -1,71 +1,71 @@
-//! A run of slopes as JSON: what was measured, by size and round, and the line through it. The capacity page is written
-//! from this form; a change of it is another `v`.
+//! JSON result of a `slopes` run: the measured values by size and round, and the line through them. The capacity page
+//! reads this format; a change of the format needs another `v`.
 
 use serde::{Deserialize, Serialize};
 
-/// The version of this form.
+/// Version of this format.
 pub const VERSION: u32 = 1;
-/// What `kind` says.
+/// Value of `kind`.
 pub const KIND: &str = "slopes";
 
-/// One run: every figure from one command on one machine.
+/// One run: all figures of one command on one machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slopes {
-    /// The version of this form.
+    /// Format version, [`VERSION`].
     pub v: u32,
     /// Always [`KIND`].
     pub kind: String,
-    /// The commit that it was built from, as git abbreviates it; empty where that is not known.
+    /// Abbreviated commit of the working folder; empty where it is unknown.
     pub commit: String,
-    /// How it was called.
+    /// The command line.
     pub command: String,
-    /// The processors of the machine.
+    /// Number of processors of the machine.
     pub cores: usize,
-    /// How often each size was measured.
+    /// Number of times each size was measured.
     pub rounds: usize,
     /// `release` or `debug`, of the measuring program.
     pub profile: String,
-    /// The figures, by name once each.
+    /// The figures; each name occurs once.
     pub figures: Vec<Figure>,
 }
 
 /// One figure against one driver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figure {
-    /// Its name, once in a run.
+    /// Name, unique in a run.
     pub name: String,
-    /// What it is held against, as `known-servers`.
+    /// The quantity that is varied, such as `known-servers`.
     pub driver: String,
-    /// The unit of its values.
+    /// Unit of the values.
     pub unit: Unit,
-    /// What it is, in one sentence.
+    /// Description in one sentence.
     pub what: String,
-    /// The values by size of the driver.
+    /// Values by size of the driver.
     pub points: Vec<Point>,
-    /// What it grows like.
+    /// How it grows with the driver.
     pub form: Form,
-    /// Where the line through the points begins.
+    /// Intercept of the line through the points.
     pub intercept: f64,
-    /// What the line rises by for one more of the driver.
+    /// Slope of the line, for each unit of the driver.
     pub slope: f64,
-    /// The 95% interval of the slope, over the rounds.
+    /// Lower end of the slope's 95% interval, over the rounds.
     pub slope_low: f64,
-    /// The same, its upper end.
+    /// Upper end of the slope's 95% interval.
     pub slope_high: f64,
-    /// How far the points are from the line: root of the mean square, each as a part of its point.
+    /// Root mean square distance of the points from the line, relative to each point.
     pub residual: f64,
 }
 
-/// The values at one size of the driver.
+/// Values at one size of the driver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
     /// The size.
     pub at: f64,
-    /// One value a round.
+    /// One value for each round.
     pub values: Vec<f64>,
 }
 
-/// What a value counts.
+/// Unit of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unit {
     /// Microseconds of processor time.
@@ -82,18 +82,18 @@
     PartOfCore,
 }
 
-/// What a figure grows like.
+/// How a figure grows with its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Form {
-    /// Not at all.
+    /// Does not grow.
     Constant,
-    /// Like the driver.
+    /// Proportional to the driver, plus a constant.
     Linear,
-    /// Like the driver times its logarithm.
+    /// Proportional to the driver times its logarithm, plus a constant.
     NLogN,
-    /// Like its square.
+    /// Proportional to the driver's square, plus a constant.
     Quadratic,
-    /// The points do not tell.
+    /// The points do not determine a form.
     NotClear,
 }
--- a/crates/lab/tests/slopes.rs
+++ b/crates/lab/tests/slopes.rs
@@ -1,7 +1,7 @@
-//! Slopes: the fit names planted forms and says where it can't, and the command measures, in a short form that is judged
-//! by counts alone.
+//! `slopes`: the fit identifies known forms and reports unclear ones, and the command runs with tiny sizes, where only
+//! counts are checked.
 
-// The lab is a program: its pure parts are taken in as they are.
+// The lab is a binary crate, so its pure modules are included by path.
 #[path = "../src/slopes/fit.rs"]
 mod fit;
 #[path = "../src/slopes/result.rs"]
@@ -15,7 +15,7 @@
 
 const SIZES: [f64; 5] = [6.0, 60.0, 200.0, 1000.0, 3100.0];
 
-/// Three rounds of a form, each value off by up to this part of it.
+/// Three rounds of a form, with relative noise of up to `noise`.
 fn generated_points(f: impl Fn(f64) -> f64, noise: f64, seed: u64) -> Vec<Point> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut off = || 1.0 + noise * rng.random_range(-1.0..1.0);
@@ -59,7 +59,7 @@
     }
 }
 
-/// Guards the page from forms that nothing bears out.
+/// A form must not be named on the capacity page without support from the points.
 #[test]
 fn noise_and_too_few_sizes_give_no_clear_form() {
     for seed in 0..50 {
@@ -69,13 +69,13 @@
         assert_eq!(fit::fit(&noise, 1).form, Form::NotClear, "seed {seed}: {noise:?}");
     }
     let few = generated_points(|n| n, 0.0, 1);
-    assert_eq!(fit::fit(&few[..3], 1).form, Form::NotClear, "three sizes bear more than one form");
-    // Between two forms: neither is named.
+    assert_eq!(fit::fit(&few[..3], 1).form, Form::NotClear, "three sizes fit more than one form");
+    // Growth between two forms is named as neither.
     let between = fit::fit(&generated_points(|n| n.powf(1.07), 0.0, 1), 1);
     assert_eq!(between.form, Form::NotClear, "{between:?}");
     let falls = fit::fit(&generated_points(|n| 1000.0 / n, 0.0, 1), 1);
     assert_eq!(falls.form, Form::NotClear, "{falls:?}");
-    assert_eq!(fit::fit(&[], 1).form, Form::NotClear, "nothing was measured");
+    assert_eq!(fit::fit(&[], 1).form, Form::NotClear, "no points");
     let zeros = fit::fit(&generated_points(|_| 0.0, 0.0, 1), 1);
     assert_eq!((zeros.form, zeros.slope), (Form::Constant, 0.0), "{zeros:?}");
 }
@@ -84,7 +84,7 @@
     Command::new(env!("CARGO_BIN_EXE_dunlincleat-lab")).args(arguments).output().unwrap()
 }
 
-/// A short run of these figures, read as the page's writer reads it.
+/// Runs these figures with tiny sizes and reads the result file.
 fn run_short(figures: &[&str]) -> Slopes {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("slopes.json");
@@ -100,7 +100,10 @@
         "{read:?}"
     );
     let names: Vec<&str> = read.figures.iter().map(|figure| figure.name.as_str()).collect();
-    assert!(figures.is_empty() || names == figures, "what was asked for, in the table's order: {names:?}");
+    assert!(
+        figures.is_empty() || names == figures,
+        "the selected figures, in the order of the table: {names:?}"
+    );
     for figure in &read.figures {
         assert!(figure.points.len() >= 4, "{}", figure.name);
         let values = || figure.points.iter().flat_map(|point| &point.values);
@@ -114,8 +117,7 @@
     figure.points.iter().map(|point| point.values[0]).collect()
 }
 
-/// What is counted is the same each time: lists grow by the server, changes do not, and a broken watch brings the whole
-/// list.
+/// Counts are deterministic: a list grows with the servers, a change does not, and a reconnect transfers the whole list.
 #[test]
 fn counted_figures_grow_with_their_drivers() {
     let read = run_short(&["change-bytes", "whole-list-bytes", "reconnect-bytes", "reconnect-messages"]);
@@ -124,7 +126,7 @@
     assert_eq!((list.form, list.driver.as_str()), (Form::Linear, "known-servers"));
     assert!((100.0..200.0).contains(&list.slope) && list.residual < 0.02, "bytes a server: {list:?}");
     for (all, one) in values(reconnect).iter().zip(values(list)) {
-        assert!(*all >= one, "the whole list comes with it: {all} of {one}");
+        assert!(*all >= one, "a reconnect transfers the whole list: {all} bytes, list {one}");
     }
     assert_eq!(
         (messages.form, values(messages)[0]),
@@ -133,7 +135,8 @@
     );
 }
 
-/// Voters have those that ask spread their asking, so what a duty costs grows slower than its members.
+/// Voters spread the requests of the candidates for a duty, so the cost of a duty grows slower than its members. A probe
+/// round finds an idle server within a few probes, and sends more where none is idle.
 #[test]
 fn probes_and_leases_are_counted() {
     let read = run_short(&["probe-round", "probe-round-busy", "lease-messages", "lease-bytes"]);
@@ -141,11 +144,17 @@
         assert!(values(figure).iter().all(|value| *value > 0.0), "{figure:?}");
     }
     let [some, busy, ..] = &read.figures[..] else { panic!("four figures") };
-    assert!(values(some).iter().all(|probes| *probes <= 6.0), "an idle one is found soon: {some:?}");
-    assert!(values(busy).last() > values(busy).first(), "where none is idle all are asked: {busy:?}");
+    assert!(
+        values(some).iter().all(|probes| *probes <= 6.0),
+        "an idle server is found within a few probes: {some:?}"
+    );
+    assert!(
+        values(busy).last() > values(busy).first(),
+        "without an idle server, more servers get more probes: {busy:?}"
+    );
 }
 
-/// Every figure of the crates, and the program itself beside its stand-ins, in the short form.
+/// Every figure is measured with tiny sizes, including those of the sidecar's program beside stubs.
 #[test]
 fn every_figure_is_measured_in_the_short_form() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_dunlincleat-lab")).with_file_name("dunlincleat-sidecar");
@@ -166,7 +175,7 @@
         assert!(values(figure(name)).iter().all(|value| *value > 0.0), "{name}: {:?}", figure(name));
     }
     let state = values(figure("state"));
-    assert!(state.is_sorted() && state[0] < state[3], "each server known is held: {state:?}");
+    assert!(state.is_sorted() && state[0] < state[3], "state grows with the known servers: {state:?}");
     for name in ["memory-idle", "memory-in-service", "memory-by-calls-60", "memory-by-calls-3100"] {
         let memory = values(figure(name));
         assert!(memory.iter().all(|bytes| *bytes > 1e6), "{name} of a running program: {memory:?}");
@@ -180,7 +189,7 @@
     let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(out.status.code(), Some(2), "{stderr}");
     assert!(
-        stderr.contains("--only: 'memory' is no figure; right would be one of decision, window-step"),
+        stderr.contains("--only: unknown figure 'memory'; expected one of decision, window-step"),
         "{stderr}"
     );
     let out =
