--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -53,7 +53,7 @@
     Added(real::Wanted),
     /// Control machines, hollow sidecars and real ones at size; exit 0 where every limit was kept, 1 broken, 2 nothing can be
     /// said
-    Scale(scale::Wanted),
+    Scale(scale::Options),
     /// A control machine of a scale run
     #[command(hide = true)]
     Control,
@@ -191,7 +191,7 @@
         Command::Capacity(wanted) => capacity::run(&wanted),
         Command::Slopes(options) => slopes::run(options),
         Command::Added(wanted) => real::run(&wanted),
-        Command::Scale(wanted) => scale::run(wanted),
+        Command::Scale(options) => scale::run(options),
         Command::Control => dunlincleat_trial::control::run().map(|()| ExitCode::SUCCESS),
         Command::Hollow => dunlincleat_hollow::run(memory::allocated).map(|()| ExitCode::SUCCESS),
         Command::Stand { stand } => dunlincleat_trial::stubs::run(stand).map(|()| ExitCode::SUCCESS),
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -3,16 +3,16 @@
 
 pub mod fleet;
 pub mod judge;
-pub mod play;
 pub mod result;
+pub mod rig;
 
 use crate::runs::{programs, told_to_end};
 use anyhow::{Context, Result, anyhow, bail};
 use clap::Args;
-use fleet::Figures;
+use fleet::FleetFigures;
 use judge::Limits;
-use play::{DayName, Play, hollow_against_real, play};
-use result::{DayResult, HollowReal, ScaleResult, VERSION, Verdict};
+use result::{HollowReal, ScaleResult, ScenarioResult, VERSION, Verdict};
+use rig::{RunSpec, Scenario, compare_hollow_with_real, run_all_scenarios};
 use rustix::process::{Resource, getrlimit};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -20,20 +20,20 @@
 use std::time::Duration;
 
 /// What the run may take of the machine, in bytes.
-const MEMORY: f64 = 12e9;
+const MAX_MEMORY_BYTES: f64 = 12e9;
 /// And of its processes.
-const PROCESSES: usize = 300;
+const MAX_PROCESSES: usize = 300;
 /// What a hollow sidecar holds for each server that it knows, and beside these, in bytes; measured, and rounded up.
-const A_SERVER: f64 = 2000.0;
-const A_SIDECAR: f64 = 200_000.0;
+const BYTES_PER_SERVER: f64 = 2000.0;
+const BYTES_PER_SIDECAR: f64 = 200_000.0;
 /// What a hollow sidecar's processor time may be of a real one's, either way.
-const APART: f64 = 3.0;
+const MAX_CPU_RATIO: f64 = 3.0;
 /// Descriptors of a process that are no sidecar's.
 const OTHER_DESCRIPTORS: usize = 64;
 
 /// What is wanted of a scale run.
 #[derive(Args)]
-pub struct Wanted {
+pub struct Options {
     /// The plan, a TOML file; the figures of the letter where none is told
     #[arg(long)]
     plan: Option<PathBuf>,
@@ -88,33 +88,33 @@
 }
 
 /// A plan as far as a scale run needs it; a key that is left out has the letter's figure.
-struct Plan {
+struct PlanFile {
     path: PathBuf,
-    told: toml::Table,
+    table: toml::Table,
 }
 
-impl Plan {
+impl PlanFile {
     fn at(&self, key: &str) -> Option<&toml::Value> {
         let mut parts = key.split('.');
-        let first = self.told.get(parts.next()?)?;
+        let first = self.table.get(parts.next()?)?;
         let value = parts.try_fold(first, |value, part| value.get(part))?;
         // What was assumed has its reason beside it.
         Some(value.get("is").unwrap_or(value))
     }
 
-    fn wrong(&self, key: &str, value: &toml::Value, right: &str) -> anyhow::Error {
+    fn invalid_value(&self, key: &str, value: &toml::Value, right: &str) -> anyhow::Error {
         anyhow!("{}: {key}: {value} is not {right}", self.path.display())
     }
 
-    fn number(&self, key: &str, otherwise: f64) -> Result<f64> {
-        let Some(value) = self.at(key) else { return Ok(otherwise) };
+    fn number(&self, key: &str, default: f64) -> Result<f64> {
+        let Some(value) = self.at(key) else { return Ok(default) };
         let number = value.as_float().or_else(|| value.as_integer().map(|n| n as f64));
         let number = number.filter(|n| *n > 0.0 && *n <= 1e9);
-        number.ok_or_else(|| self.wrong(key, value, "a number over 0 and at most 1,000,000,000"))
+        number.ok_or_else(|| self.invalid_value(key, value, "a number over 0 and at most 1,000,000,000"))
     }
 
-    fn spread(&self, key: &str, names: [&str; 2], otherwise: &[(f64, f64)]) -> Result<Vec<(f64, f64)>> {
-        let Some(value) = self.at(key) else { return Ok(otherwise.to_vec()) };
+    fn pairs(&self, key: &str, names: [&str; 2], default: &[(f64, f64)]) -> Result<Vec<(f64, f64)>> {
+        let Some(value) = self.at(key) else { return Ok(default.to_vec()) };
         let number = |value: &toml::Value, name: &str| {
             let value = value.get(name)?;
             value.as_float().or_else(|| value.as_integer().map(|n| n as f64)).filter(|n| *n > 0.0)
@@ -122,35 +122,36 @@
         let pair = |value: &toml::Value| Some((number(value, names[0])?, number(value, names[1])?));
         let read: Option<Vec<(f64, f64)>> = value.as_array().and_then(|all| all.iter().map(pair).collect());
         let right = format!("a list of {{ {} = NUMBER, {} = NUMBER }}, each over 0", names[0], names[1]);
-        read.filter(|all| !all.is_empty()).ok_or_else(|| self.wrong(key, value, &right))
+        read.filter(|all| !all.is_empty()).ok_or_else(|| self.invalid_value(key, value, &right))
     }
 }
 
 /// The figures and limits that a plan says.
-fn planned(plan: Option<&Path>) -> Result<(Figures, Limits)> {
-    let (mut figures, mut limits) = (Figures::default(), Limits::default());
+fn read_plan(plan: Option<&Path>) -> Result<(FleetFigures, Limits)> {
+    let (mut figures, mut limits) = (FleetFigures::default(), Limits::default());
     let Some(path) = plan else { return Ok((figures, limits)) };
     let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
-    let told: toml::Table = text.parse().with_context(|| path.display().to_string())?;
-    let plan = Plan { path: path.to_owned(), told };
-    let count = |key: &str, otherwise: usize| plan.number(key, otherwise as f64).map(|n| n as usize);
+    let table: toml::Table = text.parse().with_context(|| path.display().to_string())?;
+    let plan = PlanFile { path: path.to_owned(), table };
+    let count = |key: &str, default: usize| plan.number(key, default as f64).map(|n| n as usize);
     figures.endpoints = count("told.endpoints", figures.endpoints)?;
     figures.services = count("told.services", figures.services)?.max(3);
     figures.zones = count("told.zones", figures.zones)?.max(1);
-    figures.controls = count("told.control_machines", figures.controls)?.max(1);
-    figures.hub = count("assumed.hub_endpoints", figures.hub)?;
-    figures.largest = count("assumed.largest_endpoints", figures.largest)?;
-    figures.sizes = plan.spread("assumed.service_sizes", ["services", "endpoints"], &figures.sizes)?;
+    figures.control_machines = count("told.control_machines", figures.control_machines)?.max(1);
+    figures.hub_endpoints = count("assumed.hub_endpoints", figures.hub_endpoints)?;
+    figures.largest_endpoints = count("assumed.largest_endpoints", figures.largest_endpoints)?;
+    figures.service_sizes =
+        plan.pairs("assumed.service_sizes", ["services", "endpoints"], &figures.service_sizes)?;
     let called: Vec<(f64, f64)> =
-        figures.called.iter().map(|(called, share)| (*called as f64, *share)).collect();
-    let called = plan.spread("assumed.services_called", ["services", "share"], &called)?;
-    figures.called = called.into_iter().map(|(called, share)| (called as usize, share)).collect();
-    figures.changes_a_day = plan.number("told.changes_a_day", figures.changes_a_day)?;
+        figures.services_called.iter().map(|(called, share)| (*called as f64, *share)).collect();
+    let called = plan.pairs("assumed.services_called", ["services", "share"], &called)?;
+    figures.services_called = called.into_iter().map(|(called, share)| (called as usize, share)).collect();
+    figures.changes_per_day = plan.number("told.changes_a_day", figures.changes_per_day)?;
     let kinds = ["comes", "drains", "goes"].map(|kind| format!("assumed.peak_server_{kind}"));
     if kinds.iter().any(|key| plan.at(key).is_some()) {
-        figures.peak = kinds.iter().map(|key| plan.number(key, 2.0)).sum::<Result<f64>>()?;
+        figures.peak_changes_per_s = kinds.iter().map(|key| plan.number(key, 2.0)).sum::<Result<f64>>()?;
     }
-    figures.restarts_a_day = plan.number("told.failures.restarts_a_day", figures.restarts_a_day)?;
+    figures.restarts_per_day = plan.number("told.failures.restarts_a_day", figures.restarts_per_day)?;
     limits.in_force_ms = plan.number("told.limits.in_force_s", limits.in_force_ms / 1000.0)? * 1000.0;
     limits.bytes = plan.number("told.limits.bytes_a_second", limits.bytes)?;
     limits.cpu = plan.number("told.limits.cpu_part_of_core", limits.cpu)?;
@@ -159,28 +160,29 @@
 }
 
 /// Refuses what the machine can't carry, before anything is started.
-fn fits(play: &Play) -> Result<()> {
-    let sidecars = play.hollow + play.real;
-    let processes = play.controls + play.hollow_processes() + play.real + 1;
-    if processes >= PROCESSES {
-        bail!("{processes} processes would be started; right would be under {PROCESSES}");
+fn check_resources(spec: &RunSpec) -> Result<()> {
+    let sidecars = spec.hollow + spec.real;
+    let processes = spec.controls + spec.hollow_processes() + spec.real + 1;
+    if processes >= MAX_PROCESSES {
+        bail!("{processes} processes would be started; right would be under {MAX_PROCESSES}");
     }
-    let known = if play.interest { play.size / 20 } else { play.size };
-    let needs = play.hollow as f64 * (A_SIDECAR + A_SERVER * known as f64) + play.real as f64 * 40e6;
-    if needs > MEMORY {
+    let known = if spec.interest { spec.size / 20 } else { spec.size };
+    let needs =
+        spec.hollow as f64 * (BYTES_PER_SIDECAR + BYTES_PER_SERVER * known as f64) + spec.real as f64 * 40e6;
+    if needs > MAX_MEMORY_BYTES {
         bail!(
             "--hollow: {} sidecars that know {known} servers each would take {:.0} GB; right would be under {:.0}, \
              so at the most {} of them",
-            play.hollow,
+            spec.hollow,
             needs / 1e9,
-            MEMORY / 1e9,
-            (MEMORY / (A_SIDECAR + A_SERVER * known as f64)) as usize
+            MAX_MEMORY_BYTES / 1e9,
+            (MAX_MEMORY_BYTES / (BYTES_PER_SIDECAR + BYTES_PER_SERVER * known as f64)) as usize
         );
     }
     // A listener and two connections of each sidecar, at a control machine that serves also those of one that died.
-    let left = play.controls.saturating_sub(1).max(1);
+    let left = spec.controls.saturating_sub(1).max(1);
     let control = sidecars.div_ceil(left) * 4;
-    let hollow = play.hollow.div_ceil(play.hollow_processes()) * 3;
+    let hollow = spec.hollow.div_ceil(spec.hollow_processes()) * 3;
     let needs = control.max(hollow).max(processes * 4) + OTHER_DESCRIPTORS;
     let has = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     if needs as u64 > has {
@@ -189,19 +191,19 @@
     Ok(())
 }
 
-fn plants(told: &[String], hollow: usize) -> Result<BTreeMap<usize, String>> {
-    let one = |text: &String| -> Result<(usize, String)> {
-        let (number, plant) = text.split_once('=').with_context(|| format!("--plant: {text}"))?;
+fn injected_faults(arguments: &[String], hollow: usize) -> Result<BTreeMap<usize, String>> {
+    let parse = |text: &String| -> Result<(usize, String)> {
+        let (number, fault) = text.split_once('=').with_context(|| format!("--plant: {text}"))?;
         let number: usize = number.parse().with_context(|| format!("--plant: {text}"))?;
         if number >= hollow {
             bail!("--plant: {text}: there are {hollow} hollow sidecars");
         }
-        Ok((number, plant.to_owned()))
+        Ok((number, fault.to_owned()))
     };
-    told.iter().map(one).collect()
+    arguments.iter().map(parse).collect()
 }
 
-fn line(size: usize, day: &DayResult) -> String {
+fn summary_line(size: usize, day: &ScenarioResult) -> String {
     let verdict = match day.verdict {
         Verdict::Kept => "KEPT",
         Verdict::Broken => "BROKEN",
@@ -211,9 +213,9 @@
     let in_force = figure("sidecar", "in-force");
     let ms = |value: Option<f64>| value.map_or("-".to_owned(), |ms| format!("{ms:.0}"));
     let of = |name: &str, role: &str, scale: f64| {
-        let told = |value: Option<f64>| value.map_or("-".to_owned(), |v| format!("{:.2}", v / scale));
+        let show = |value: Option<f64>| value.map_or("-".to_owned(), |v| format!("{:.2}", v / scale));
         figure(role, name).map_or_else(String::new, |figure| {
-            let (mean, one, max) = (told(figure.mean), told(figure.most_1s), told(figure.max));
+            let (mean, one, max) = (show(figure.mean), show(figure.most_1s), show(figure.max));
             format!("{mean}/{max}/{one}")
         })
     };
@@ -233,57 +235,58 @@
 }
 
 /// Whether hollow and real are alike enough for what is said of hollow ones to hold for real ones.
-fn alike(told: &HollowReal, by_counts: bool) -> bool {
-    let apart = !by_counts && (told.cpu_ratio > APART || told.cpu_ratio < 1.0 / APART);
-    told.messages[0] == told.messages[1] && told.bytes[0] == told.bytes[1] && !apart
+fn hollow_matches_real(comparison: &HollowReal, by_counts: bool) -> bool {
+    let HollowReal { messages, bytes, cpu_ratio, .. } = comparison;
+    let cpu_differs = !by_counts && (*cpu_ratio > MAX_CPU_RATIO || *cpu_ratio < 1.0 / MAX_CPU_RATIO);
+    messages[0] == messages[1] && bytes[0] == bytes[1] && !cpu_differs
 }
 
 /// Plays it: 0 where every limit was kept, 1 where one was broken, 2 where nothing can be said.
-pub fn run(wanted: Wanted) -> Result<ExitCode> {
-    if !(2.0..=600.0).contains(&wanted.lasts) {
-        bail!("--lasts: {} is not from 2 to 600", wanted.lasts);
+pub fn run(options: Options) -> Result<ExitCode> {
+    if !(2.0..=600.0).contains(&options.lasts) {
+        bail!("--lasts: {} is not from 2 to 600", options.lasts);
     }
-    if !(0.0..=50.0).contains(&wanted.rate) {
-        bail!("--rate: {} is not from 0 to 50", wanted.rate);
+    if !(0.0..=50.0).contains(&options.rate) {
+        bail!("--rate: {} is not from 0 to 50", options.rate);
     }
-    if !(1.0..=120.0).contains(&wanted.waits) {
-        bail!("--waits: {} is not from 1 to 120", wanted.waits);
+    if !(1.0..=120.0).contains(&options.waits) {
+        bail!("--waits: {} is not from 1 to 120", options.waits);
     }
-    if wanted.real > 50 || wanted.hollow.contains(&0) || wanted.shrink == 0 {
+    if options.real > 50 || options.hollow.contains(&0) || options.shrink == 0 {
         bail!("--hollow and --shrink are at least 1, --real at most 50");
     }
-    let (figures, limits) = planned(wanted.plan.as_deref())?;
+    let (figures, limits) = read_plan(options.plan.as_deref())?;
     let mut days = Vec::new();
-    for name in &wanted.days {
-        let day = DayName::of(name).with_context(|| {
-            let names: Vec<&str> = DayName::ALL.iter().map(|(name, _)| *name).collect();
+    for name in &options.days {
+        let day = Scenario::of(name).with_context(|| {
+            let names: Vec<&str> = Scenario::ALL.iter().map(|(name, _)| *name).collect();
             format!("--days: {name} is none of {}", names.join(", "))
         })?;
         days.push(day);
     }
     if days.is_empty() {
-        days = DayName::ALL.iter().map(|(_, day)| *day).collect();
+        days = Scenario::ALL.iter().map(|(_, day)| *day).collect();
     }
-    let (lab, program) = if wanted.real > 0 {
-        programs("dunlincleat-sidecar", "--program", wanted.program.as_deref())?
+    let (lab, program) = if options.real > 0 {
+        programs("dunlincleat-sidecar", "--program", options.program.as_deref())?
     } else {
         (std::env::current_exe()?, PathBuf::new())
     };
-    let hollow_of = |n: usize| match wanted.hollow.as_slice() {
+    let hollow_of = |n: usize| match options.hollow.as_slice() {
         [one] => Ok(*one),
-        all if all.len() == wanted.sizes.len() => Ok(all[n]),
-        all => bail!("--hollow: {} numbers for {} sizes", all.len(), wanted.sizes.len()),
+        all if all.len() == options.sizes.len() => Ok(all[n]),
+        all => bail!("--hollow: {} numbers for {} sizes", all.len(), options.sizes.len()),
     };
-    let mut plays = Vec::new();
-    for (n, size) in wanted.sizes.iter().enumerate() {
-        let (size, real) = (*size, wanted.real);
+    let mut specs = Vec::new();
+    for (n, size) in options.sizes.iter().enumerate() {
+        let (size, real) = (*size, options.real);
         if size <= real + 1 || size > 65_000 {
             bail!("--sizes: {size} is not from {} to 65000", real + 2);
         }
-        let hollow = (hollow_of(n)?.min(size - real) / wanted.shrink).max(1);
-        let each = figures.endpoints.div_ceil(figures.controls);
-        let controls = (hollow + real).div_ceil(each).clamp(2, figures.controls.max(2));
-        let play = Play {
+        let hollow = (hollow_of(n)?.min(size - real) / options.shrink).max(1);
+        let each = figures.endpoints.div_ceil(figures.control_machines);
+        let controls = (hollow + real).div_ceil(each).clamp(2, figures.control_machines.max(2));
+        let spec = RunSpec {
             lab: lab.clone(),
             program: program.clone(),
             figures: figures.clone(),
@@ -291,23 +294,23 @@
             hollow,
             real,
             controls,
-            seed: wanted.seed,
-            interest: wanted.interest,
-            lasts: wanted.lasts,
-            rate: wanted.rate,
-            window_ms: wanted.window_ms,
-            plants: plants(&wanted.plant, hollow)?,
-            limits: if wanted.counts { Limits::counts() } else { limits },
+            seed: options.seed,
+            interest: options.interest,
+            duration_s: options.lasts,
+            rate: options.rate,
+            window_ms: options.window_ms,
+            faults: injected_faults(&options.plant, hollow)?,
+            limits: if options.counts { Limits::counts() } else { limits },
             // By counts alone no watch is taken for dead because the machine is busy.
-            grace_ms: if wanted.counts { 60_000 } else { 1000 },
-            waits: Duration::from_secs_f64(wanted.waits),
+            grace_ms: if options.counts { 60_000 } else { 1000 },
+            settle_time: Duration::from_secs_f64(options.waits),
         };
-        fits(&play)?;
-        plays.push(play);
+        check_resources(&spec)?;
+        specs.push(spec);
     }
-    let played = actix_rt::System::new().block_on(async {
+    let results = actix_rt::System::new().block_on(async {
         tokio::select! {
-            played = all(&plays, &days, &wanted) => played.map(Some),
+            results = run_specs(&specs, &days, &options) => results.map(Some),
             stopped = told_to_end() => {
                 stopped.context("signals")?;
                 crate::say("stopped by hand");
@@ -315,59 +318,62 @@
             }
         }
     })?;
-    let Some(result) = played else { return Ok(ExitCode::from(130)) };
+    let Some(result) = results else { return Ok(ExitCode::from(130)) };
     let text = serde_json::to_string_pretty(&result)? + "\n";
-    if let Some(out) = &wanted.out {
+    if let Some(out) = &options.out {
         let file = if out.is_dir() { out.join("scale.json") } else { out.clone() };
         std::fs::write(&file, text).with_context(|| file.display().to_string())?;
     }
     let verdicts: Vec<Verdict> =
         result.runs.iter().flat_map(|run| &run.days).map(|day| day.verdict).collect();
-    let apart = result.hollow_real.as_ref().is_some_and(|told| !alike(told, wanted.counts));
-    if verdicts.contains(&Verdict::Void) || apart {
+    let differ = result
+        .hollow_real
+        .as_ref()
+        .is_some_and(|comparison| !hollow_matches_real(comparison, options.counts));
+    if verdicts.contains(&Verdict::Void) || differ {
         return Ok(ExitCode::from(2));
     }
     let broken = verdicts.contains(&Verdict::Broken);
     Ok(if broken { ExitCode::from(1) } else { ExitCode::SUCCESS })
 }
 
-async fn all(plays: &[Play], days: &[DayName], wanted: &Wanted) -> Result<ScaleResult> {
+async fn run_specs(specs: &[RunSpec], days: &[Scenario], options: &Options) -> Result<ScaleResult> {
     let mut runs = Vec::new();
-    for of in plays {
+    for of in specs {
         crate::say(&format!(
             "{} endpoints, {} hollow and {} real sidecars, {} control machines",
             of.size, of.hollow, of.real, of.controls
         ));
-        let told = |day: &DayResult| {
-            crate::say(&line(of.size, day));
+        let report = |day: &ScenarioResult| {
+            crate::say(&summary_line(of.size, day));
             day.why.iter().for_each(|why| crate::say(&format!("      {why}")));
         };
-        runs.push(play(of, days, told).await?);
+        runs.push(run_all_scenarios(of, days, report).await?);
     }
     let mut hollow_real = None;
-    if let (true, Some(first)) = (wanted.real > 0, plays.first()) {
-        let told = hollow_against_real(first).await?;
+    if let (true, Some(first)) = (options.real > 0, specs.first()) {
+        let comparison = compare_hollow_with_real(first).await?;
         crate::say(&format!(
             "hollow against real: messages {} and {}, bytes {} and {}, processor time {:.2}, memory {:.2} of the real \
              one's{}",
-            told.messages[0],
-            told.messages[1],
-            told.bytes[0],
-            told.bytes[1],
-            told.cpu_ratio,
-            told.memory_ratio,
-            if alike(&told, wanted.counts) { "" } else { ": APART" }
+            comparison.messages[0],
+            comparison.messages[1],
+            comparison.bytes[0],
+            comparison.bytes[1],
+            comparison.cpu_ratio,
+            comparison.memory_ratio,
+            if hollow_matches_real(&comparison, options.counts) { "" } else { ": APART" }
         ));
-        hollow_real = Some(told);
+        hollow_real = Some(comparison);
     }
     let command: Vec<String> = std::env::args().skip(1).collect();
     Ok(ScaleResult {
         v: VERSION,
         kind: "scale".to_owned(),
-        commit: wanted.commit.clone(),
+        commit: options.commit.clone(),
         command: format!("dunlincleat-lab {}", command.join(" ")),
         cores: std::thread::available_parallelism().map_or(0, std::num::NonZero::get),
-        seed: wanted.seed,
+        seed: options.seed,
         runs,
         hollow_real,
     })
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -9,7 +9,7 @@
 
 /// What the fleet is drawn by: figures of the letter, and assumptions of our own (deploy/plans/fleet-ahead.toml).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct FleetFigures {
     /// Endpoints, each with its sidecar.
     pub endpoints: usize,
     /// Services at that size.
@@ -17,57 +17,58 @@
     /// Zones.
     pub zones: usize,
     /// Endpoints of the service that every sidecar calls.
-    pub hub: usize,
+    pub hub_endpoints: usize,
     /// Endpoints of the largest service.
-    pub largest: usize,
+    pub largest_endpoints: usize,
     /// The other services by size: parts of the services, and the parts of the endpoints that they hold.
-    pub sizes: Vec<(f64, f64)>,
+    pub service_sizes: Vec<(f64, f64)>,
     /// How many services a sidecar calls, the hub among them, and the part of the sidecars that do.
-    pub called: Vec<(usize, f64)>,
+    pub services_called: Vec<(usize, f64)>,
     /// Changes a day.
-    pub changes_a_day: f64,
+    pub changes_per_day: f64,
     /// Changes of the list a second at peak.
-    pub peak: f64,
+    pub peak_changes_per_s: f64,
     /// Restarts a day.
-    pub restarts_a_day: f64,
+    pub restarts_per_day: f64,
     /// Control machines.
-    pub controls: usize,
+    pub control_machines: usize,
 }
 
-impl Default for Figures {
-    fn default() -> Figures {
-        Figures {
+impl Default for FleetFigures {
+    fn default() -> FleetFigures {
+        FleetFigures {
             endpoints: 3100,
             services: 490,
             zones: 8,
-            hub: 60,
-            largest: 200,
-            sizes: vec![(0.04, 0.21), (0.14, 0.24), (0.41, 0.35), (0.33, 0.17), (0.08, 0.03)],
-            called: vec![(2, 0.35), (5, 0.40), (12, 0.20), (40, 0.05)],
-            changes_a_day: 7700.0,
-            peak: 10.0,
-            restarts_a_day: 780.0,
-            controls: 7,
+            hub_endpoints: 60,
+            largest_endpoints: 200,
+            service_sizes: vec![(0.04, 0.21), (0.14, 0.24), (0.41, 0.35), (0.33, 0.17), (0.08, 0.03)],
+            services_called: vec![(2, 0.35), (5, 0.40), (12, 0.20), (40, 0.05)],
+            changes_per_day: 7700.0,
+            peak_changes_per_s: 10.0,
+            restarts_per_day: 780.0,
+            control_machines: 7,
         }
     }
 }
 
-impl Figures {
+impl FleetFigures {
     /// The endpoints of a service in the mean.
-    fn size(&self, service: usize) -> f64 {
+    fn mean_endpoints(&self, service: usize) -> f64 {
         match service {
-            0 => self.hub as f64,
-            1 => self.largest as f64,
+            0 => self.hub_endpoints as f64,
+            1 => self.largest_endpoints as f64,
             _ => {
                 let others = (self.services - 2).max(1) as f64;
-                let left = self.endpoints.saturating_sub(self.hub + self.largest) as f64;
+                let left = self.endpoints.saturating_sub(self.hub_endpoints + self.largest_endpoints) as f64;
                 let place = (service - 2) as f64 / others;
                 let mut sum = 0.0;
-                let group = self.sizes.iter().find(|(services, _)| {
+                let group = self.service_sizes.iter().find(|(services, _)| {
                     sum += services;
                     place < sum
                 });
-                let (services, endpoints) = group.or(self.sizes.last()).copied().unwrap_or((1.0, 1.0));
+                let (services, endpoints) =
+                    group.or(self.service_sizes.last()).copied().unwrap_or((1.0, 1.0));
                 left * endpoints / (others * services).max(1.0)
             }
         }
@@ -85,13 +86,13 @@
     pub zones: Vec<String>,
 }
 
-fn service(number: usize) -> String {
+fn service_name(number: usize) -> String {
     format!("svc-{number:03}")
 }
 
 impl Fleet {
     /// A fleet of so many endpoints, of which the first have sidecars that are played.
-    pub fn draw(seed: u64, figures: &Figures, endpoints: usize, sidecars: usize) -> Fleet {
+    pub fn generate(seed: u64, figures: &FleetFigures, endpoints: usize, sidecars: usize) -> Fleet {
         let mut rng = SmallRng::seed_from_u64(seed);
         let services = (figures.services * endpoints).div_ceil(figures.endpoints).max(3);
         // A service of the whole fleet stands for as many as the size lacks.
@@ -99,7 +100,7 @@
         let mut sum = 0.0;
         let sums: Vec<f64> = (0..services)
             .map(|n| {
-                sum += figures.size(whole(n));
+                sum += figures.mean_endpoints(whole(n));
                 sum
             })
             .collect();
@@ -115,7 +116,7 @@
                 uid: format!("s-{:08x}", rng.random::<u32>()),
                 endpoint: SocketAddr::from((at, 5000)),
                 az: zones[n % zones.len()].clone(),
-                model: service(of),
+                model: service_name(of),
                 pod_group: (n / 64) as u32,
                 state: "up".to_owned(),
                 capacity_hint: 1.0,
@@ -126,15 +127,15 @@
         let calls = (0..sidecars).map(|n| {
             let drawn: f64 = rng.random();
             let mut sum = 0.0;
-            let group = figures.called.iter().find(|(_, share)| {
+            let group = figures.services_called.iter().find(|(_, share)| {
                 sum += share;
                 drawn < sum
             });
-            let wanted = group.or(figures.called.last()).map_or(1, |(called, _)| *called);
+            let wanted = group.or(figures.services_called.last()).map_or(1, |(called, _)| *called);
             // The first is a hub that calls all.
             let wanted = if n == 0 { services } else { wanted.clamp(1, services) };
             let others = sample(&mut rng, services - 1, wanted - 1).into_iter().map(|other| other + 1);
-            others.chain([0]).map(service).collect()
+            others.chain([0]).map(service_name).collect()
         });
         let calls = calls.collect();
         Fleet { entries, calls, zones }
--- a/crates/lab/src/scale/judge.rs
+++ b/crates/lab/src/scale/judge.rs
@@ -16,9 +16,9 @@
     /// Its memory in bytes.
     pub memory: f64,
     /// What a sidecar's memory may grow over the median in a day, in bytes.
-    pub growth: f64,
+    pub growth_bytes: f64,
     /// By how much the rig's timers may be late, in microseconds.
-    pub late: u64,
+    pub timer_delay_us: u64,
 }
 
 impl Default for Limits {
@@ -29,8 +29,8 @@
             bytes: 10.0 * kb,
             cpu: 0.047,
             memory: 128.0 * mb,
-            growth: 96.0 * 1024.0,
-            late: 1_000_000,
+            growth_bytes: 96.0 * 1024.0,
+            timer_delay_us: 1_000_000,
         }
     }
 }
@@ -40,13 +40,13 @@
     pub fn counts() -> Limits {
         let none = f64::INFINITY;
         let limits = Limits::default();
-        Limits { in_force_ms: none, bytes: none, cpu: none, memory: none, late: u64::MAX, ..limits }
+        Limits { in_force_ms: none, bytes: none, cpu: none, memory: none, timer_delay_us: u64::MAX, ..limits }
     }
 }
 
 /// A version that is to come in force at sidecars from a time on, in microseconds.
 #[derive(Clone, Debug)]
-pub struct Due {
+pub struct DueRevision {
     /// The version.
     pub rev: u64,
     /// Since when.
@@ -57,7 +57,7 @@
 
 /// Something counted at a time: what was added since the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Added {
+pub struct Sample {
     /// When, in microseconds.
     pub at: u64,
     /// Bytes that control wrote.
@@ -65,7 +65,7 @@
     /// Lists and changes that it wrote.
     pub messages: f64,
     /// Of these, whole lists asked for by a call.
-    pub whole: f64,
+    pub whole_lists: f64,
     /// Watches opened.
     pub watches: f64,
     /// Processor time, in microseconds.
@@ -84,7 +84,7 @@
     /// It is hollow: what its engine took is known.
     pub hollow: bool,
     /// By time.
-    pub added: Vec<Added>,
+    pub samples: Vec<Sample>,
     /// Its memory, by time, in bytes.
     pub memory: Vec<(u64, f64)>,
     /// Versions in force, by time.
@@ -95,7 +95,7 @@
 
 /// All that was seen.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// The sidecars by number.
     pub sidecars: Vec<Track>,
     /// The control machines by number.
@@ -106,7 +106,7 @@
 
 /// A day that was played.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct ScenarioRun {
     /// Its name.
     pub name: String,
     /// The seed.
@@ -116,20 +116,20 @@
     /// And ended.
     pub to: u64,
     /// What had to come in force.
-    pub due: Vec<Due>,
+    pub due: Vec<DueRevision>,
     /// Sidecars that ask for no whole list on this day: nothing broke their connections.
-    pub quiet: BTreeSet<usize>,
+    pub undisturbed: BTreeSet<usize>,
     /// Control machines that were killed.
     pub killed: BTreeSet<usize>,
 }
 
 /// A spread of values with names.
-struct Spread(Vec<(f64, String)>);
+struct Distribution(Vec<(f64, String)>);
 
-impl Spread {
-    fn new(mut values: Vec<(f64, String)>) -> Spread {
+impl Distribution {
+    fn new(mut values: Vec<(f64, String)>) -> Distribution {
         values.sort_by(|a, b| a.0.total_cmp(&b.0));
-        Spread(values)
+        Distribution(values)
     }
 
     fn at(&self, part: f64) -> Option<f64> {
@@ -170,12 +170,12 @@
 }
 
 /// The most that was added within any span of this length that begins with a sample, and when.
-fn most(added: &[&Added], of: fn(&Added) -> f64, span: u64) -> (f64, u64) {
+fn max_in_span(samples: &[&Sample], of: fn(&Sample) -> f64, span: u64) -> (f64, u64) {
     let (mut sum, mut first, mut most) = (0.0, 0, (0.0, 0));
-    for last in added {
+    for last in samples {
         sum += of(last);
-        while added[first].at + span <= last.at {
-            sum -= of(added[first]);
+        while samples[first].at + span <= last.at {
+            sum -= of(samples[first]);
             first += 1;
         }
         if sum > most.0 {
@@ -185,55 +185,67 @@
     most
 }
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
 struct Rate {
     name: &'static str,
     unit: &'static str,
-    of: fn(&Added) -> f64,
+    of: fn(&Sample) -> f64,
     /// How many of the counted make one of the unit.
     scale: f64,
 }
 
 /// The figures of a day, why a limit is broken, and what is said of it.
-pub fn judge(day: &Day, seen: &Seen, limits: &Limits) -> (Verdict, Vec<String>, Vec<Figure>) {
-    let mut why = Vec::new();
-    let mut figures = vec![in_force(day, seen, limits, &mut why)];
-    let all = |real: bool| seen.sidecars.iter().filter(|track| track.real == real).collect::<Vec<_>>();
+pub fn judge(
+    run: &ScenarioRun,
+    observations: &Observations,
+    limits: &Limits,
+) -> (Verdict, Vec<String>, Vec<Figure>) {
+    let mut violations = Vec::new();
+    let mut figures = vec![check_in_force(run, observations, limits, &mut violations)];
+    let all =
+        |real: bool| observations.sidecars.iter().filter(|track| track.real == real).collect::<Vec<_>>();
     for (role, tracks) in [("sidecar", all(false)), ("real", all(true))] {
         if !tracks.is_empty() {
-            figures.extend(of_role(day, role, &tracks, limits, &mut why));
+            figures.extend(role_figures(run, role, &tracks, limits, &mut violations));
         }
     }
-    let controls = seen.controls.iter().enumerate().filter(|(n, _)| !day.killed.contains(n));
+    let controls = observations.controls.iter().enumerate().filter(|(n, _)| !run.killed.contains(n));
     let controls: Vec<&Track> = controls.map(|(_, track)| track).collect();
-    figures.extend(of_role(day, "control", &controls, limits, &mut why));
-    counts(day, seen, &mut why);
-    growth(day, seen, limits, &mut why);
-    let late = seen.late.iter().filter(|(at, ..)| (day.from..=day.to).contains(at));
-    if let Some((at, late, who)) = late.max_by_key(|(_, late, _)| *late).filter(|l| l.1 > limits.late) {
-        let (late, at) = (late / 1000, at.saturating_sub(day.from) as f64 / 1e6);
-        why.insert(0, format!("void: {who} was {late} ms late at {at:.1} s, seed {}", day.seed));
-        return (Verdict::Void, why, figures);
+    figures.extend(role_figures(run, "control", &controls, limits, &mut violations));
+    check_counts(run, observations, &mut violations);
+    check_growth(run, observations, limits, &mut violations);
+    let late = observations.late.iter().filter(|(at, ..)| (run.from..=run.to).contains(at));
+    if let Some((at, late, who)) =
+        late.max_by_key(|(_, late, _)| *late).filter(|l| l.1 > limits.timer_delay_us)
+    {
+        let (late, at) = (late / 1000, at.saturating_sub(run.from) as f64 / 1e6);
+        violations.insert(0, format!("void: {who} was {late} ms late at {at:.1} s, seed {}", run.seed));
+        return (Verdict::Void, violations, figures);
     }
-    (if why.is_empty() { Verdict::Kept } else { Verdict::Broken }, why, figures)
+    (if violations.is_empty() { Verdict::Kept } else { Verdict::Broken }, violations, figures)
 }
 
 /// The time until each version was in force where it was due.
-fn in_force(day: &Day, seen: &Seen, limits: &Limits, why: &mut Vec<String>) -> Figure {
+fn check_in_force(
+    run: &ScenarioRun,
+    observations: &Observations,
+    limits: &Limits,
+    violations: &mut Vec<String>,
+) -> Figure {
     let mut took = Vec::new();
     let mut never: BTreeMap<usize, (u64, u64)> = BTreeMap::new();
     let mut latest: Option<(f64, u64, u64, usize)> = None;
-    let mut due: Vec<&Due> = day.due.iter().collect();
+    let mut due: Vec<&DueRevision> = run.due.iter().collect();
     due.sort_by_key(|due| due.at);
     for due in due {
         for sidecar in &due.sidecars {
-            let track = &seen.sidecars[*sidecar];
+            let track = &observations.sidecars[*sidecar];
             // One that was started anew meanwhile is due anew.
-            let anew = track.started.iter().find(|started| **started > due.at);
+            let restarted = track.started.iter().find(|started| **started > due.at);
             let from = track.in_force.partition_point(|(_, at)| *at < due.at);
             let here = track.in_force[from..].iter().find(|(rev, _)| *rev >= due.rev);
-            match here.filter(|(_, at)| anew.is_none_or(|anew| at < anew)) {
+            match here.filter(|(_, at)| restarted.is_none_or(|restarted| at < restarted)) {
                 Some((_, at)) => {
                     let ms = (at - due.at) as f64 / 1000.0;
                     took.push((ms, track.name.clone()));
@@ -241,40 +253,47 @@
                         latest = Some((ms, due.rev, due.at, *sidecar));
                     }
                 }
-                None if anew.is_some() => {}
+                None if restarted.is_some() => {}
                 None => drop(never.entry(*sidecar).or_insert((due.rev, due.at))),
             }
         }
     }
-    let seconds = |at: u64| at.saturating_sub(day.from) as f64 / 1e6;
+    let seconds = |at: u64| at.saturating_sub(run.from) as f64 / 1e6;
     if let Some((ms, rev, at, sidecar)) = latest.filter(|latest| latest.0 > limits.in_force_ms) {
-        let name = &seen.sidecars[sidecar].name;
-        why.push(format!(
+        let name = &observations.sidecars[sidecar].name;
+        violations.push(format!(
             "in-force: revision {rev} of {:.1} s took {ms:.0} ms at {name}, limit {:.0} ms, seed {}",
             seconds(at),
             limits.in_force_ms,
-            day.seed
+            run.seed
         ));
     }
     if let Some((rev, at)) = never.values().min_by_key(|(_, at)| *at) {
-        let names: Vec<&str> = never.keys().take(10).map(|n| seen.sidecars[*n].name.as_str()).collect();
-        why.push(format!(
+        let names: Vec<&str> =
+            never.keys().take(10).map(|n| observations.sidecars[*n].name.as_str()).collect();
+        violations.push(format!(
             "in-force: never at {} sidecars, {}; revision {rev} of {:.1} s first, limit {:.0} ms, seed {}",
             never.len(),
             names.join(" "),
             seconds(*at),
             limits.in_force_ms,
-            day.seed
+            run.seed
         ));
     }
-    let mut figure = Spread::new(took).figure("sidecar", "in-force", "ms", Some(limits.in_force_ms));
-    let names = never.keys().take(10).map(|n| seen.sidecars[*n].name.clone());
+    let mut figure = Distribution::new(took).figure("sidecar", "in-force", "ms", Some(limits.in_force_ms));
+    let names = never.keys().take(10).map(|n| observations.sidecars[*n].name.clone());
     let last: Vec<String> = names.chain(figure.last).take(10).collect();
     figure.last = last;
     figure
 }
 
-fn of_role(day: &Day, role: &str, tracks: &[&Track], limits: &Limits, why: &mut Vec<String>) -> Vec<Figure> {
+fn role_figures(
+    run: &ScenarioRun,
+    role: &str,
+    tracks: &[&Track],
+    limits: &Limits,
+    violations: &mut Vec<String>,
+) -> Vec<Figure> {
     let sidecar = role != "control";
     let rates = [
         Rate {
@@ -291,7 +310,7 @@
         },
         Rate { name: "cpu", unit: "part-of-core", of: |a| a.cpu, scale: 1e6 },
     ];
-    let lasts = (day.to - day.from) as f64 / 1e6;
+    let duration_s = (run.to - run.from) as f64 / 1e6;
     let mut figures = Vec::new();
     for Rate { name, unit, of, scale } in rates {
         let limit = match name {
@@ -299,32 +318,34 @@
             "cpu" if sidecar => Some(limits.cpu),
             _ => None,
         };
-        let (mut means, mut one, mut ten) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut means, mut per_second, mut per_10s) = (Vec::new(), Vec::new(), Vec::new());
         for track in tracks {
-            let within = |added: &&Added| (day.from..day.to).contains(&added.at);
-            let added: Vec<&Added> = track.added.iter().filter(within).collect();
-            let sum: f64 = added.iter().map(|added| of(added)).sum();
-            means.push((sum / scale / lasts, track.name.clone()));
-            let second = most(&added, of, SECOND);
-            one.push((second.0 / scale, second.1, track.name.clone()));
-            let seconds = most(&added, of, 10 * SECOND);
-            ten.push((seconds.0 / scale / lasts.min(10.0), seconds.1, track.name.clone()));
+            let within = |sample: &&Sample| (run.from..run.to).contains(&sample.at);
+            let samples: Vec<&Sample> = track.samples.iter().filter(within).collect();
+            let sum: f64 = samples.iter().map(|sample| of(sample)).sum();
+            means.push((sum / scale / duration_s, track.name.clone()));
+            let second = max_in_span(&samples, of, SECOND_US);
+            per_second.push((second.0 / scale, second.1, track.name.clone()));
+            let seconds = max_in_span(&samples, of, 10 * SECOND_US);
+            per_10s.push((seconds.0 / scale / duration_s.min(10.0), seconds.1, track.name.clone()));
         }
-        let mut figure = Spread::new(means).figure(role, name, unit, limit);
+        let mut figure = Distribution::new(means).figure(role, name, unit, limit);
         let most = |values: &[(f64, u64, String)]| values.iter().cloned().max_by(|a, b| a.0.total_cmp(&b.0));
-        let (one_most, ten_most) = (most(&one), most(&ten));
-        figure.most_1s = one_most.as_ref().map(|most| most.0);
-        figure.most_10s = ten_most.as_ref().map(|most| most.0);
+        let (max_1s, max_10s) = (most(&per_second), most(&per_10s));
+        figure.most_1s = max_1s.as_ref().map(|most| most.0);
+        figure.most_10s = max_10s.as_ref().map(|most| most.0);
         if let Some(limit) = limit {
-            for (span, values, worst) in [("any 10 s", &ten, ten_most), ("any one second", &one, one_most)] {
+            for (span, values, worst) in
+                [("any 10 s", &per_10s, max_10s), ("any one second", &per_second, max_1s)]
+            {
                 let Some((value, at, who)) = worst.filter(|worst| worst.0 > limit) else { continue };
                 let over = values.iter().filter(|(value, ..)| *value > limit).count();
-                let at = at.saturating_sub(day.from) as f64 / 1e6;
-                why.push(format!(
+                let at = at.saturating_sub(run.from) as f64 / 1e6;
+                violations.push(format!(
                     "{name}: {value:.3} {unit} in {span} at {who} at {at:.1} s, {over} of {} {role}s over, \
                      limit {limit}, seed {}",
                     tracks.len(),
-                    day.seed
+                    run.seed
                 ));
             }
         }
@@ -332,31 +353,32 @@
     }
     let limit = sidecar.then_some(limits.memory);
     let most_of = |track: &&Track| {
-        let within = track.memory.iter().filter(|(at, _)| (day.from..day.to).contains(at));
+        let within = track.memory.iter().filter(|(at, _)| (run.from..run.to).contains(at));
         let most = within.map(|(_, bytes)| *bytes).fold(0.0, f64::max);
         (most, track.name.clone())
     };
-    let memory = Spread::new(tracks.iter().map(most_of).collect());
+    let memory = Distribution::new(tracks.iter().map(most_of).collect());
     let figure = memory.figure(role, "memory", "bytes", limit);
     if let Some((bytes, who)) = memory.0.last().filter(|(bytes, _)| limit.is_some_and(|l| *bytes > l)) {
-        why.push(format!("memory: {bytes:.0} bytes at {who}, limit {}, seed {}", limits.memory, day.seed));
+        violations
+            .push(format!("memory: {bytes:.0} bytes at {who}, limit {}, seed {}", limits.memory, run.seed));
     }
     figures.push(figure);
     figures
 }
 
 /// On a sidecar whose connection nothing broke: no whole list, and each message that control wrote was taken.
-fn counts(day: &Day, seen: &Seen, why: &mut Vec<String>) {
+fn check_counts(run: &ScenarioRun, observations: &Observations, violations: &mut Vec<String>) {
     let (mut whole, mut other) = (Vec::new(), Vec::new());
-    for sidecar in &day.quiet {
-        let track = &seen.sidecars[*sidecar];
-        let within = track.added.iter().filter(|added| (day.from..day.to).contains(&added.at));
+    for sidecar in &run.undisturbed {
+        let track = &observations.sidecars[*sidecar];
+        let within = track.samples.iter().filter(|sample| (run.from..run.to).contains(&sample.at));
         let (mut lists, mut written, mut taken, mut watches) = (0.0, 0.0, 0.0, 0.0);
-        for added in within {
-            lists += added.whole;
-            written += added.messages;
-            taken += added.deliveries;
-            watches += added.watches;
+        for sample in within {
+            lists += sample.whole_lists;
+            written += sample.messages;
+            taken += sample.deliveries;
+            watches += sample.watches;
         }
         if lists > 0.0 {
             whole.push(format!("{} ({lists:.0})", track.name));
@@ -368,44 +390,49 @@
     let named = |names: &[String]| names.iter().take(10).cloned().collect::<Vec<_>>().join(" ");
     if !whole.is_empty() {
         let (count, names) = (whole.len(), named(&whole));
-        why.push(format!(
+        violations.push(format!(
             "whole-list: {count} sidecars took the whole list at changes, {names}, seed {}",
-            day.seed
+            run.seed
         ));
     }
     if !other.is_empty() {
         let (count, names) = (other.len(), named(&other));
-        why.push(format!(
+        violations.push(format!(
             "messages: written and taken differ at {count} sidecars, {names}, seed {}",
-            day.seed
+            run.seed
         ));
     }
 }
 
 /// Memory that grows where that of the others does not is held by something that was forgotten.
-fn growth(day: &Day, seen: &Seen, limits: &Limits, why: &mut Vec<String>) {
+fn check_growth(
+    run: &ScenarioRun,
+    observations: &Observations,
+    limits: &Limits,
+    violations: &mut Vec<String>,
+) {
     let mut grown = Vec::new();
-    for track in seen.sidecars.iter().filter(|track| track.hollow) {
-        if track.started.iter().any(|at| (day.from..day.to).contains(at)) {
+    for track in observations.sidecars.iter().filter(|track| track.hollow) {
+        if track.started.iter().any(|at| (run.from..run.to).contains(at)) {
             continue;
         }
-        let mut within = track.memory.iter().filter(|(at, _)| (day.from..day.to).contains(at));
+        let mut within = track.memory.iter().filter(|(at, _)| (run.from..run.to).contains(at));
         if let (Some(first), Some(last)) = (within.next(), within.next_back()) {
             grown.push((last.1 - first.1, track.name.clone()));
         }
     }
-    let grown = Spread::new(grown);
+    let grown = Distribution::new(grown);
     let Some(median) = grown.at(0.5) else { return };
     let over: Vec<&(f64, String)> =
-        grown.0.iter().filter(|(bytes, _)| bytes - median > limits.growth).collect();
+        grown.0.iter().filter(|(bytes, _)| bytes - median > limits.growth_bytes).collect();
     if let Some((bytes, _)) = over.last() {
         let names: Vec<&str> = over.iter().rev().take(10).map(|(_, name)| name.as_str()).collect();
-        why.push(format!(
+        violations.push(format!(
             "growth: memory grew by up to {bytes:.0} bytes, the median by {median:.0}, limit {:.0} over it, at {}, \
              seed {}",
-            limits.growth,
+            limits.growth_bytes,
             names.join(" "),
-            day.seed
+            run.seed
         ));
     }
 }
--- a/crates/lab/src/scale/result.rs
+++ b/crates/lab/src/scale/result.rs
@@ -43,7 +43,7 @@
     /// By what factor time was pressed together; 1 for none.
     pub pressed: f64,
     /// The days.
-    pub days: Vec<DayResult>,
+    pub days: Vec<ScenarioResult>,
 }
 
 /// What is said of a day.
@@ -58,19 +58,19 @@
     Void,
 }
 
-fn one() -> f64 {
+fn default_pressed() -> f64 {
     1.0
 }
 
 /// A day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DayResult {
+pub struct ScenarioResult {
     /// Which.
     pub name: String,
     /// How long it was played, in seconds, with what came after its last change until that was in force.
     pub lasts_s: f64,
     /// By what factor its events were pressed together against the plan; 1 for none.
-    #[serde(default = "one")]
+    #[serde(default = "default_pressed")]
     pub pressed: f64,
     /// What is said of it.
     pub verdict: Verdict,
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/rig.rs
@@ -5,9 +5,9 @@
 //! up its addresses, [`TAKES_OVER`] later, as a service's address moves to another machine: a sidecar asks on where it
 //! asked before.
 
-use super::fleet::{Figures, Fleet};
-use super::judge::{Added, Day, Due, Limits, Seen, Track, judge};
-use super::result::{DayResult, HollowReal, SizeRun};
+use super::fleet::{Fleet, FleetFigures};
+use super::judge::{DueRevision, Limits, Observations, Sample, ScenarioRun, Track, judge};
+use super::result::{HollowReal, ScenarioResult, SizeRun};
 use anyhow::{Context, Result, bail};
 use dunlincleat_hollow::account::revision_of;
 use dunlincleat_hollow::sidecar::{InjectedFault, SharedConfig, SidecarSpec};
@@ -29,25 +29,25 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Hollow sidecars that share a process at the most, and so its one thread.
-const TOGETHER: usize = 520;
+const MAX_HOLLOW_PER_PROCESS: usize = 520;
 /// Processes that hollow sidecars are spread over at the least, where there are so many.
-const APART: usize = 4;
+const MIN_HOLLOW_PROCESSES: usize = 4;
 /// How long after a control machine's death the others serve its sidecars.
-const TAKES_OVER: Duration = Duration::from_millis(500);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(500);
 /// How often the real processes are looked at.
-const LOOK: Duration = Duration::from_millis(500);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// How long all may take to begin.
-const BEGINS: Duration = Duration::from_secs(120);
+const START_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// What is played at one size.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct RunSpec {
     /// This program, which holds control, the hollow sidecars and the tie.
     pub lab: PathBuf,
     /// The program under test.
     pub program: PathBuf,
     /// What the fleet is drawn by.
-    pub figures: Figures,
+    pub figures: FleetFigures,
     /// Endpoints listed.
     pub size: usize,
     /// Hollow sidecars.
@@ -61,36 +61,36 @@
     /// Sidecars ask only for the services that they call.
     pub interest: bool,
     /// How long a day's events go on, in seconds.
-    pub lasts: f64,
+    pub duration_s: f64,
     /// Requests a second of each hollow sidecar.
     pub rate: f64,
     /// The least length of the decision module's window, in milliseconds; 0 for that of its classes.
     pub window_ms: u64,
     /// Faults that are planted, by the number of the sidecar.
-    pub plants: BTreeMap<usize, String>,
+    pub faults: BTreeMap<usize, String>,
     /// What is judged by.
     pub limits: Limits,
     /// The grace of a drain, which sidecars derive from when a watch is late.
     pub grace_ms: u64,
     /// How long after the last change it is waited for.
-    pub waits: Duration,
+    pub settle_time: Duration,
 }
 
-impl Play {
+impl RunSpec {
     /// After its connection broke a sidecar asks for the whole list once, so many microseconds later at the latest.
-    fn checks(&self) -> u64 {
+    fn list_check_delay_us(&self) -> u64 {
         4_000_000 + 400 * self.grace_ms
     }
 
     /// Processes that the hollow sidecars share.
     pub fn hollow_processes(&self) -> usize {
-        self.hollow.div_ceil(TOGETHER).max(APART.min(self.hollow))
+        self.hollow.div_ceil(MAX_HOLLOW_PER_PROCESS).max(MIN_HOLLOW_PROCESSES.min(self.hollow))
     }
 }
 
 /// A day that can be played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DayName {
+pub enum Scenario {
     /// Changes as they come in the mean.
     ChangesMean,
     /// And at peak.
@@ -107,33 +107,39 @@
     ControlKilled,
 }
 
-impl DayName {
+impl Scenario {
     /// All of them, in the order in which they are played.
-    pub const ALL: [(&'static str, DayName); 7] = [
-        ("changes-mean", DayName::ChangesMean),
-        ("changes-peak", DayName::ChangesPeak),
-        ("restarts", DayName::Restarts),
-        ("zone", DayName::Zone),
-        ("all-anew", DayName::AllAnew),
-        ("control-killed", DayName::ControlKilled),
-        ("reconnects", DayName::Reconnects),
+    pub const ALL: [(&'static str, Scenario); 7] = [
+        ("changes-mean", Scenario::ChangesMean),
+        ("changes-peak", Scenario::ChangesPeak),
+        ("restarts", Scenario::Restarts),
+        ("zone", Scenario::Zone),
+        ("all-anew", Scenario::AllAnew),
+        ("control-killed", Scenario::ControlKilled),
+        ("reconnects", Scenario::Reconnects),
     ];
 
     /// The day of a name.
-    pub fn of(name: &str) -> Option<DayName> {
-        DayName::ALL.iter().find(|(other, _)| *other == name).map(|(_, day)| *day)
+    pub fn of(name: &str) -> Option<Scenario> {
+        Scenario::ALL.iter().find(|(other, _)| *other == name).map(|(_, day)| *day)
     }
 
     fn name(self) -> &'static str {
-        DayName::ALL.iter().find(|(_, day)| *day == self).map_or("", |(name, _)| name)
+        Scenario::ALL.iter().find(|(_, day)| *day == self).map_or("", |(name, _)| name)
     }
 }
 
-enum From {
+enum Event {
     Control(usize, control::Report),
     Hollow(usize, hollow::Report),
-    Took(usize, u64, u64),
-    Gone(String),
+    /// A real sidecar has a revision in force.
+    InForce {
+        sidecar: usize,
+        revision: u64,
+        at: u64,
+    },
+    /// A process has exited, with its name and what is known of it.
+    Exited(String),
 }
 
 /// A process that is told orders by lines.
@@ -143,28 +149,28 @@
 }
 
 impl Child {
-    fn tell<T: serde::Serialize>(&self, order: &T) -> Result<()> {
-        self.give(serde_json::to_string(order)?.into());
+    fn send<T: serde::Serialize>(&self, order: &T) -> Result<()> {
+        self.send_line(serde_json::to_string(order)?.into());
         Ok(())
     }
 
-    fn give(&self, line: Rc<str>) {
+    fn send_line(&self, line: Rc<str>) {
         // One that has ended is told of by its reader.
         let _ = self.orders.send(line);
     }
 
     fn start<T: serde::de::DeserializeOwned + 'static>(
-        play: &Play,
+        spec: &RunSpec,
         name: String,
         what: &str,
-        tell: UnboundedSender<From>,
-        of: impl Fn(T) -> From + 'static,
+        event_sender: UnboundedSender<Event>,
+        of: impl Fn(T) -> Event + 'static,
     ) -> Result<Child> {
-        let mut process = Process::start(&play.lab, &play.lab, &[what], &[])?;
+        let mut process = Process::start(&spec.lab, &spec.lab, &[what], &[])?;
         let (mut stdin, out, errors) = process.streams()?;
-        let (orders, mut given) = unbounded_channel::<Rc<str>>();
+        let (orders, mut pending) = unbounded_channel::<Rc<str>>();
         actix_rt::spawn(async move {
-            while let Some(line) = given.recv().await {
+            while let Some(line) = pending.recv().await {
                 let written = async {
                     stdin.write_all(line.as_bytes()).await?;
                     stdin.write_all(b"\n").await?;
@@ -175,43 +181,43 @@
                 }
             }
         });
-        let said = name.clone();
+        let prefix = name.clone();
         actix_rt::spawn(async move {
             let mut errors = BufReader::new(errors).lines();
             while let Ok(Some(line)) = errors.next_line().await {
-                eprintln!("{said}: {line}");
+                eprintln!("{prefix}: {line}");
             }
         });
         actix_rt::spawn(async move {
             let mut lines = BufReader::with_capacity(1 << 18, out).lines();
             while let Ok(Some(line)) = lines.next_line().await {
                 match serde_json::from_str::<T>(&line) {
-                    Ok(event) => drop(tell.send(of(event))),
+                    Ok(event) => drop(event_sender.send(of(event))),
                     Err(error) => eprintln!("{name}: {error}"),
                 }
             }
-            let _ = tell.send(From::Gone(name));
+            let _ = event_sender.send(Event::Exited(name));
         });
         Ok(Child { process, orders })
     }
 }
 
 /// A process of the program.
-struct Real {
+struct RealSidecar {
     process: Process,
     /// Its processor time when it was last looked at, in nanoseconds.
-    nanos: u64,
+    cpu_ns: u64,
 }
 
 struct Rig<'a> {
-    play: &'a Play,
+    spec: &'a RunSpec,
     fleet: Fleet,
-    seen: Seen,
-    told: UnboundedReceiver<From>,
-    tell: UnboundedSender<From>,
+    observations: Observations,
+    events: UnboundedReceiver<Event>,
+    event_sender: UnboundedSender<Event>,
     controls: Vec<Option<Child>>,
-    hollows: Vec<Child>,
-    reals: BTreeMap<usize, Real>,
+    hollow_processes: Vec<Child>,
+    real_sidecars: BTreeMap<usize, RealSidecar>,
     /// Which control machine serves a sidecar.
     served_by: Vec<usize>,
     running: Vec<bool>,
@@ -219,35 +225,35 @@
     rev: u64,
     rng: SmallRng,
     /// Servers that leave and have not come back, the longest away first.
-    away: Vec<usize>,
+    absent: Vec<usize>,
     /// The last version that is due at a sidecar, and the last one in force there.
-    due: Vec<u64>,
-    latest: Vec<u64>,
+    due_revisions: Vec<u64>,
+    latest_revisions: Vec<u64>,
     sent: BTreeMap<(usize, usize), SentCounts>,
-    counted: Vec<hollow::SidecarCounts>,
+    hollow_counts: Vec<hollow::SidecarCounts>,
     control_cpu: Vec<u64>,
-    serves: BTreeMap<usize, usize>,
-    looks: Instant,
+    addresses_served: BTreeMap<usize, usize>,
+    next_sample: Instant,
     /// When the rig last broke a sidecar's connections.
-    broke: Vec<Option<u64>>,
+    disconnected_at: Vec<Option<u64>>,
     /// When everyone last told what it counted.
-    heard: BTreeMap<String, u64>,
+    last_report: BTreeMap<String, u64>,
     fault: Option<String>,
 }
 
 /// The settings that all sidecars of a run have, as their configuration tells them.
-fn settings(zones: &[String], play: &Play) -> serde_json::Value {
+fn settings(zones: &[String], spec: &RunSpec) -> serde_json::Value {
     json!({
         "zones": zones, "stats": {"fields": ["inflight", "queue", "util"], "how": "inline"},
         "limits": {"try_limit": 4, "probes": true, "cancel": true, "connect_timeout": 200_000},
-        "deductions": {"probe": 0.02}, "safety": {"drain_grace": play.grace_ms * 1000}, "tick": play.window_ms * 1000,
+        "deductions": {"probe": 0.02}, "safety": {"drain_grace": spec.grace_ms * 1000}, "tick": spec.window_ms * 1000,
         "classes": [{"name": "read", "aim": 300_000, "deadline": 740_000, "gain": 1.0, "late_worth": 0.5,
             "semantics": "retryable"}],
     })
 }
 
 /// The processor time of a process, in nanoseconds.
-fn nanos(process: u32) -> u64 {
+fn process_cpu_ns(process: u32) -> u64 {
     let Ok(tasks) = std::fs::read_dir(format!("/proc/{process}/task")) else { return 0 };
     let of = |path: PathBuf| std::fs::read_to_string(path.join("schedstat")).unwrap_or_default();
     let first = |text: String| text.split(' ').next().and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
@@ -263,77 +269,87 @@
 /// # Errors
 ///
 /// A process can't be started, or one ends by itself.
-pub async fn play(play: &Play, days: &[DayName], mut say: impl FnMut(&DayResult)) -> Result<SizeRun> {
-    let mut rig = Rig::start(play)?;
-    rig.begin().await?;
+pub async fn run_all_scenarios(
+    spec: &RunSpec,
+    days: &[Scenario],
+    mut say: impl FnMut(&ScenarioResult),
+) -> Result<SizeRun> {
+    let mut rig = Rig::start(spec)?;
+    rig.start_processes().await?;
     let mut results = Vec::new();
     for day in days {
-        let result = rig.day(*day).await?;
+        let result = rig.run_scenario(*day).await?;
         say(&result);
         results.push(result);
     }
     Ok(SizeRun {
-        size: play.size,
-        hollow: play.hollow,
-        real: play.real,
-        controls: play.controls,
-        interest: play.interest,
+        size: spec.size,
+        hollow: spec.hollow,
+        real: spec.real,
+        controls: spec.controls,
+        interest: spec.interest,
         pressed: 1.0,
         days: results,
     })
 }
 
 impl<'a> Rig<'a> {
-    fn start(play: &'a Play) -> Result<Rig<'a>> {
-        let sidecars = play.hollow + play.real;
-        let fleet = Fleet::draw(play.seed, &play.figures, play.size, sidecars);
-        let (tell, told) = unbounded_channel();
+    fn start(spec: &'a RunSpec) -> Result<Rig<'a>> {
+        let sidecars = spec.hollow + spec.real;
+        let fleet = Fleet::generate(spec.seed, &spec.figures, spec.size, sidecars);
+        let (event_sender, events) = unbounded_channel();
         let mut controls = Vec::new();
-        for n in 0..play.controls {
-            let of = move |said| From::Control(n, said);
-            controls.push(Some(Child::start(play, format!("c{n}"), "control", tell.clone(), of)?));
+        for n in 0..spec.controls {
+            let of = move |report| Event::Control(n, report);
+            controls.push(Some(Child::start(spec, format!("c{n}"), "control", event_sender.clone(), of)?));
         }
-        let mut hollows = Vec::new();
-        for n in 0..play.hollow_processes() {
-            let of = move |said| From::Hollow(n, said);
-            hollows.push(Child::start(play, format!("hollow process {n}"), "hollow", tell.clone(), of)?);
+        let mut hollow_processes = Vec::new();
+        for n in 0..spec.hollow_processes() {
+            let of = move |report| Event::Hollow(n, report);
+            hollow_processes.push(Child::start(
+                spec,
+                format!("hollow process {n}"),
+                "hollow",
+                event_sender.clone(),
+                of,
+            )?);
         }
         let track = |n: usize| {
-            let (real, hollow) = (n >= play.hollow, n < play.hollow);
-            Track { name: name(play, n), real, hollow, ..Track::default() }
+            let (real, hollow) = (n >= spec.hollow, n < spec.hollow);
+            Track { name: sidecar_name(spec, n), real, hollow, ..Track::default() }
         };
         let control = |n: usize| Track { name: format!("c{n}"), ..Track::default() };
-        let seen = Seen {
+        let observations = Observations {
             sidecars: (0..sidecars).map(track).collect(),
-            controls: (0..play.controls).map(control).collect(),
+            controls: (0..spec.controls).map(control).collect(),
             late: Vec::new(),
         };
         // A port that is free at one of loopback's addresses is free at the others, or the fault is told.
         let port = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()?.port();
         Ok(Rig {
-            play,
+            spec,
             fleet,
-            seen,
-            told,
-            tell,
+            observations,
+            events,
+            event_sender,
             controls,
-            hollows,
-            reals: BTreeMap::new(),
-            served_by: (0..sidecars).map(|n| n % play.controls).collect(),
+            hollow_processes,
+            real_sidecars: BTreeMap::new(),
+            served_by: (0..sidecars).map(|n| n % spec.controls).collect(),
             running: vec![false; sidecars],
             port,
             rev: 1,
-            rng: SmallRng::seed_from_u64(play.seed ^ 0x5ca1e),
-            away: Vec::new(),
-            due: vec![0; sidecars],
-            latest: vec![0; sidecars],
+            rng: SmallRng::seed_from_u64(spec.seed ^ 0x5ca1e),
+            absent: Vec::new(),
+            due_revisions: vec![0; sidecars],
+            latest_revisions: vec![0; sidecars],
             sent: BTreeMap::new(),
-            counted: vec![hollow::SidecarCounts::default(); sidecars],
-            control_cpu: vec![0; play.controls],
-            serves: BTreeMap::new(),
-            looks: Instant::now() + LOOK,
-            broke: vec![None; sidecars],
-            heard: BTreeMap::new(),
+            hollow_counts: vec![hollow::SidecarCounts::default(); sidecars],
+            control_cpu: vec![0; spec.controls],
+            addresses_served: BTreeMap::new(),
+            next_sample: Instant::now() + SAMPLE_INTERVAL,
+            disconnected_at: vec![None; sidecars],
+            last_report: BTreeMap::new(),
             fault: None,
         })
     }
@@ -344,172 +360,174 @@
     }
 
     /// Where the same sidecar is known as well, for one that moves to and fro.
-    fn elsewhere(&self, sidecar: usize) -> SocketAddr {
+    fn second_address(&self, sidecar: usize) -> SocketAddr {
         let at = Ipv4Addr::new(127, 20, (sidecar >> 8) as u8, sidecar as u8);
         SocketAddr::from((at, self.port))
     }
 
     fn serve(&self, control: usize, sidecars: &[usize]) -> Result<()> {
         let mut at: Vec<(usize, SocketAddr)> = sidecars.iter().map(|n| (*n, self.address(*n))).collect();
-        let planted = sidecars.iter().filter(|n| self.play.plants.contains_key(n));
-        at.extend(planted.map(|n| (*n, self.elsewhere(*n))));
+        let faulty = sidecars.iter().filter(|n| self.spec.faults.contains_key(n));
+        at.extend(faulty.map(|n| (*n, self.second_address(*n))));
         let child = self.controls.get(control).and_then(Option::as_ref).context("a control machine")?;
-        child.tell(&control::Command::Serve(at))
+        child.send(&control::Command::Serve(at))
     }
 
-    fn of_control(&self, control: usize) -> Vec<usize> {
+    fn sidecars_of(&self, control: usize) -> Vec<usize> {
         (0..self.served_by.len()).filter(|n| self.served_by[*n] == control).collect()
     }
 
     /// Starts everything and waits until every sidecar has the list.
-    async fn begin(&mut self) -> Result<()> {
+    async fn start_processes(&mut self) -> Result<()> {
         let list = control::Command::List { rev: self.rev, entries: self.fleet.entries.clone() };
         let list: Rc<str> = serde_json::to_string(&list)?.into();
         for control in 0..self.controls.len() {
             if let Some(child) = &self.controls[control] {
-                child.give(list.clone());
+                child.send_line(list.clone());
             }
-            self.serve(control, &self.of_control(control))?;
+            self.serve(control, &self.sidecars_of(control))?;
         }
-        let told = SharedConfig { settings: settings(&self.fleet.zones, self.play), rate: self.play.rate };
-        self.hollows.iter().try_for_each(|child| child.tell(&hollow::Command::Configure(told.clone())))?;
-        let patience = Instant::now() + BEGINS;
-        while self.serves.len() < self.controls.len() {
-            self.go_on(patience, "control does not begin").await?;
+        let config = SharedConfig { settings: settings(&self.fleet.zones, self.spec), rate: self.spec.rate };
+        self.hollow_processes
+            .iter()
+            .try_for_each(|child| child.send(&hollow::Command::Configure(config.clone())))?;
+        let deadline = Instant::now() + START_TIMEOUT;
+        while self.addresses_served.len() < self.controls.len() {
+            self.wait_a_step(deadline, "control does not begin").await?;
         }
         let all: Vec<usize> = (0..self.running.len()).collect();
         self.start_sidecars(&all)?;
         while !self.all_in_force() {
-            self.go_on(patience, "not every sidecar has the list").await?;
+            self.wait_a_step(deadline, "not every sidecar has the list").await?;
         }
         // On a busy machine some have asked twice at the start, and check.
-        if self.play.limits.late < u64::MAX {
-            self.until(Instant::now() + Duration::from_micros(self.play.checks())).await?;
+        if self.spec.limits.timer_delay_us < u64::MAX {
+            self.run_until(Instant::now() + Duration::from_micros(self.spec.list_check_delay_us())).await?;
         }
         Ok(())
     }
 
-    async fn go_on(&mut self, patience: Instant, what: &str) -> Result<()> {
-        if Instant::now() > patience {
-            let lack: Vec<&str> = (0..self.due.len())
-                .filter(|n| self.latest[*n] < self.due[*n])
+    async fn wait_a_step(&mut self, deadline: Instant, what: &str) -> Result<()> {
+        if Instant::now() > deadline {
+            let missing: Vec<&str> = (0..self.due_revisions.len())
+                .filter(|n| self.latest_revisions[*n] < self.due_revisions[*n])
                 .take(10)
-                .map(|n| self.seen.sidecars[n].name.as_str())
+                .map(|n| self.observations.sidecars[n].name.as_str())
                 .collect();
-            bail!("{what}: {}", lack.join(" "));
+            bail!("{what}: {}", missing.join(" "));
         }
-        self.until(Instant::now() + Duration::from_millis(50)).await
+        self.run_until(Instant::now() + Duration::from_millis(50)).await
     }
 
     fn all_in_force(&self) -> bool {
-        let mut all = self.due.iter().zip(&self.latest).zip(&self.running);
+        let mut all = self.due_revisions.iter().zip(&self.latest_revisions).zip(&self.running);
         all.all(|((due, latest), running)| !running || latest >= due)
     }
 
-    fn start_sidecars(&mut self, sidecars: &[usize]) -> Result<Due> {
-        let due = Due { rev: self.rev, at: now(), sidecars: sidecars.to_vec() };
+    fn start_sidecars(&mut self, sidecars: &[usize]) -> Result<DueRevision> {
+        let due = DueRevision { rev: self.rev, at: now(), sidecars: sidecars.to_vec() };
         let mut specs: BTreeMap<usize, Vec<SidecarSpec>> = BTreeMap::new();
         for sidecar in sidecars.iter().copied() {
             self.running[sidecar] = true;
-            (self.due[sidecar], self.latest[sidecar]) = (self.rev, 0);
-            self.seen.sidecars[sidecar].started.push(due.at);
+            (self.due_revisions[sidecar], self.latest_revisions[sidecar]) = (self.rev, 0);
+            self.observations.sidecars[sidecar].started.push(due.at);
             let discovery = self.address(sidecar);
-            let seed = self.play.seed.wrapping_mul(0x9e37_79b9).wrapping_add(sidecar as u64);
-            if sidecar >= self.play.hollow {
+            let seed = self.spec.seed.wrapping_mul(0x9e37_79b9).wrapping_add(sidecar as u64);
+            if sidecar >= self.spec.hollow {
                 self.start_real(sidecar, discovery, seed)?;
                 continue;
             }
-            let plant = match self.play.plants.get(&sidecar).map(String::as_str) {
+            let fault = match self.spec.faults.get(&sidecar).map(String::as_str) {
                 None => None,
-                Some("whole-list") => Some(InjectedFault::WholeList(self.elsewhere(sidecar))),
+                Some("whole-list") => Some(InjectedFault::WholeList(self.second_address(sidecar))),
                 Some("deaf") => Some(InjectedFault::Unresponsive),
                 Some("leak") => Some(InjectedFault::Leak),
                 Some(other) => {
                     bail!("--plant: {other} is none of whole-list, deaf, leak")
                 }
             };
-            self.counted[sidecar] = hollow::SidecarCounts::default();
+            self.hollow_counts[sidecar] = hollow::SidecarCounts::default();
             let calls = &self.fleet.calls[sidecar];
-            let services = if self.play.interest { calls.iter().cloned().collect() } else { Vec::new() };
-            let spec = SidecarSpec { sidecar, discovery, seed, services, fault: plant };
-            specs.entry(sidecar % self.hollows.len()).or_default().push(spec);
+            let services = if self.spec.interest { calls.iter().cloned().collect() } else { Vec::new() };
+            let spec = SidecarSpec { sidecar, discovery, seed, services, fault };
+            specs.entry(sidecar % self.hollow_processes.len()).or_default().push(spec);
         }
         for (process, specs) in specs {
-            self.hollows[process].tell(&hollow::Command::Start(specs))?;
+            self.hollow_processes[process].send(&hollow::Command::Start(specs))?;
         }
         Ok(due)
     }
 
     fn start_real(&mut self, sidecar: usize, discovery: SocketAddr, seed: u64) -> Result<()> {
         // One that runs ends here.
-        self.reals.remove(&sidecar);
+        self.real_sidecars.remove(&sidecar);
         // Told by its standard input: nothing is left on a disk.
-        let stdin = PathBuf::from("/dev/stdin");
-        let play = self.play;
-        let mut process = Process::start(&play.lab, &play.program, &[], &[("EDGE_CONFIG", &stdin)])?;
-        let (mut config, out, errors) = process.streams()?;
-        let name = name(play, sidecar);
-        let mut told = json!({
+        let config_path = PathBuf::from("/dev/stdin");
+        let spec = self.spec;
+        let mut process = Process::start(&spec.lab, &spec.program, &[], &[("EDGE_CONFIG", &config_path)])?;
+        let (mut stdin, out, errors) = process.streams()?;
+        let name = sidecar_name(spec, sidecar);
+        let mut config = json!({
             "name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
-            "seed": format!("{seed:016x}"), "settings": settings(&self.fleet.zones, play),
+            "seed": format!("{seed:016x}"), "settings": settings(&self.fleet.zones, spec),
         });
-        if play.interest {
-            told["sidecar"] = json!({"services": self.fleet.calls[sidecar]});
+        if spec.interest {
+            config["sidecar"] = json!({"services": self.fleet.calls[sidecar]});
         }
         actix_rt::spawn(async move {
-            let _ = config.write_all(told.to_string().as_bytes()).await;
-            drop((config, out));
+            let _ = stdin.write_all(config.to_string().as_bytes()).await;
+            drop((stdin, out));
         });
-        let tell = self.tell.clone();
+        let event_sender = self.event_sender.clone();
         actix_rt::spawn(async move {
             let mut lines = BufReader::new(errors).lines();
             let mut last = String::new();
             while let Ok(Some(line)) = lines.next_line().await {
-                if let Some(rev) = revision_of(&line) {
-                    let _ = tell.send(From::Took(sidecar, rev, now()));
+                if let Some(revision) = revision_of(&line) {
+                    let _ = event_sender.send(Event::InForce { sidecar, revision, at: now() });
                 }
                 last = line;
             }
-            let _ = tell.send(From::Gone(format!("{name}, which said last: {last}")));
+            let _ = event_sender.send(Event::Exited(format!("{name}, which said last: {last}")));
         });
-        self.reals.insert(sidecar, Real { process, nanos: 0 });
+        self.real_sidecars.insert(sidecar, RealSidecar { process, cpu_ns: 0 });
         Ok(())
     }
 
     fn end_sidecars(&mut self, sidecars: &[usize]) -> Result<()> {
-        let mut ends: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
+        let mut by_process: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for sidecar in sidecars.iter().copied() {
             self.running[sidecar] = false;
-            if sidecar < self.play.hollow {
-                ends.entry(sidecar % self.hollows.len()).or_default().push(sidecar);
+            if sidecar < self.spec.hollow {
+                by_process.entry(sidecar % self.hollow_processes.len()).or_default().push(sidecar);
             } else {
-                self.reals.remove(&sidecar);
+                self.real_sidecars.remove(&sidecar);
             }
         }
-        for (process, sidecars) in ends {
-            self.hollows[process].tell(&hollow::Command::End(sidecars))?;
+        for (process, sidecars) in by_process {
+            self.hollow_processes[process].send(&hollow::Command::End(sidecars))?;
         }
         Ok(())
     }
 
     /// Tells control of a version's changes; gives where it is due.
-    fn change(&mut self, entries: Vec<Entry>) -> Result<Due> {
+    fn publish_change(&mut self, entries: Vec<Entry>) -> Result<DueRevision> {
         self.rev += 1;
         let models: BTreeSet<&str> = entries.iter().map(|entry| entry.model.as_str()).collect();
         let wants = |n: &usize| {
-            !self.play.interest || self.fleet.calls[*n].iter().any(|model| models.contains(model.as_str()))
+            !self.spec.interest || self.fleet.calls[*n].iter().any(|model| models.contains(model.as_str()))
         };
         let sidecars: Vec<usize> =
             (0..self.running.len()).filter(|n| self.running[*n]).filter(wants).collect();
-        sidecars.iter().for_each(|n| self.due[*n] = self.rev);
-        let due = Due { rev: self.rev, at: now(), sidecars };
+        sidecars.iter().for_each(|n| self.due_revisions[*n] = self.rev);
+        let due = DueRevision { rev: self.rev, at: now(), sidecars };
         let change = control::Command::Change { rev: self.rev, entries };
         let line: Rc<str> = serde_json::to_string(&change)?.into();
-        self.controls.iter().flatten().for_each(|child| child.give(line.clone()));
+        self.controls.iter().flatten().for_each(|child| child.send_line(line.clone()));
         Ok(due)
     }
 
-    fn set(&mut self, server: usize, state: &str) -> Entry {
+    fn set_state(&mut self, server: usize, state: &str) -> Entry {
         let entry = &mut self.fleet.entries[server];
         if state == "up" {
             entry.boot_ms = unix_ms();
@@ -520,55 +538,55 @@
 
     /// The next of the changes that come: a server drains, goes, or comes back.
     fn next_change(&mut self) -> Entry {
-        let few = self.away.len() < 3.max(self.play.size / 100);
-        if few && (self.away.is_empty() || self.rng.random_bool(0.5)) {
+        let few = self.absent.len() < 3.max(self.spec.size / 100);
+        if few && (self.absent.is_empty() || self.rng.random_bool(0.5)) {
             let up = |entry: &Entry| entry.state == "up";
             let start = self.rng.random_range(0..self.fleet.entries.len());
             let all = self.fleet.entries.len();
             let found = (0..all).map(|n| (start + n) % all).find(|n| up(&self.fleet.entries[*n]));
             if let Some(server) = found {
-                self.away.push(server);
-                return self.set(server, "draining");
+                self.absent.push(server);
+                return self.set_state(server, "draining");
             }
         }
-        let server = self.away.remove(0);
+        let server = self.absent.remove(0);
         if self.fleet.entries[server].state == "draining" {
-            self.away.push(server);
-            return self.set(server, "removed");
+            self.absent.push(server);
+            return self.set_state(server, "removed");
         }
-        self.set(server, "up")
+        self.set_state(server, "up")
     }
 
     /// Waits until everyone has told what it counted up to now.
-    async fn calm(&mut self) -> Result<()> {
-        let (from, patience) = (now(), Instant::now() + BEGINS);
-        self.heard.clear();
-        let alive = self.controls.iter().flatten().count() + self.hollows.len() + 1;
-        while self.heard.values().filter(|at| **at > from).count() < alive {
-            if Instant::now() > patience {
+    async fn wait_for_reports(&mut self) -> Result<()> {
+        let (from, deadline) = (now(), Instant::now() + START_TIMEOUT);
+        self.last_report.clear();
+        let alive = self.controls.iter().flatten().count() + self.hollow_processes.len() + 1;
+        while self.last_report.values().filter(|at| **at > from).count() < alive {
+            if Instant::now() > deadline {
                 bail!("what was counted is not told");
             }
-            self.until(Instant::now() + Duration::from_millis(50)).await?;
+            self.run_until(Instant::now() + Duration::from_millis(50)).await?;
         }
         Ok(())
     }
 
     /// Takes in what is seen until a time.
-    async fn until(&mut self, at: Instant) -> Result<()> {
+    async fn run_until(&mut self, at: Instant) -> Result<()> {
         loop {
-            let next = at.min(self.looks);
+            let next = at.min(self.next_sample);
             tokio::select! {
-                told = self.told.recv() => {
-                    if let Some(told) = told {
-                        self.take(told);
+                event = self.events.recv() => {
+                    if let Some(event) = event {
+                        self.handle(event);
                     }
                 }
                 () = sleep_until(next) => {
                     let late = Instant::now().saturating_duration_since(next).as_micros() as u64;
-                    self.seen.late.push((now(), late, "the rig".to_owned()));
-                    if Instant::now() >= self.looks {
-                        self.looks = Instant::now() + LOOK;
-                        self.look();
+                    self.observations.late.push((now(), late, "the rig".to_owned()));
+                    if Instant::now() >= self.next_sample {
+                        self.next_sample = Instant::now() + SAMPLE_INTERVAL;
+                        self.sample_real_sidecars();
                     }
                 }
             }
@@ -581,34 +599,34 @@
         }
     }
 
-    fn look(&mut self) {
+    fn sample_real_sidecars(&mut self) {
         let at = now();
-        self.heard.insert("rig".to_owned(), at);
-        for (sidecar, real) in &mut self.reals {
+        self.last_report.insert("rig".to_owned(), at);
+        for (sidecar, real) in &mut self.real_sidecars {
             let id = real.process.id();
-            let nanos = nanos(id).max(real.nanos);
-            let track = &mut self.seen.sidecars[*sidecar];
-            let cpu = (nanos - std::mem::replace(&mut real.nanos, nanos)) as f64 / 1000.0;
-            track.added.push(Added { at, cpu, ..Added::default() });
+            let cpu_ns = process_cpu_ns(id).max(real.cpu_ns);
+            let track = &mut self.observations.sidecars[*sidecar];
+            let cpu = (cpu_ns - std::mem::replace(&mut real.cpu_ns, cpu_ns)) as f64 / 1000.0;
+            track.samples.push(Sample { at, cpu, ..Sample::default() });
             track.memory.push((at, resident_memory(&id.to_string()) as f64));
         }
     }
 
-    fn take(&mut self, told: From) {
-        match told {
-            From::Control(_, control::Report::Fault(fault)) => self.fault = Some(fault),
-            From::Control(n, control::Report::Serves(count)) => drop(self.serves.insert(n, count)),
-            From::Control(n, control::Report::Sample(sample)) => self.control_sample(n, sample),
-            From::Hollow(_, hollow::Report::InForce(all)) => {
-                all.into_iter().for_each(|(sidecar, rev, at)| self.took(sidecar, rev, at));
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Control(_, control::Report::Fault(fault)) => self.fault = Some(fault),
+            Event::Control(n, control::Report::Serves(count)) => drop(self.addresses_served.insert(n, count)),
+            Event::Control(n, control::Report::Sample(sample)) => self.record_control_sample(n, sample),
+            Event::Hollow(_, hollow::Report::InForce(all)) => {
+                all.into_iter().for_each(|(sidecar, rev, at)| self.record_in_force(sidecar, rev, at));
             }
-            From::Hollow(n, hollow::Report::Sample(sample)) => {
+            Event::Hollow(n, hollow::Report::Sample(sample)) => {
                 let who = format!("hollow process {n}");
-                self.heard.insert(who.clone(), sample.at);
-                self.seen.late.push((sample.at, sample.late, who));
+                self.last_report.insert(who.clone(), sample.at);
+                self.observations.late.push((sample.at, sample.late, who));
                 for new in sample.sidecars {
-                    let Some(track) = self.seen.sidecars.get_mut(new.sidecar) else { continue };
-                    let old = std::mem::replace(&mut self.counted[new.sidecar], new);
+                    let Some(track) = self.observations.sidecars.get_mut(new.sidecar) else { continue };
+                    let old = std::mem::replace(&mut self.hollow_counts[new.sidecar], new);
                     // One that began anew counts from nothing.
                     let old = if new.cpu < old.cpu || new.deliveries < old.deliveries {
                         hollow::SidecarCounts::default()
@@ -617,17 +635,21 @@
                     };
                     let (cpu, deliveries) = (new.cpu - old.cpu, new.deliveries - old.deliveries);
                     let (cpu, deliveries) = (cpu as f64, deliveries as f64);
-                    track.added.push(Added { at: sample.at, cpu, deliveries, ..Added::default() });
+                    track.samples.push(Sample { at: sample.at, cpu, deliveries, ..Sample::default() });
                     track.memory.push((sample.at, new.memory as f64));
                 }
             }
-            From::Took(sidecar, rev, at) => self.took(sidecar, rev, at),
-            From::Gone(who) => {
+            Event::InForce { sidecar, revision, at } => self.record_in_force(sidecar, revision, at),
+            Event::Exited(who) => {
                 let killed =
                     self.controls.iter().enumerate().any(|(n, c)| c.is_none() && who == format!("c{n}"));
                 let real = who.starts_with('r');
                 let ended = real
-                    && self.seen.sidecars.iter().any(|t| who.starts_with(&t.name) && t.started.len() > 1);
+                    && self
+                        .observations
+                        .sidecars
+                        .iter()
+                        .any(|t| who.starts_with(&t.name) && t.started.len() > 1);
                 if !killed && !ended {
                     self.fault = Some(format!("ended by itself: {who}"));
                 }
@@ -635,142 +657,145 @@
         }
     }
 
-    fn took(&mut self, sidecar: usize, rev: u64, at: u64) {
-        let Some(track) = self.seen.sidecars.get_mut(sidecar) else { return };
+    fn record_in_force(&mut self, sidecar: usize, rev: u64, at: u64) {
+        let Some(track) = self.observations.sidecars.get_mut(sidecar) else { return };
         // What one that has ended took last may be told after the next has begun.
         if track.started.last().is_none_or(|started| *started <= at) {
-            self.latest[sidecar] = self.latest[sidecar].max(rev);
+            self.latest_revisions[sidecar] = self.latest_revisions[sidecar].max(rev);
         }
         track.in_force.push((rev, at));
     }
 
-    fn control_sample(&mut self, control: usize, sample: control::Sample) {
+    fn record_control_sample(&mut self, control: usize, sample: control::Sample) {
         let control::Sample { at, late, cpu, memory, sidecars } = sample;
         let who = format!("c{control}");
-        self.heard.insert(who.clone(), at);
-        self.seen.late.push((at, late, who));
-        let mut all = Added { at, ..Added::default() };
+        self.last_report.insert(who.clone(), at);
+        self.observations.late.push((at, late, who));
+        let mut all = Sample { at, ..Sample::default() };
         for new in sidecars {
             let old = self.sent.insert((control, new.sidecar), new).unwrap_or_default();
-            let added = Added {
+            let added = Sample {
                 at,
                 bytes: (new.bytes - old.bytes) as f64,
                 messages: (new.messages - old.messages) as f64,
-                whole: (new.whole - old.whole) as f64,
+                whole_lists: (new.whole - old.whole) as f64,
                 watches: (new.watches - old.watches) as f64,
-                ..Added::default()
+                ..Sample::default()
             };
             (all.bytes, all.messages) = (all.bytes + added.bytes, all.messages + added.messages);
-            if let Some(track) = self.seen.sidecars.get_mut(new.sidecar) {
-                track.added.push(added);
+            if let Some(track) = self.observations.sidecars.get_mut(new.sidecar) {
+                track.samples.push(added);
             }
         }
         all.cpu = cpu.saturating_sub(std::mem::replace(&mut self.control_cpu[control], cpu)) as f64;
-        let track = &mut self.seen.controls[control];
-        track.added.push(all);
+        let track = &mut self.observations.controls[control];
+        track.samples.push(all);
         track.memory.push((at, memory as f64));
     }
 
     /// Plays a day and judges it.
-    async fn day(&mut self, day: DayName) -> Result<DayResult> {
-        self.calm().await?;
+    async fn run_scenario(&mut self, scenario: Scenario) -> Result<ScenarioResult> {
+        self.wait_for_reports().await?;
         let (from, start) = (now(), Instant::now());
         let all: BTreeSet<usize> = (0..self.running.len()).collect();
-        let lasts = self.play.lasts;
-        let broken = |n: &usize| self.broke[*n].is_some_and(|at| from - at < self.play.checks());
-        let mut quiet: BTreeSet<usize> = all.iter().copied().filter(|n| !broken(n)).collect();
+        let duration_s = self.spec.duration_s;
+        let broken = |n: &usize| {
+            self.disconnected_at[*n].is_some_and(|at| from - at < self.spec.list_check_delay_us())
+        };
+        let mut undisturbed: BTreeSet<usize> = all.iter().copied().filter(|n| !broken(n)).collect();
         let mut killed = BTreeSet::new();
         let mut due = Vec::new();
         let at = |seconds: f64| start + Duration::from_secs_f64(seconds);
-        let figures = &self.play.figures;
+        let figures = &self.spec.figures;
         let mut pressed = 1.0;
-        match day {
-            DayName::ChangesMean | DayName::ChangesPeak => {
-                let mean = 86_400.0 / figures.changes_a_day;
-                let gap = if day == DayName::ChangesMean { mean } else { 1.0 / figures.peak };
+        match scenario {
+            Scenario::ChangesMean | Scenario::ChangesPeak => {
+                let mean = 86_400.0 / figures.changes_per_day;
+                let gap =
+                    if scenario == Scenario::ChangesMean { mean } else { 1.0 / figures.peak_changes_per_s };
                 let mut next = 0.1;
-                while next < lasts {
-                    self.until(at(next)).await?;
+                while next < duration_s {
+                    self.run_until(at(next)).await?;
                     let entry = self.next_change();
-                    due.push(self.change(vec![entry])?);
+                    due.push(self.publish_change(vec![entry])?);
                     next += gap;
                 }
             }
-            DayName::Restarts => {
+            Scenario::Restarts => {
                 // One each second and a half, each over within a second.
-                let restarts = (lasts / 1.5).floor().max(1.0);
-                let a_day = figures.restarts_a_day * self.play.size as f64 / figures.endpoints as f64;
-                pressed = restarts / lasts / (a_day / 86_400.0);
+                let restarts = (duration_s / 1.5).floor().max(1.0);
+                let a_day = figures.restarts_per_day * self.spec.size as f64 / figures.endpoints as f64;
+                pressed = restarts / duration_s / (a_day / 86_400.0);
                 for n in 0..restarts as u32 {
-                    let sidecar = self.rng.random_range(0..self.play.hollow);
-                    quiet.remove(&sidecar);
-                    self.broke[sidecar] = Some(now());
+                    let sidecar = self.rng.random_range(0..self.spec.hollow);
+                    undisturbed.remove(&sidecar);
+                    self.disconnected_at[sidecar] = Some(now());
                     let begins = f64::from(n) * 1.5;
-                    self.until(at(begins)).await?;
-                    let entry = self.set(sidecar, "draining");
-                    due.push(self.change(vec![entry])?);
-                    self.until(at(begins + 0.5)).await?;
+                    self.run_until(at(begins)).await?;
+                    let entry = self.set_state(sidecar, "draining");
+                    due.push(self.publish_change(vec![entry])?);
+                    self.run_until(at(begins + 0.5)).await?;
                     self.end_sidecars(&[sidecar])?;
-                    let entry = self.set(sidecar, "removed");
-                    due.push(self.change(vec![entry])?);
-                    self.until(at(begins + 1.0)).await?;
+                    let entry = self.set_state(sidecar, "removed");
+                    due.push(self.publish_change(vec![entry])?);
+                    self.run_until(at(begins + 1.0)).await?;
                     due.push(self.start_sidecars(&[sidecar])?);
-                    let entry = self.set(sidecar, "up");
-                    due.push(self.change(vec![entry])?);
+                    let entry = self.set_state(sidecar, "up");
+                    due.push(self.publish_change(vec![entry])?);
                 }
             }
-            DayName::Zone => {
+            Scenario::Zone => {
                 let zone = self.fleet.zones[1 % self.fleet.zones.len()].clone();
                 let of_zone = |entry: &Entry| entry.az == zone && entry.state == "up";
                 let servers: Vec<usize> =
-                    (0..self.play.size).filter(|n| of_zone(&self.fleet.entries[*n])).collect();
-                for (after, state) in [(0.5, "removed"), (lasts / 2.0, "up")] {
-                    self.until(at(after)).await?;
-                    let entries = servers.iter().map(|n| self.set(*n, state)).collect();
-                    due.push(self.change(entries)?);
+                    (0..self.spec.size).filter(|n| of_zone(&self.fleet.entries[*n])).collect();
+                for (after, state) in [(0.5, "removed"), (duration_s / 2.0, "up")] {
+                    self.run_until(at(after)).await?;
+                    let entries = servers.iter().map(|n| self.set_state(*n, state)).collect();
+                    due.push(self.publish_change(entries)?);
                 }
             }
-            DayName::Reconnects => {
-                quiet.clear();
+            Scenario::Reconnects => {
+                undisturbed.clear();
                 let mut next = 0.5;
-                while next < lasts {
-                    self.until(at(next)).await?;
-                    let tell = |child: &Child| child.tell(&control::Command::CloseConnections);
-                    self.controls.iter().flatten().try_for_each(tell)?;
-                    self.broke.fill(Some(now()));
-                    self.until(at(next + 0.7)).await?;
+                while next < duration_s {
+                    self.run_until(at(next)).await?;
+                    let close = |child: &Child| child.send(&control::Command::CloseConnections);
+                    self.controls.iter().flatten().try_for_each(close)?;
+                    self.disconnected_at.fill(Some(now()));
+                    self.run_until(at(next + 0.7)).await?;
                     let entry = self.next_change();
-                    due.push(self.change(vec![entry])?);
+                    due.push(self.publish_change(vec![entry])?);
                     next += 1.5;
                 }
             }
-            DayName::AllAnew => {
-                quiet.clear();
-                self.until(at(0.2)).await?;
+            Scenario::AllAnew => {
+                undisturbed.clear();
+                self.run_until(at(0.2)).await?;
                 let all: Vec<usize> = all.into_iter().collect();
                 self.end_sidecars(&all)?;
-                self.broke.fill(Some(now()));
+                self.disconnected_at.fill(Some(now()));
                 due.push(self.start_sidecars(&all)?);
             }
-            DayName::ControlKilled => {
-                let dies = 0;
-                let orphans = self.of_control(dies);
-                quiet.retain(|n| !orphans.contains(n));
-                killed.insert(dies);
-                let (mut next, mut taken) = (0.5, false);
-                while next < lasts {
-                    self.until(at(next)).await?;
-                    if next >= 1.5 && self.controls[dies].is_some() {
+            Scenario::ControlKilled => {
+                let killed_control = 0;
+                let orphans = self.sidecars_of(killed_control);
+                undisturbed.retain(|n| !orphans.contains(n));
+                killed.insert(killed_control);
+                let (mut next, mut taken_over) = (0.5, false);
+                while next < duration_s {
+                    self.run_until(at(next)).await?;
+                    if next >= 1.5 && self.controls[killed_control].is_some() {
                         // Killed when it is dropped, before anything else is done.
-                        if let Some(child) = self.controls[dies].take() {
+                        if let Some(child) = self.controls[killed_control].take() {
                             child.process.signal(Signal::KILL);
-                            orphans.iter().for_each(|n| self.broke[*n] = Some(now()));
+                            orphans.iter().for_each(|n| self.disconnected_at[*n] = Some(now()));
                         }
-                        let takes_over = Instant::now() + TAKES_OVER;
-                        self.until(takes_over).await?;
+                        let takeover = Instant::now() + TAKEOVER_DELAY;
+                        self.run_until(takeover).await?;
                     }
-                    if self.controls[dies].is_none() && !taken {
-                        taken = true;
+                    if self.controls[killed_control].is_none() && !taken_over {
+                        taken_over = true;
                         let left: Vec<usize> =
                             (0..self.controls.len()).filter(|n| self.controls[*n].is_some()).collect();
                         for (n, sidecar) in orphans.iter().enumerate() {
@@ -783,32 +808,40 @@
                         }
                     }
                     let entry = self.next_change();
-                    due.push(self.change(vec![entry])?);
+                    due.push(self.publish_change(vec![entry])?);
                     next += 1.0;
                 }
             }
         }
-        self.until(at(lasts)).await?;
-        let patience = Instant::now() + self.play.waits;
-        while !self.all_in_force() && Instant::now() < patience {
-            self.until(Instant::now() + Duration::from_millis(50)).await?;
+        self.run_until(at(duration_s)).await?;
+        let deadline = Instant::now() + self.spec.settle_time;
+        while !self.all_in_force() && Instant::now() < deadline {
+            self.run_until(Instant::now() + Duration::from_millis(50)).await?;
         }
-        self.calm().await?;
+        self.wait_for_reports().await?;
         let to = now();
-        let played = Day { name: day.name().to_owned(), seed: self.play.seed, from, to, due, quiet, killed };
-        let (verdict, why, figures) = judge(&played, &self.seen, &self.play.limits);
+        let played = ScenarioRun {
+            name: scenario.name().to_owned(),
+            seed: self.spec.seed,
+            from,
+            to,
+            due,
+            undisturbed,
+            killed,
+        };
+        let (verdict, why, figures) = judge(&played, &self.observations, &self.spec.limits);
         // Nothing before this is asked for again, but for when a sidecar started.
-        for track in self.seen.sidecars.iter_mut().chain(&mut self.seen.controls) {
-            (track.added, track.memory, track.in_force) = Default::default();
+        for track in self.observations.sidecars.iter_mut().chain(&mut self.observations.controls) {
+            (track.samples, track.memory, track.in_force) = Default::default();
         }
-        self.seen.late.clear();
+        self.observations.late.clear();
         let lasts_s = (to - from) as f64 / 1e6;
-        Ok(DayResult { name: played.name, lasts_s, pressed, verdict, why, figures })
+        Ok(ScenarioResult { name: played.name, lasts_s, pressed, verdict, why, figures })
     }
 }
 
-fn name(play: &Play, sidecar: usize) -> String {
-    if sidecar < play.hollow { format!("h{sidecar}") } else { format!("r{}", sidecar - play.hollow) }
+fn sidecar_name(spec: &RunSpec, sidecar: usize) -> String {
+    if sidecar < spec.hollow { format!("h{sidecar}") } else { format!("r{}", sidecar - spec.hollow) }
 }
 
 /// The same inputs to one hollow sidecar and one real one.
@@ -816,30 +849,30 @@
 /// # Errors
 ///
 /// A process can't be started, or one ends by itself.
-pub async fn hollow_against_real(of: &Play) -> Result<HollowReal> {
-    let play = Play { hollow: 1, real: 1, controls: 1, rate: 0.0, plants: BTreeMap::new(), ..of.clone() };
-    let mut rig = Rig::start(&play)?;
+pub async fn compare_hollow_with_real(of: &RunSpec) -> Result<HollowReal> {
+    let spec = RunSpec { hollow: 1, real: 1, controls: 1, rate: 0.0, faults: BTreeMap::new(), ..of.clone() };
+    let mut rig = Rig::start(&spec)?;
     // Both call the same services, or they would not be told the same.
     rig.fleet.calls[1] = rig.fleet.calls[0].clone();
-    rig.begin().await?;
-    rig.calm().await?;
+    rig.start_processes().await?;
+    rig.wait_for_reports().await?;
     let start = Instant::now();
     for n in 0..24_u32 {
-        rig.until(start + Duration::from_millis(250) * n).await?;
+        rig.run_until(start + Duration::from_millis(250) * n).await?;
         let entry = rig.next_change();
-        rig.change(vec![entry])?;
+        rig.publish_change(vec![entry])?;
     }
-    let patience = Instant::now() + play.waits;
-    while !rig.all_in_force() && Instant::now() < patience {
-        rig.until(Instant::now() + Duration::from_millis(50)).await?;
+    let deadline = Instant::now() + spec.settle_time;
+    while !rig.all_in_force() && Instant::now() < deadline {
+        rig.run_until(Instant::now() + Duration::from_millis(50)).await?;
     }
-    rig.calm().await?;
+    rig.wait_for_reports().await?;
     let of = |n: usize| rig.sent.get(&(0, n)).copied().unwrap_or_default();
     let (hollow, real) = (of(0), of(1));
     // Signs of life count from when a watch was opened, which is not the same instant for both.
     let bytes = |sent: SentCounts| sent.bytes - sent.heartbeats * 6;
-    let cpu = |n: usize| rig.seen.sidecars[n].added.iter().map(|added| added.cpu).sum::<f64>();
-    let memory = |n: usize| rig.seen.sidecars[n].memory.last().map_or(0.0, |last| last.1);
+    let cpu = |n: usize| rig.observations.sidecars[n].samples.iter().map(|added| added.cpu).sum::<f64>();
+    let memory = |n: usize| rig.observations.sidecars[n].memory.last().map_or(0.0, |last| last.1);
     Ok(HollowReal {
         messages: [hollow.messages, real.messages],
         bytes: [bytes(hollow), bytes(real)],
