--- a/crates/lab/src/html/tests.rs
+++ b/crates/lab/src/html/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `html.rs`.
 
 use super::*;
-use crate::results::Plan;
+use crate::results::RunHeader;
 use std::collections::BTreeMap;
 
 #[test]
@@ -26,7 +26,7 @@
         marks: vec![mark],
         ..Report::default()
     };
-    let plan = Plan { v: 2, plan: "a.toml".into(), policy: "module".into(), seeds: vec![4, 5] };
+    let plan = RunHeader { v: 2, plan: "a.toml".into(), policy: "module".into(), seeds: vec![4, 5] };
     let page = page(&[Run { plan, days: vec![day] }]).unwrap();
     assert_eq!(page.matches("<svg").count(), 4);
     assert!(page.contains("a &lt;b&gt;") && !page.contains("a <b>"));
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -50,7 +50,7 @@
     /// Write the tables of a capacity page from a plan and the results of runs; with --check exit 1 where a page differs
     Capacity(capacity::Wanted),
     /// What a real sidecar adds to a call, by servers known; exit 0 where the limits are kept, 1 broken, 2 nothing can be said
-    Added(real::Wanted),
+    Added(real::Options),
     /// Control machines, hollow sidecars and real ones at size; exit 0 where every limit was kept, 1 broken, 2 nothing can be
     /// said
     Scale(scale::Options),
@@ -190,7 +190,7 @@
         Command::Trial(wanted) => trial::run(wanted),
         Command::Capacity(wanted) => capacity::run(&wanted),
         Command::Slopes(options) => slopes::run(options),
-        Command::Added(wanted) => real::run(&wanted),
+        Command::Added(options) => real::run(&options),
         Command::Scale(options) => scale::run(options),
         Command::Control => dunlincleat_trial::control::run().map(|()| ExitCode::SUCCESS),
         Command::Hollow => dunlincleat_hollow::run(memory::allocated).map(|()| ExitCode::SUCCESS),
--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -84,7 +84,7 @@
     /// Calls through sidecars with any other answer, with none, or not sent as too many were out.
     pub lost: u64,
     /// What can be said.
-    pub verdict: Said,
+    pub verdict: PointVerdict,
     /// Why it is not kept, and what was left out.
     pub why: Vec<String>,
 }
@@ -92,7 +92,7 @@
 /// What can be said of a point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Said {
+pub enum PointVerdict {
     /// Every limit and rule held.
     Kept,
     /// One did not.
@@ -103,7 +103,7 @@
 
 /// What is wanted of a run.
 #[derive(Args)]
-pub struct Wanted {
+pub struct Options {
     /// Servers on the list that each sidecar is told, a point for each number, from 6 to 10000
     #[arg(long, value_delimiter = ',', default_values_t = [60, 200, 1000, 3100])]
     known: Vec<usize>,
@@ -140,56 +140,56 @@
 }
 
 /// How long calls go out before any counts: connections are opened, delays are learnt.
-const WARM: Duration = Duration::from_secs(3);
+const WARM_UP: Duration = Duration::from_secs(3);
 /// How long a call waits.
-const WAIT: Duration = Duration::from_millis(740);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(740);
 /// How late a second's calls may go out, and what 99 in 100 of its direct ones may take, for the second to count.
-const DIRECT_MOST_US: u64 = 5000;
+const MAX_UNDISTURBED_US: u64 = 5000;
 /// One in so many calls may go without a 200: the rest is 99 in 100.
-const UNSERVED: u64 = 100;
+const UNSERVED_ONE_IN: u64 = 100;
 /// Calls a second of all sidecars together that the callers' one thread can send.
-const MOST_PER_S: u64 = 4000;
+const MAX_CALLS_PER_S: u64 = 4000;
 /// How often the interval's seconds are drawn.
-const DRAWS: usize = 1000;
+const BOOTSTRAP_DRAWS: usize = 1000;
 
 /// Runs it: 0 where every point is kept, 1 where one is broken, 2 where one is void, 130 where it was ended by hand.
-pub fn run(wanted: &Wanted) -> Result<ExitCode> {
-    for known in &wanted.known {
+pub fn run(options: &Options) -> Result<ExitCode> {
+    for known in &options.known {
         ranged("known", *known as u64, CALLED_SERVERS as u64, 10_000)?;
     }
-    ranged("real", wanted.real as u64, 0, 16)?;
-    ranged("rate", wanted.rate, 1, 1000)?;
-    ranged("depth", wanted.depth, 1, 1)?;
-    ranged("lasts", wanted.lasts, 2, 120)?;
-    ranged("rounds", wanted.rounds, 1, 20)?;
-    if wanted.rate * wanted.real as u64 > MOST_PER_S {
+    ranged("real", options.real as u64, 0, 16)?;
+    ranged("rate", options.rate, 1, 1000)?;
+    ranged("depth", options.depth, 1, 1)?;
+    ranged("lasts", options.lasts, 2, 120)?;
+    ranged("rounds", options.rounds, 1, 20)?;
+    if options.rate * options.real as u64 > MAX_CALLS_PER_S {
         bail!(
-            "--rate {} with --real {}: {} calls a second; right would be {MOST_PER_S} or fewer",
-            wanted.rate,
-            wanted.real,
-            wanted.rate * wanted.real as u64
+            "--rate {} with --real {}: {} calls a second; right would be {MAX_CALLS_PER_S} or fewer",
+            options.rate,
+            options.real,
+            options.rate * options.real as u64
         );
     }
-    for known in &wanted.known {
-        descriptors(*known, wanted.real)?;
+    for known in &options.known {
+        descriptors(*known, options.real)?;
     }
-    let folder = wanted.out.parent().filter(|folder| !folder.as_os_str().is_empty());
-    if wanted.out.is_dir() || folder.is_some_and(|folder| !folder.is_dir()) {
-        bail!("--out: {}: right would be a file in a folder that is there", wanted.out.display());
+    let folder = options.out.parent().filter(|folder| !folder.as_os_str().is_empty());
+    if options.out.is_dir() || folder.is_some_and(|folder| !folder.is_dir()) {
+        bail!("--out: {}: right would be a file in a folder that is there", options.out.display());
     }
-    let (lab, program) = programs("dunlincleat-sidecar", "--program", wanted.program.as_deref())?;
+    let (lab, program) = programs("dunlincleat-sidecar", "--program", options.program.as_deref())?;
     let callers = |known: usize, seed: u64| Callers {
         lab: lab.clone(),
         program: program.clone(),
         known_servers: known,
-        sidecars: wanted.real,
-        calls_per_s: wanted.rate as f64,
-        warm_up: WARM,
-        duration: Duration::from_secs(wanted.lasts),
-        client_timeout: WAIT,
-        declare_interest: wanted.interest,
+        sidecars: options.real,
+        calls_per_s: options.rate as f64,
+        warm_up: WARM_UP,
+        duration: Duration::from_secs(options.lasts),
+        client_timeout: CLIENT_TIMEOUT,
+        declare_interest: options.interest,
         seed,
-        bounds: if wanted.counts_only {
+        bounds: if options.counts_only {
             Bounds { drain_grace: 1_000_000, slack: 5_000_000, duty_recovery: 0, timer_lateness: u64::MAX }
         } else {
             Bounds { drain_grace: 1_000_000, slack: 250_000, duty_recovery: 0, timer_lateness: 150_000 }
@@ -198,14 +198,14 @@
     // What is checked out may change while the run goes on.
     let commit = commit();
     let work = async {
-        let mut seen: Vec<Vec<Measurements>> = wanted.known.iter().map(|_| Vec::new()).collect();
-        for round in 0..wanted.rounds {
-            for n in 0..wanted.known.len() {
+        let mut measurements: Vec<Vec<Measurements>> = options.known.iter().map(|_| Vec::new()).collect();
+        for round in 0..options.rounds {
+            for n in 0..options.known.len() {
                 // Each size comes first in its turn, so that none has the machine's best time alone.
-                let n = (n + round as usize) % wanted.known.len();
-                let known = wanted.known[n];
+                let n = (n + round as usize) % options.known.len();
+                let known = options.known[n];
                 // The same arrivals at each size.
-                let found = callers(known, wanted.seed.wrapping_mul(1000).wrapping_add(round)).run().await;
+                let found = callers(known, options.seed.wrapping_mul(1000).wrapping_add(round)).run().await;
                 let found = found.with_context(|| format!("{known} servers known, round {round}"))?;
                 let sum = |of: &dyn Fn(&SecondSample) -> u64| -> u64 { found.seconds.iter().map(of).sum() };
                 crate::say(&format!(
@@ -215,17 +215,21 @@
                     sum(&|second| served(&second.direct)),
                     sum(&|second| second.direct.due)
                 ));
-                seen[n].push(found);
+                measurements[n].push(found);
             }
         }
-        Ok(seen)
+        Ok(measurements)
     };
-    let Some(seen) = or_stopped(work)? else { return Ok(ExitCode::from(130)) };
-    let points: Vec<Point> =
-        wanted.known.iter().zip(&seen).map(|(known, rounds)| point(wanted, *known, rounds)).collect();
-    table(&points);
-    let code = |said| points.iter().any(|point| point.verdict == said);
-    let code = if code(Said::Broken) { 1 } else { u8::from(code(Said::Void)) * 2 };
+    let Some(measurements) = or_stopped(work)? else { return Ok(ExitCode::from(130)) };
+    let points: Vec<Point> = options
+        .known
+        .iter()
+        .zip(&measurements)
+        .map(|(known, rounds)| summarize(options, *known, rounds))
+        .collect();
+    print_table(&points);
+    let any = |verdict| points.iter().any(|point| point.verdict == verdict);
+    let code = if any(PointVerdict::Broken) { 1 } else { u8::from(any(PointVerdict::Void)) * 2 };
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let added = Added {
         v: VERSION,
@@ -233,34 +237,35 @@
         commit,
         command: format!("dunlincleat-lab {}", arguments.join(" ")),
         cores: std::thread::available_parallelism().map_or(0, usize::from),
-        seed: wanted.seed,
-        rounds: wanted.rounds as usize,
+        seed: options.seed,
+        rounds: options.rounds as usize,
         profile: if cfg!(debug_assertions) { "debug" } else { "release" }.to_owned(),
         points,
     };
     let text = serde_json::to_string_pretty(&added)? + "\n";
-    std::fs::write(&wanted.out, text).with_context(|| wanted.out.display().to_string())?;
+    std::fs::write(&options.out, text).with_context(|| options.out.display().to_string())?;
     Ok(ExitCode::from(code))
 }
 
 /// The commit that is checked out, where that can be told.
 fn commit() -> String {
-    let told = std::process::Command::new("git").args(["rev-parse", "--short=10", "HEAD"]).output();
-    told.ok()
-        .filter(|told| told.status.success())
-        .map_or_else(String::new, |told| String::from_utf8_lossy(&told.stdout).trim().to_owned())
+    let output = std::process::Command::new("git").args(["rev-parse", "--short=10", "HEAD"]).output();
+    output
+        .ok()
+        .filter(|output| output.status.success())
+        .map_or_else(String::new, |output| String::from_utf8_lossy(&output.stdout).trim().to_owned())
 }
 
-fn table(points: &[Point]) {
+fn print_table(points: &[Point]) {
     crate::say(
         "| known | direct p50, p99 us | through p50, p99 us | added p50 us | added p99 us (95%) | processor us a call \
          | resident MB | served, refused, lost | verdict |",
     );
     crate::say("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for p in points {
-        let said = format!("{:?}", p.verdict).to_lowercase();
+        let verdict = format!("{:?}", p.verdict).to_lowercase();
         crate::say(&format!(
-            "| {} | {:.0}, {:.0} | {:.0}, {:.0} | {:.0} | {:.0} ({:.0} to {:.0}) | {:.0} | {:.1} | {}, {}, {} | {said} |",
+            "| {} | {:.0}, {:.0} | {:.0}, {:.0} | {:.0} | {:.0} ({:.0} to {:.0}) | {:.0} | {:.1} | {}, {}, {} | {verdict} |",
             p.known,
             p.direct_p50_us,
             p.direct_p99_us,
@@ -282,41 +287,46 @@
     }
 }
 
-fn served(side: &PathStats) -> u64 {
-    side.latencies_us.len() as u64
+fn served(path: &PathStats) -> u64 {
+    path.latencies_us.len() as u64
 }
 
 /// The machine let a second's calls out in time, and the direct way was quick in it: what the sidecar's calls took then is
 /// the sidecar's. Nothing of these is looked at.
-fn counts(second: &SecondSample) -> bool {
+fn is_undisturbed(second: &SecondSample) -> bool {
     let mut times = second.direct.latencies_us.clone();
     times.sort_unstable();
-    let slow = times.iter().filter(|time| **time > DIRECT_MOST_US).count();
-    second.max_send_delay_us <= DIRECT_MOST_US
+    let slow = times.iter().filter(|time| **time > MAX_UNDISTURBED_US).count();
+    second.max_send_delay_us <= MAX_UNDISTURBED_US
         && slow * 100 <= times.len()
         && served(&second.direct) == second.direct.due
 }
 
 /// Times of many seconds, the longest first, each with its second.
-struct Times {
+struct Latencies {
     ranked: Vec<(u64, usize)>,
-    held: Vec<u64>,
+    served_by_second: Vec<u64>,
 }
 
-impl Times {
-    fn new<'a>(seconds: impl Iterator<Item = &'a PathStats>) -> Times {
-        let (mut ranked, mut held) = (Vec::new(), Vec::new());
-        for (n, side) in seconds.enumerate() {
-            ranked.extend(side.latencies_us.iter().map(|time| (*time, n)));
-            held.push(served(side));
+impl Latencies {
+    fn new<'a>(seconds: impl Iterator<Item = &'a PathStats>) -> Latencies {
+        let (mut ranked, mut served_by_second) = (Vec::new(), Vec::new());
+        for (n, path) in seconds.enumerate() {
+            ranked.extend(path.latencies_us.iter().map(|time| (*time, n)));
+            served_by_second.push(served(path));
         }
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        Times { ranked, held }
+        Latencies { ranked, served_by_second }
     }
 
     /// A quantile by nearest rank, of seconds that count so often each; 0 where nothing was served.
     fn quantile(&self, of: f64, counts: &[u64]) -> f64 {
-        let total: u64 = self.held.iter().zip(counts).map(|(held, count)| held * count).sum();
+        let total: u64 = self
+            .served_by_second
+            .iter()
+            .zip(counts)
+            .map(|(served_by_second, count)| served_by_second * count)
+            .sum();
         let above = total - ((of * total as f64).ceil() as u64).clamp(u64::from(total > 0), total);
         let mut passed = 0;
         for (time, second) in &self.ranked {
@@ -331,9 +341,9 @@
 
 /// The 95% interval of what 99 in 100 have added: seconds are drawn again and again within their rounds, the same ones of
 /// both ways, as both met the same machine in them.
-fn interval(lengths: &[usize], differ: impl Fn(&[u64]) -> f64) -> (f64, f64) {
+fn interval(lengths: &[usize], added: impl Fn(&[u64]) -> f64) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut drawn: Vec<f64> = (0..DRAWS)
+    let mut drawn: Vec<f64> = (0..BOOTSTRAP_DRAWS)
         .map(|_| {
             let mut counts = vec![0; lengths.iter().sum()];
             let mut from = 0;
@@ -341,62 +351,77 @@
                 (0..*length).for_each(|_| counts[from + rng.random_range(0..*length)] += 1);
                 from += length;
             }
-            differ(&counts)
+            added(&counts)
         })
         .collect();
     drawn.sort_by(f64::total_cmp);
-    (drawn[DRAWS / 40], drawn[DRAWS - 1 - DRAWS / 40])
+    (drawn[BOOTSTRAP_DRAWS / 40], drawn[BOOTSTRAP_DRAWS - 1 - BOOTSTRAP_DRAWS / 40])
 }
 
-fn point(wanted: &Wanted, known: usize, rounds: &[Measurements]) -> Point {
-    let chosen: Vec<Vec<&SecondSample>> = rounds
+fn summarize(options: &Options, known: usize, rounds: &[Measurements]) -> Point {
+    let counted: Vec<Vec<&SecondSample>> = rounds
         .iter()
-        .map(|seen| seen.seconds.iter().filter(|second| wanted.counts_only || counts(second)).collect())
+        .map(|measurements| {
+            measurements
+                .seconds
+                .iter()
+                .filter(|second| options.counts_only || is_undisturbed(second))
+                .collect()
+        })
         .collect();
-    let lengths: Vec<usize> = chosen.iter().map(Vec::len).collect();
-    let chosen = chosen.concat();
-    let direct = Times::new(chosen.iter().map(|second| &second.direct));
-    let through = Times::new(chosen.iter().map(|second| &second.via_sidecar));
-    let all = vec![1; chosen.len()];
-    let differ = |of: f64, counts: &[u64]| through.quantile(of, counts) - direct.quantile(of, counts);
-    let (added_p99_low_us, added_p99_high_us) = interval(&lengths, |counts| differ(0.99, counts));
+    let lengths: Vec<usize> = counted.iter().map(Vec::len).collect();
+    let counted = counted.concat();
+    let direct = Latencies::new(counted.iter().map(|second| &second.direct));
+    let through = Latencies::new(counted.iter().map(|second| &second.via_sidecar));
+    let all = vec![1; counted.len()];
+    let added = |of: f64, counts: &[u64]| through.quantile(of, counts) - direct.quantile(of, counts);
+    let (added_p99_low_us, added_p99_high_us) = interval(&lengths, |counts| added(0.99, counts));
     let sum =
-        |of: &dyn Fn(&PathStats) -> u64| chosen.iter().map(|second| of(&second.via_sidecar)).sum::<u64>();
-    let processor: f64 = rounds.iter().map(|seen| seen.cpu_time.as_secs_f64()).sum();
-    let asked: u64 = rounds.iter().flat_map(|seen| &seen.seconds).map(|second| second.via_sidecar.due).sum();
+        |of: &dyn Fn(&PathStats) -> u64| counted.iter().map(|second| of(&second.via_sidecar)).sum::<u64>();
+    let cpu_s: f64 = rounds.iter().map(|measurements| measurements.cpu_time.as_secs_f64()).sum();
+    let sent: u64 = rounds
+        .iter()
+        .flat_map(|measurements| &measurements.seconds)
+        .map(|second| second.via_sidecar.due)
+        .sum();
     let mut point = Point {
         known,
-        rate: wanted.rate as f64,
-        depth: wanted.depth as usize,
-        real: wanted.real,
-        interest: wanted.interest,
+        rate: options.rate as f64,
+        depth: options.depth as usize,
+        real: options.real,
+        interest: options.interest,
         direct_p50_us: direct.quantile(0.5, &all),
         direct_p99_us: direct.quantile(0.99, &all),
         through_p50_us: through.quantile(0.5, &all),
         through_p99_us: through.quantile(0.99, &all),
-        added_p50_us: differ(0.5, &all),
-        added_p99_us: differ(0.99, &all),
+        added_p50_us: added(0.5, &all),
+        added_p99_us: added(0.99, &all),
         added_p99_low_us,
         added_p99_high_us,
-        cpu_us_a_call: (processor * 1e7 / asked.max(1) as f64).round() / 10.0,
-        rss_bytes: rounds.iter().map(|seen| seen.max_resident_bytes).max().unwrap_or(0),
+        cpu_us_a_call: (cpu_s * 1e7 / sent.max(1) as f64).round() / 10.0,
+        rss_bytes: rounds.iter().map(|measurements| measurements.max_resident_bytes).max().unwrap_or(0),
         answered: sum(&served),
-        refused: sum(&|side| side.refused),
-        lost: sum(&|side| side.lost),
-        verdict: Said::Kept,
+        refused: sum(&|path| path.refused),
+        lost: sum(&|path| path.lost),
+        verdict: PointVerdict::Kept,
         why: Vec::new(),
     };
-    (point.verdict, point.why) = judge(&point, rounds, chosen.len(), wanted.counts_only);
+    (point.verdict, point.why) = judge(&point, rounds, counted.len(), options.counts_only);
     point
 }
 
 /// What can be said of a point, why it is not kept, and what was left out. A rule that was broken is so on any machine; a
 /// limit is judged only where the machine was good enough for that in half of the seconds, `chosen`.
-fn judge(point: &Point, rounds: &[Measurements], chosen: usize, counts_only: bool) -> (Said, Vec<String>) {
+fn judge(
+    point: &Point,
+    rounds: &[Measurements],
+    counted: usize,
+    counts_only: bool,
+) -> (PointVerdict, Vec<String>) {
     let (mut broken, mut void, mut notes) = (Vec::new(), Vec::new(), Vec::new());
     let mut audited = false;
-    for (round, seen) in rounds.iter().enumerate() {
-        match &seen.verdict {
+    for (round, measurements) in rounds.iter().enumerate() {
+        match &measurements.verdict {
             Verdict::Kept => audited = true,
             Verdict::Broken(found) => broken.extend(found.iter().take(5).map(|fault| {
                 format!("round {round}: {}: {} ({} in all)", fault.property, fault.what, found.len())
@@ -407,7 +432,7 @@
         }
     }
     if !broken.is_empty() {
-        return (Said::Broken, broken);
+        return (PointVerdict::Broken, broken);
     }
     if !audited {
         void.push("the rules could be judged in no round".to_owned());
@@ -415,29 +440,30 @@
     if point.answered == 0 {
         void.push("no call was served through a sidecar".to_owned());
     }
-    let seconds: usize = rounds.iter().map(|seen| seen.seconds.len()).sum();
-    if chosen < seconds {
+    let seconds: usize = rounds.iter().map(|measurements| measurements.seconds.len()).sum();
+    if counted < seconds {
         notes.push(format!(
-            "{chosen} of {seconds} seconds count: in the others calls went out late or the direct way was slow"
+            "{counted} of {seconds} seconds count: in the others calls went out late or the direct way was slow"
         ));
     }
-    if 2 * chosen < seconds {
+    if 2 * counted < seconds {
         void.push("fewer than half of the seconds count".to_owned());
     }
-    let told = |said: Said, mut why: Vec<String>| {
+    let with_notes = |verdict: PointVerdict, mut why: Vec<String>| {
         why.append(&mut notes.clone());
-        (said, why)
+        (verdict, why)
     };
     if !void.is_empty() {
-        return told(Said::Void, void);
+        return with_notes(PointVerdict::Void, void);
     }
     if counts_only {
-        return told(Said::Kept, Vec::new());
+        return with_notes(PointVerdict::Kept, Vec::new());
     }
-    let asked = point.answered + point.refused + point.lost;
-    if (point.refused + point.lost) * UNSERVED > asked {
+    let sent = point.answered + point.refused + point.lost;
+    if (point.refused + point.lost) * UNSERVED_ONE_IN > sent {
         let (refused, lost) = (point.refused, point.lost);
-        broken.push(format!("{refused} refused and {lost} lost of {asked} calls, over 1 in {UNSERVED}"));
+        broken
+            .push(format!("{refused} refused and {lost} lost of {sent} calls, over 1 in {UNSERVED_ONE_IN}"));
     }
     let (low, high) = (point.added_p99_low_us, point.added_p99_high_us);
     let range = format!("{:.0} us added for 99 in 100 (95% from {low:.0} to {high:.0})", point.added_p99_us);
@@ -445,12 +471,15 @@
         broken.push(format!("{range}, over {LIMIT_US:.0}"));
     }
     if !broken.is_empty() {
-        return told(Said::Broken, broken);
+        return with_notes(PointVerdict::Broken, broken);
     }
     if high > LIMIT_US {
-        return told(Said::Void, vec![format!("{range}: the limit of {LIMIT_US:.0} lies within")]);
+        return with_notes(
+            PointVerdict::Void,
+            vec![format!("{range}: the limit of {LIMIT_US:.0} lies within")],
+        );
     }
-    told(Said::Kept, Vec::new())
+    with_notes(PointVerdict::Kept, Vec::new())
 }
 
 #[cfg(test)]
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -13,7 +13,7 @@
 
 /// The first line of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Plan {
+pub struct RunHeader {
     /// The version.
     pub v: u32,
     /// The scenario's file.
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     /// What was asked for.
-    pub plan: Plan,
+    pub plan: RunHeader,
     /// What is there.
     pub days: Vec<Report>,
 }
@@ -46,15 +46,15 @@
 impl Writer {
     /// Begins a run at the end of a file.
     pub fn begin(path: &Path, plan: &str, policy: &str, seeds: &[u64]) -> Result<Writer> {
-        let at = || path.display().to_string();
-        let cut_off = std::fs::read(path).is_ok_and(|held| held.last().is_some_and(|last| *last != b'\n'));
-        let mut file = OpenOptions::new().create(true).append(true).open(path).with_context(at)?;
+        let location = || path.display().to_string();
+        let cut_off = std::fs::read(path).is_ok_and(|bytes| bytes.last().is_some_and(|last| *last != b'\n'));
+        let mut file = OpenOptions::new().create(true).append(true).open(path).with_context(location)?;
         if cut_off {
             // The plan would else be a part of the line that the run before did not finish.
-            file.write_all(b"\n").with_context(at)?;
+            file.write_all(b"\n").with_context(location)?;
         }
         let mut writer = Writer(file);
-        let plan = Plan { v: VERSION, plan: plan.into(), policy: policy.into(), seeds: seeds.to_vec() };
+        let plan = RunHeader { v: VERSION, plan: plan.into(), policy: policy.into(), seeds: seeds.to_vec() };
         writer.line(&plan)?;
         Ok(writer)
     }
@@ -77,26 +77,32 @@
     let mut runs: Vec<Run> = Vec::new();
     let lines: Vec<&str> = text.lines().collect();
     for (n, line) in lines.iter().enumerate() {
-        let at = || format!("{}: line {}", path.display(), n + 1);
+        let location = || format!("{}: line {}", path.display(), n + 1);
         // The last line of a run that was ended by hand, at the end of the file or before the next run's plan.
         let cut_off = match lines.get(n + 1) {
             None => !text.ends_with('\n'),
-            Some(next) => serde_json::from_str::<Plan>(next).is_ok(),
+            Some(next) => serde_json::from_str::<RunHeader>(next).is_ok(),
         };
-        if let Ok(plan) = serde_json::from_str::<Plan>(line) {
+        if let Ok(plan) = serde_json::from_str::<RunHeader>(line) {
             if plan.v != VERSION {
-                bail!("{}: v: {} is not a version that is read; right would be {VERSION}", at(), plan.v);
+                bail!(
+                    "{}: v: {} is not a version that is read; right would be {VERSION}",
+                    location(),
+                    plan.v
+                );
             }
             runs.push(Run { plan, days: Vec::new() });
             continue;
         }
         let Some(run) = runs.last_mut() else {
-            bail!("{}: a day before any plan; right would be a file that `run --out` wrote", at());
+            bail!("{}: a day before any plan; right would be a file that `run --out` wrote", location());
         };
         match serde_json::from_str::<Report>(line) {
             Ok(day) => run.days.push(day),
             Err(_) if cut_off => {}
-            Err(error) => return Err(error).with_context(|| format!("{}: it is no day's result", at())),
+            Err(error) => {
+                return Err(error).with_context(|| format!("{}: it is no day's result", location()));
+            }
         }
     }
     Ok(runs)
--- a/crates/lab/src/results/tests.rs
+++ b/crates/lab/src/results/tests.rs
@@ -4,7 +4,7 @@
 
 /// A run that was ended by hand left a file that nothing could read.
 #[test]
-fn an_interrupted_run_is_read_as_a_part_and_a_spoilt_line_is_named() {
+fn interrupted_run_is_partial_and_corrupt_line_is_reported() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("r.jsonl");
     let mut writer = Writer::begin(&path, "a.toml", "module", &[1, 2, 3]).unwrap();
--- a/crates/lab/tests/real.rs
+++ b/crates/lab/tests/real.rs
@@ -12,7 +12,7 @@
 /// The sidecar, built once beside the lab.
 static SIDECAR: LazyLock<PathBuf> = LazyLock::new(|| program("dunlincleat-sidecar"));
 /// How long processes may take to begin and to end.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn lab() -> Command {
     LazyLock::force(&SIDECAR);
@@ -24,9 +24,9 @@
 }
 
 fn points(out: &Path) -> Vec<Value> {
-    let told: Value = serde_json::from_str(&std::fs::read_to_string(out).unwrap()).unwrap();
-    assert_eq!((&told["v"], &told["kind"]), (&Value::from(1), &Value::from("added")));
-    told["points"].as_array().unwrap().clone()
+    let result: Value = serde_json::from_str(&std::fs::read_to_string(out).unwrap()).unwrap();
+    assert_eq!((&result["v"], &result["kind"]), (&Value::from(1), &Value::from("added")));
+    result["points"].as_array().unwrap().clone()
 }
 
 fn number(point: &Value, key: &str) -> u64 {
@@ -36,7 +36,7 @@
 /// Every call has one answer, each sidecar was told of every server (the run fails where one was not), and all that was
 /// started is gone when the run is.
 #[test]
-fn each_call_has_one_answer_and_nothing_is_left_behind() {
+fn each_call_has_one_response_and_no_process_is_left() {
     let folder = tempfile::tempdir().unwrap();
     let out = folder.path().join("added.json");
     let run = lab()
@@ -47,9 +47,9 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let children = children(&run, 2 + 2, PATIENCE);
+    let children = children(&run, 2 + 2, TIMEOUT);
     let done = run.wait_with_output().unwrap();
-    all_end(&children, PATIENCE);
+    all_end(&children, TIMEOUT);
     let text = String::from_utf8_lossy(&done.stdout);
     assert_eq!(done.status.code(), Some(0), "{text}{}", String::from_utf8_lossy(&done.stderr));
     let points = points(&out);
@@ -67,12 +67,12 @@
 
 /// Planted: with no sidecar there is nothing to compare the direct way with, and that must not look kept.
 #[test]
-fn a_run_without_a_sidecar_is_void() {
+fn run_without_a_sidecar_is_void() {
     let folder = tempfile::tempdir().unwrap();
     let out = folder.path().join("added.json");
-    let told =
+    let arguments =
         ["--known", "60", "--real", "0", "--rate", "50", "--lasts", "2", "--rounds", "1", "--counts-only"];
-    let done = added(&out, &told);
+    let done = added(&out, &arguments);
     assert_eq!(done.status.code(), Some(2), "{}", String::from_utf8_lossy(&done.stderr));
     let points = points(&out);
     assert_eq!(points[0]["verdict"], "void");
@@ -82,7 +82,7 @@
 
 /// A run that is killed takes its sidecars and stand-ins with it.
 #[test]
-fn nothing_outlives_a_run_that_is_killed() {
+fn killed_run_leaves_no_processes() {
     let folder = tempfile::tempdir().unwrap();
     let mut run = lab()
         .args(["added", "--known", "6", "--real", "3", "--lasts", "60", "--out"])
@@ -90,15 +90,15 @@
         .stdout(Stdio::null())
         .spawn()
         .unwrap();
-    let children = children(&run, 3 + 2, PATIENCE);
+    let children = children(&run, 3 + 2, TIMEOUT);
     run.kill().unwrap();
     run.wait().unwrap();
-    all_end(&children, PATIENCE);
+    all_end(&children, TIMEOUT);
 }
 
 /// What can't be played is refused before anything starts, with the flag, its value and what would be right.
 #[test]
-fn what_cannot_be_played_is_named() {
+fn invalid_options_are_rejected_by_name() {
     let folder = tempfile::tempdir().unwrap();
     let out = folder.path().join("added.json");
     let refused = |arguments: &[&str], named: &[&str]| {
