--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run from the command line: control machines at size, hollow sidecars beside real ones, the plan's days, and
-//! what is said of each from outside.
+//! `scale`: runs the plan's scenarios with control machines at full size and hollow sidecars beside real ones, and judges
+//! each scenario by what is observed from outside.
 
 pub mod fleet;
 pub mod judge;
@@ -19,75 +19,76 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// What the run may take of the machine, in bytes.
+/// Memory that a run may use on the machine, in bytes.
 const MAX_MEMORY_BYTES: f64 = 12e9;
-/// And of its processes.
+/// A run starts fewer processes than this.
 const MAX_PROCESSES: usize = 300;
-/// What a hollow sidecar holds for each server that it knows, and beside these, in bytes; measured, and rounded up.
+/// Memory of a hollow sidecar for each server that it knows, in bytes, rounded up.
 const BYTES_PER_SERVER: f64 = 2000.0;
+/// Memory of a hollow sidecar apart from its servers, in bytes, rounded up.
 const BYTES_PER_SIDECAR: f64 = 200_000.0;
-/// What a hollow sidecar's processor time may be of a real one's, either way.
+/// Largest ratio of the processor times of a hollow and a real sidecar, in either direction.
 const MAX_CPU_RATIO: f64 = 3.0;
-/// Descriptors of a process that are no sidecar's.
+/// Descriptors of a process that do not belong to a sidecar.
 const OTHER_DESCRIPTORS: usize = 64;
 
-/// What is wanted of a scale run.
+/// Command-line options of `scale`.
 #[derive(Args)]
 pub struct Options {
-    /// The plan, a TOML file; the figures of the letter where none is told
+    /// The plan, a TOML file [default: the requirements built in]
     #[arg(long)]
     plan: Option<PathBuf>,
-    /// How many hollow sidecars at the most, never more than there are endpoints: one number, or one for each size
+    /// Largest number of hollow sidecars, limited to the number of endpoints: one value, or one for each size
     #[arg(long, value_delimiter = ',', default_values_t = [92])]
     hollow: Vec<usize>,
-    /// How many real ones, from 0 to 50
+    /// Number of real sidecars, from 0 to 50
     #[arg(long, default_value_t = 0)]
     real: usize,
-    /// The seed of all that is drawn
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Play one in so many of the sidecars; the list stays whole
+    /// Run only one in this many sidecars; the server list stays complete
     #[arg(long, default_value_t = 1)]
     shrink: usize,
-    /// The days, by name
+    /// Names of the scenarios [default: all]
     #[arg(long, value_delimiter = ',')]
     days: Vec<String>,
-    /// How many endpoints, one run each
+    /// Numbers of endpoints, one run for each
     #[arg(long, value_delimiter = ',', default_values_t = [100])]
     sizes: Vec<usize>,
-    /// Sidecars ask only for the services that they call
+    /// Sidecars request only the services that they call
     #[arg(long)]
     interest: bool,
-    /// For how many seconds a day's events come, from 2 to 600
+    /// Seconds during which a scenario's events happen, from 2 to 600
     #[arg(long, default_value_t = 15.0)]
     lasts: f64,
-    /// Requests a second that each hollow sidecar's engine is told of
+    /// Requests per second passed to each hollow sidecar's engine, from 0 to 50
     #[arg(long, default_value_t = 0.2)]
     rate: f64,
-    /// The least length of the decision module's window in milliseconds, so that it is stepped less often
+    /// Smallest length of the decision module's window in milliseconds, to step it less often; 0 for that of the classes
     #[arg(long, default_value_t = 0)]
     window_ms: u64,
-    /// A fault planted in a hollow sidecar, as NUMBER=whole-list, NUMBER=deaf or NUMBER=leak
+    /// Inject a fault into a hollow sidecar: NUMBER=whole-list, NUMBER=deaf or NUMBER=leak
     #[arg(long, hide = true)]
     plant: Vec<String>,
-    /// Judge by counts alone, for a machine that is busy: no limit on time, bytes a second, processor time and memory
+    /// Judge by counts only, for a busy machine: no limits on time, bytes per second, processor time and memory
     #[arg(long)]
     counts: bool,
-    /// For how many seconds after the last change it is waited for, from 1 to 120
+    /// Seconds to wait for the last change to be in force, from 1 to 120
     #[arg(long, default_value_t = 6.5)]
     waits: f64,
-    /// The commit that is played, for the result
+    /// Commit under test, recorded in the result
     #[arg(long, default_value = "")]
     commit: String,
-    /// Where the result is kept: a file, or a folder for scale.json
+    /// Write the result to this file, or to scale.json in this folder
     #[arg(long)]
     out: Option<PathBuf>,
-    /// The program under test; `dunlincleat-sidecar` beside this one where it is not told
+    /// The program under test [default: `dunlincleat-sidecar` in the folder of this program]
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// A plan as far as a scale run needs it; a key that is left out has the letter's figure.
+/// The part of a plan that a scale run needs. A missing key has the default of [`FleetFigures`] or [`Limits`].
 struct PlanFile {
     path: PathBuf,
     table: toml::Table,
@@ -98,7 +99,7 @@
         let mut parts = key.split('.');
         let first = self.table.get(parts.next()?)?;
         let value = parts.try_fold(first, |value, part| value.get(part))?;
-        // What was assumed has its reason beside it.
+        // An assumption is a table with its value in `is` and its reason beside it.
         Some(value.get("is").unwrap_or(value))
     }
 
@@ -126,7 +127,7 @@
     }
 }
 
-/// The figures and limits that a plan says.
+/// Reads the figures and limits of a plan; the defaults without a plan.
 fn read_plan(plan: Option<&Path>) -> Result<(FleetFigures, Limits)> {
     let (mut figures, mut limits) = (FleetFigures::default(), Limits::default());
     let Some(path) = plan else { return Ok((figures, limits)) };
@@ -159,34 +160,36 @@
     Ok((figures, limits))
 }
 
-/// Refuses what the machine can't carry, before anything is started.
+/// Rejects a run that exceeds the limits of the machine, before anything is started.
 fn check_resources(spec: &RunSpec) -> Result<()> {
     let sidecars = spec.hollow + spec.real;
     let processes = spec.controls + spec.hollow_processes() + spec.real + 1;
     if processes >= MAX_PROCESSES {
-        bail!("{processes} processes would be started; right would be under {MAX_PROCESSES}");
+        bail!("the run would start {processes} processes; expected fewer than {MAX_PROCESSES}");
     }
     let known = if spec.interest { spec.size / 20 } else { spec.size };
     let needs =
         spec.hollow as f64 * (BYTES_PER_SIDECAR + BYTES_PER_SERVER * known as f64) + spec.real as f64 * 40e6;
     if needs > MAX_MEMORY_BYTES {
         bail!(
-            "--hollow: {} sidecars that know {known} servers each would take {:.0} GB; right would be under {:.0}, \
-             so at the most {} of them",
+            "--hollow: {} sidecars that know {known} servers each need {:.0} GB; expected under {:.0} GB, that is at most {} \
+             sidecars",
             spec.hollow,
             needs / 1e9,
             MAX_MEMORY_BYTES / 1e9,
             (MAX_MEMORY_BYTES / (BYTES_PER_SIDECAR + BYTES_PER_SERVER * known as f64)) as usize
         );
     }
-    // A listener and two connections of each sidecar, at a control machine that serves also those of one that died.
+    // A control machine has a listener and two connections for each sidecar, and may take over those of one that died.
     let left = spec.controls.saturating_sub(1).max(1);
     let control = sidecars.div_ceil(left) * 4;
     let hollow = spec.hollow.div_ceil(spec.hollow_processes()) * 3;
     let needs = control.max(hollow).max(processes * 4) + OTHER_DESCRIPTORS;
     let has = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     if needs as u64 > has {
-        bail!("a process needs {needs} descriptors and may have {has}; right would be ulimit -n {needs}");
+        bail!(
+            "a process needs {needs} file descriptors and may open {has}; raise the limit with ulimit -n {needs}"
+        );
     }
     Ok(())
 }
@@ -234,14 +237,15 @@
     )
 }
 
-/// Whether hollow and real are alike enough for what is said of hollow ones to hold for real ones.
+/// Whether hollow and real sidecars are similar enough for results of hollow ones to apply to real ones.
 fn hollow_matches_real(comparison: &HollowReal, by_counts: bool) -> bool {
     let HollowReal { messages, bytes, cpu_ratio, .. } = comparison;
     let cpu_differs = !by_counts && (*cpu_ratio > MAX_CPU_RATIO || *cpu_ratio < 1.0 / MAX_CPU_RATIO);
     messages[0] == messages[1] && bytes[0] == bytes[1] && !cpu_differs
 }
 
-/// Plays it: 0 where every limit was kept, 1 where one was broken, 2 where nothing can be said.
+/// Runs all scenarios. Exit code 0 where all limits were met, 1 where one was exceeded, 2 where a scenario is void or
+/// hollow and real sidecars differ.
 pub fn run(options: Options) -> Result<ExitCode> {
     if !(2.0..=600.0).contains(&options.lasts) {
         bail!("--lasts: {} is not from 2 to 600", options.lasts);
@@ -260,7 +264,7 @@
     for name in &options.days {
         let day = Scenario::of(name).with_context(|| {
             let names: Vec<&str> = Scenario::ALL.iter().map(|(name, _)| *name).collect();
-            format!("--days: {name} is none of {}", names.join(", "))
+            format!("--days: unknown scenario {name}; expected one of {}", names.join(", "))
         })?;
         days.push(day);
     }
@@ -275,7 +279,11 @@
     let hollow_of = |n: usize| match options.hollow.as_slice() {
         [one] => Ok(*one),
         all if all.len() == options.sizes.len() => Ok(all[n]),
-        all => bail!("--hollow: {} numbers for {} sizes", all.len(), options.sizes.len()),
+        all => bail!(
+            "--hollow: {} values for {} sizes; expected one value or one for each size",
+            all.len(),
+            options.sizes.len()
+        ),
     };
     let mut specs = Vec::new();
     for (n, size) in options.sizes.iter().enumerate() {
@@ -301,7 +309,7 @@
             window_ms: options.window_ms,
             faults: injected_faults(&options.plant, hollow)?,
             limits: if options.counts { Limits::counts() } else { limits },
-            // By counts alone no watch is taken for dead because the machine is busy.
+            // When judging by counts, a busy machine must not make a watch count as lost.
             grace_ms: if options.counts { 60_000 } else { 1000 },
             settle_time: Duration::from_secs_f64(options.waits),
         };
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,4 +1,5 @@
-//! The fleet of a scale run, drawn from its seed: the entries of the list, and the services that each sidecar calls.
+//! The fleet of a scale run, generated from its seed: the entries of the server list and the services that each sidecar
+//! calls.
 
 use dunlincleat_trial::control::Entry;
 use rand::rngs::SmallRng;
@@ -7,30 +8,31 @@
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// What the fleet is drawn by: figures of the letter, and assumptions of our own (deploy/plans/fleet-ahead.toml).
+/// Parameters of the generated fleet: the stated requirements, and assumptions beside them
+/// (deploy/plans/fleet-ahead.toml).
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetFigures {
-    /// Endpoints, each with its sidecar.
+    /// Number of endpoints, each with a sidecar.
     pub endpoints: usize,
-    /// Services at that size.
+    /// Number of services at that number of endpoints.
     pub services: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
     /// Endpoints of the service that every sidecar calls.
     pub hub_endpoints: usize,
     /// Endpoints of the largest service.
     pub largest_endpoints: usize,
-    /// The other services by size: parts of the services, and the parts of the endpoints that they hold.
+    /// The other services by size: a share of the services, and the share of the endpoints that these have.
     pub service_sizes: Vec<(f64, f64)>,
-    /// How many services a sidecar calls, the hub among them, and the part of the sidecars that do.
+    /// Number of services that a sidecar calls, including the hub, and the share of the sidecars that call so many.
     pub services_called: Vec<(usize, f64)>,
-    /// Changes a day.
+    /// Changes of the list per day.
     pub changes_per_day: f64,
-    /// Changes of the list a second at peak.
+    /// Changes of the list per second at peak.
     pub peak_changes_per_s: f64,
-    /// Restarts a day.
+    /// Restarts per day.
     pub restarts_per_day: f64,
-    /// Control machines.
+    /// Number of control machines.
     pub control_machines: usize,
 }
 
@@ -53,7 +55,7 @@
 }
 
 impl FleetFigures {
-    /// The endpoints of a service in the mean.
+    /// Mean number of endpoints of a service, by its number.
     fn mean_endpoints(&self, service: usize) -> f64 {
         match service {
             0 => self.hub_endpoints as f64,
@@ -75,14 +77,14 @@
     }
 }
 
-/// A fleet.
+/// A generated fleet.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// The list at the start; the server of a number is the neighbour of the sidecar of that number.
+    /// The list at the start; server `n` runs beside sidecar `n`.
     pub entries: Vec<Entry>,
     /// The services that each sidecar calls.
     pub calls: Vec<BTreeSet<String>>,
-    /// The names of the zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
 
@@ -91,11 +93,11 @@
 }
 
 impl Fleet {
-    /// A fleet of so many endpoints, of which the first have sidecars that are played.
+    /// Generates a fleet of `endpoints` endpoints, the first `sidecars` of which have a sidecar in the run.
     pub fn generate(seed: u64, figures: &FleetFigures, endpoints: usize, sidecars: usize) -> Fleet {
         let mut rng = SmallRng::seed_from_u64(seed);
         let services = (figures.services * endpoints).div_ceil(figures.endpoints).max(3);
-        // A service of the whole fleet stands for as many as the size lacks.
+        // A smaller fleet has fewer services, each sized like one of the whole fleet at the same rank.
         let whole = |n: usize| if n < 2 { n } else { 2 + (n - 2) * (figures.services - 2) / (services - 2) };
         let mut sum = 0.0;
         let sums: Vec<f64> = (0..services)
@@ -106,11 +108,11 @@
             .collect();
         let zones: Vec<String> = (0..figures.zones).map(|zone| format!("zone-{zone}")).collect();
         let entries = (0..endpoints).map(|n| {
-            // Each service has an endpoint, and the others as its size says.
+            // Each service gets one endpoint; the others are drawn in proportion to the sizes.
             let drawn = rng.random_range(0.0..sum);
             let of =
                 if n < services { n } else { sums.partition_point(|sum| *sum <= drawn).min(services - 1) };
-            // Nobody listens there; and were it called, it is this machine.
+            // Nothing listens on this address, and a call to it would stay on this machine.
             let at = Ipv4Addr::new(127, 200, (n >> 8) as u8, n as u8);
             Entry {
                 uid: format!("s-{:08x}", rng.random::<u32>()),
@@ -132,7 +134,7 @@
                 drawn < sum
             });
             let wanted = group.or(figures.services_called.last()).map_or(1, |(called, _)| *called);
-            // The first is a hub that calls all.
+            // The first sidecar calls all services.
             let wanted = if n == 0 { services } else { wanted.clamp(1, services) };
             let others = sample(&mut rng, services - 1, wanted - 1).into_iter().map(|other| other + 1);
             others.chain([0]).map(service_name).collect()
--- a/crates/lab/src/scale/judge.rs
+++ b/crates/lab/src/scale/judge.rs
@@ -1,23 +1,23 @@
-//! What a day comes to: a pure function of what was seen from outside. Nothing is counted here that a process under test
-//! says of itself, but for the versions that it logs as taken.
+//! Judges a scenario by what was observed from outside, as a pure function. Nothing that a process under test reports
+//! about itself is counted, except the revisions that it logs as in force.
 
 use super::result::{Figure, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The limits of the letter, and those of the rig's own.
+/// The required limits, and those of the rig itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// A change is in force everywhere within this, in milliseconds.
+    /// Time until a change is in force everywhere, in milliseconds.
     pub in_force_ms: f64,
-    /// Bytes a second of a sidecar's control.
+    /// Bytes per second between a sidecar and control.
     pub bytes: f64,
-    /// Its part of a core.
+    /// A sidecar's share of a core.
     pub cpu: f64,
-    /// Its memory in bytes.
+    /// A sidecar's memory, in bytes.
     pub memory: f64,
-    /// What a sidecar's memory may grow over the median in a day, in bytes.
+    /// Growth of a sidecar's memory over the median growth within a scenario, in bytes.
     pub growth_bytes: f64,
-    /// By how much the rig's timers may be late, in microseconds.
+    /// Delay of the rig's timers, in microseconds.
     pub timer_delay_us: u64,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Limits {
-    /// No limit on anything that a busy machine changes: what is left is judged by counts.
+    /// Only the limits that do not depend on the load of the machine; the scenario is judged by counts.
     pub fn counts() -> Limits {
         let none = f64::INFINITY;
         let limits = Limits::default();
@@ -44,86 +44,86 @@
     }
 }
 
-/// A version that is to come in force at sidecars from a time on, in microseconds.
+/// A revision that has to come into force at sidecars.
 #[derive(Clone, Debug)]
 pub struct DueRevision {
-    /// The version.
+    /// The revision.
     pub rev: u64,
-    /// Since when.
+    /// When it was published, in microseconds.
     pub at: u64,
-    /// Where.
+    /// The sidecars that have to apply it.
     pub sidecars: Vec<usize>,
 }
 
-/// Something counted at a time: what was added since the one before.
+/// Counters at one time, as the increase since the previous sample.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// When, in microseconds.
+    /// Time of the sample, in microseconds.
     pub at: u64,
-    /// Bytes that control wrote.
+    /// Bytes written by control.
     pub bytes: f64,
-    /// Lists and changes that it wrote.
+    /// Lists and changes written by control.
     pub messages: f64,
-    /// Of these, whole lists asked for by a call.
+    /// Of these, whole lists requested by a call.
     pub whole_lists: f64,
     /// Watches opened.
     pub watches: f64,
     /// Processor time, in microseconds.
     pub cpu: f64,
-    /// Lists and changes that a hollow sidecar's engine took.
+    /// Lists and changes applied by a hollow sidecar's engine.
     pub deliveries: f64,
 }
 
-/// A sidecar or a control machine as it was seen.
+/// Observations of one sidecar or control machine.
 #[derive(Clone, Debug, Default)]
 pub struct Track {
     /// Its name.
     pub name: String,
-    /// It is a process of the program.
+    /// It is a process of the real program.
     pub real: bool,
-    /// It is hollow: what its engine took is known.
+    /// It is a hollow sidecar, whose engine's deliveries are known.
     pub hollow: bool,
-    /// By time.
+    /// Samples by time.
     pub samples: Vec<Sample>,
-    /// Its memory, by time, in bytes.
+    /// Memory by time, in bytes.
     pub memory: Vec<(u64, f64)>,
-    /// Versions in force, by time.
+    /// Revisions that came into force, with their times.
     pub in_force: Vec<(u64, u64)>,
-    /// When it started anew.
+    /// Times of its starts.
     pub started: Vec<u64>,
 }
 
-/// All that was seen.
+/// All observations of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// The sidecars by number.
     pub sidecars: Vec<Track>,
     /// The control machines by number.
     pub controls: Vec<Track>,
-    /// How late a timer was, by time, and whose.
+    /// Timer delays: time, delay, and the process.
     pub late: Vec<(u64, u64, String)>,
 }
 
-/// A day that was played.
+/// A completed scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioRun {
     /// Its name.
     pub name: String,
     /// The seed.
     pub seed: u64,
-    /// When it began and ended.
+    /// Start time, in microseconds.
     pub from: u64,
-    /// And ended.
+    /// End time, in microseconds.
     pub to: u64,
-    /// What had to come in force.
+    /// Revisions that had to come into force.
     pub due: Vec<DueRevision>,
-    /// Sidecars that ask for no whole list on this day: nothing broke their connections.
+    /// Sidecars whose connections nothing broke, so that they should request no whole list.
     pub undisturbed: BTreeSet<usize>,
     /// Control machines that were killed.
     pub killed: BTreeSet<usize>,
 }
 
-/// A spread of values with names.
+/// Values with the names of their processes, in ascending order.
 struct Distribution(Vec<(f64, String)>);
 
 impl Distribution {
@@ -169,7 +169,7 @@
     }
 }
 
-/// The most that was added within any span of this length that begins with a sample, and when.
+/// Largest increase within any time span of this length that begins with a sample, and the time of its last sample.
 fn max_in_span(samples: &[&Sample], of: fn(&Sample) -> f64, span: u64) -> (f64, u64) {
     let (mut sum, mut first, mut most) = (0.0, 0, (0.0, 0));
     for last in samples {
@@ -191,11 +191,11 @@
     name: &'static str,
     unit: &'static str,
     of: fn(&Sample) -> f64,
-    /// How many of the counted make one of the unit.
+    /// Divisor from the counted unit to the reported one.
     scale: f64,
 }
 
-/// The figures of a day, why a limit is broken, and what is said of it.
+/// Verdict on a scenario, the violated limits, and the figures.
 pub fn judge(
     run: &ScenarioRun,
     observations: &Observations,
@@ -226,7 +226,7 @@
     (if violations.is_empty() { Verdict::Kept } else { Verdict::Broken }, violations, figures)
 }
 
-/// The time until each version was in force where it was due.
+/// Checks the time until each revision was in force at the sidecars that had to apply it.
 fn check_in_force(
     run: &ScenarioRun,
     observations: &Observations,
@@ -241,7 +241,7 @@
     for due in due {
         for sidecar in &due.sidecars {
             let track = &observations.sidecars[*sidecar];
-            // One that was started anew meanwhile is due anew.
+            // A sidecar restarted in the meantime is covered by the revision published at its start.
             let restarted = track.started.iter().find(|started| **started > due.at);
             let from = track.in_force.partition_point(|(_, at)| *at < due.at);
             let here = track.in_force[from..].iter().find(|(rev, _)| *rev >= due.rev);
@@ -367,7 +367,8 @@
     figures
 }
 
-/// On a sidecar whose connection nothing broke: no whole list, and each message that control wrote was taken.
+/// Checks that a sidecar whose connection nothing broke received no whole list, and that each message written by control
+/// was applied.
 fn check_counts(run: &ScenarioRun, observations: &Observations, violations: &mut Vec<String>) {
     let (mut whole, mut other) = (Vec::new(), Vec::new());
     for sidecar in &run.undisturbed {
@@ -383,7 +384,7 @@
         if lists > 0.0 {
             whole.push(format!("{} ({lists:.0})", track.name));
         } else if track.hollow && watches == 0.0 && written != taken {
-            // With another watch beside it, what comes on the one that is closed is written and never taken.
+            // Where a second watch was opened, messages written to the closed one are never applied.
             other.push(format!("{} ({written:.0} and {taken:.0})", track.name));
         }
     }
@@ -404,7 +405,7 @@
     }
 }
 
-/// Memory that grows where that of the others does not is held by something that was forgotten.
+/// Checks for a memory leak: growth of one sidecar beyond the median of all.
 fn check_growth(
     run: &ScenarioRun,
     observations: &Observations,
--- a/crates/lab/src/scale/result.rs
+++ b/crates/lab/src/scale/result.rs
@@ -1,60 +1,60 @@
-//! The result of a scale run, as it is kept in a file and read by whoever writes pages from it. Format 1.
+//! Result file of a scale run, format version 1. The capacity page is written from it.
 
 use serde::{Deserialize, Serialize};
 
-/// The version of the format.
+/// Version of the format.
 pub const VERSION: u32 = 1;
 
-/// A scale run.
+/// Result of a scale run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScaleResult {
-    /// The version of the format.
+    /// Format version, [`VERSION`].
     pub v: u32,
     /// `scale`.
     pub kind: String,
-    /// The commit that was played; empty where it isn't known.
+    /// The commit that was run; empty where it is unknown.
     pub commit: String,
-    /// The command that played it.
+    /// The command line.
     pub command: String,
-    /// Cores of the machine.
+    /// Number of processors of the machine.
     pub cores: usize,
-    /// The seed of all that was drawn.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// A run for each size.
+    /// One entry for each size.
     pub runs: Vec<SizeRun>,
-    /// One hollow sidecar against one real one, where that was played.
+    /// Comparison of a hollow sidecar with a real one, where real ones were run.
     pub hollow_real: Option<HollowReal>,
 }
 
-/// All days at one size.
+/// All scenarios at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SizeRun {
-    /// Endpoints listed.
+    /// Number of endpoints on the list.
     pub size: usize,
-    /// Hollow sidecars that followed the list; fewer than endpoints where the run was shrunk.
+    /// Number of hollow sidecars; fewer than endpoints where `--shrink` was given.
     pub hollow: usize,
-    /// Real ones beside them.
+    /// Number of real sidecars.
     pub real: usize,
-    /// Control machines.
+    /// Number of control machines.
     #[serde(default)]
     pub controls: usize,
-    /// Sidecars asked only for the services that they call.
+    /// Sidecars requested only the services that they call.
     pub interest: bool,
-    /// By what factor time was pressed together; 1 for none.
+    /// Factor by which time was compressed; 1 for none.
     pub pressed: f64,
-    /// The days.
+    /// The scenarios.
     pub days: Vec<ScenarioResult>,
 }
 
-/// What is said of a day.
+/// Verdict on a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verdict {
-    /// Every limit was kept.
+    /// All limits were met.
     Kept,
-    /// A limit was broken.
+    /// A limit was exceeded.
     Broken,
-    /// The rig itself was late: nothing can be said.
+    /// Timers of the rig itself were late, so nothing can be concluded.
     Void,
 }
 
@@ -62,25 +62,25 @@
     1.0
 }
 
-/// A day.
+/// Result of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScenarioResult {
-    /// Which.
+    /// Name of the scenario.
     pub name: String,
-    /// How long it was played, in seconds, with what came after its last change until that was in force.
+    /// Duration in seconds, including the time until its last change was in force.
     pub lasts_s: f64,
-    /// By what factor its events were pressed together against the plan; 1 for none.
+    /// Factor by which events followed each other faster than in the plan; 1 for none.
     #[serde(default = "default_pressed")]
     pub pressed: f64,
-    /// What is said of it.
+    /// The verdict.
     pub verdict: Verdict,
-    /// Why, with limit, seed, time and sidecar; empty where all was kept.
+    /// Reasons, with limit, seed, time and sidecar; empty where all limits were met.
     pub why: Vec<String>,
-    /// What was measured.
+    /// Measured figures.
     pub figures: Vec<Figure>,
 }
 
-/// A figure over all of a role.
+/// A figure over all processes of a role.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figure {
     /// `sidecar`, `real` (a process of the program) or `control`.
@@ -89,33 +89,33 @@
     pub name: String,
     /// `ms`, `bytes/s`, `messages/s`, `part-of-core` or `bytes`.
     pub unit: String,
-    /// The median over the role.
+    /// Median over the role.
     pub p50: Option<f64>,
-    /// 99 in 100 are at or under this.
+    /// 99th percentile over the role.
     pub p99: Option<f64>,
-    /// The most of any.
+    /// Largest value of any process.
     pub max: Option<f64>,
-    /// The mean over the role.
+    /// Mean over the role.
     pub mean: Option<f64>,
-    /// The most of any in any one second.
+    /// Largest value of any process in any second.
     pub most_1s: Option<f64>,
-    /// The most of any in any 10 s, in the same unit; over the whole day where that was shorter.
+    /// Largest value of any process in any 10 s, in the same unit; over the whole scenario where that was shorter.
     pub most_10s: Option<f64>,
-    /// What it may be, where that is limited.
+    /// The limit, where there is one.
     pub limit: Option<f64>,
-    /// The names of the last or largest ten.
+    /// Names of the ten latest or largest.
     pub last: Vec<String>,
 }
 
-/// The same inputs to one hollow sidecar and one real one.
+/// A hollow sidecar and a real one compared on the same inputs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HollowReal {
-    /// Messages that discovery sent to the hollow and to the real one.
+    /// Messages that discovery sent to the hollow sidecar and to the real one.
     pub messages: [u64; 2],
-    /// Bytes that it sent.
+    /// Bytes that discovery sent to each.
     pub bytes: [u64; 2],
-    /// Processor time of the hollow one as a part of the real one's.
+    /// Processor time of the hollow sidecar divided by the real one's.
     pub cpu_ratio: f64,
-    /// Memory of the hollow one (allocated) as a part of the real one's (resident).
+    /// Memory of the hollow sidecar (allocated) divided by the real one's (resident).
     pub memory_ratio: f64,
 }
--- a/crates/lab/src/scale/rig.rs
+++ b/crates/lab/src/scale/rig.rs
@@ -1,9 +1,8 @@
-//! The rig of a scale run: starts control machines, hollow sidecars and real ones, plays the days, and keeps what is seen.
-//! Owns every process that it starts; all of them end with it, whatever ends it.
+//! The rig of a scale run: starts control machines, hollow sidecars and real ones, runs the scenarios and records what is
+//! observed. It owns every process that it starts, and all of them exit with it, however it ends.
 //!
-//! Every sidecar has an address of its own at which control answers to it. Where a control machine dies the others take
-//! up its addresses, [`TAKES_OVER`] later, as a service's address moves to another machine: a sidecar asks on where it
-//! asked before.
+//! Control serves each sidecar at an address of its own. When a control machine dies, the others take over its addresses
+//! after [`TAKEOVER_DELAY`], the way a service's address moves to another machine: sidecars keep using the same address.
 
 use super::fleet::{Fleet, FleetFigures};
 use super::judge::{DueRevision, Limits, Observations, Sample, ScenarioRun, Track, judge};
@@ -28,87 +27,87 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, sleep_until};
 
-/// Hollow sidecars that share a process at the most, and so its one thread.
+/// Most hollow sidecars that share one process, which has a single thread.
 const MAX_HOLLOW_PER_PROCESS: usize = 520;
-/// Processes that hollow sidecars are spread over at the least, where there are so many.
+/// Fewest processes that hollow sidecars are spread over, where there are that many sidecars.
 const MIN_HOLLOW_PROCESSES: usize = 4;
-/// How long after a control machine's death the others serve its sidecars.
+/// Time after the death of a control machine until the others serve its sidecars.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(500);
-/// How often the real processes are looked at.
+/// Interval at which processor time and memory of the real sidecars are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long all may take to begin.
+/// Time limit for all processes to start, and for all reports to arrive.
 const START_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What is played at one size.
+/// Parameters of a run at one size.
 #[derive(Clone, Debug)]
 pub struct RunSpec {
-    /// This program, which holds control, the hollow sidecars and the tie.
+    /// Path of this program, which also runs control, the hollow sidecars and the tether.
     pub lab: PathBuf,
-    /// The program under test.
+    /// Path of the program under test.
     pub program: PathBuf,
-    /// What the fleet is drawn by.
+    /// Parameters of the generated fleet.
     pub figures: FleetFigures,
-    /// Endpoints listed.
+    /// Number of endpoints on the list.
     pub size: usize,
-    /// Hollow sidecars.
+    /// Number of hollow sidecars.
     pub hollow: usize,
-    /// Real ones.
+    /// Number of real sidecars.
     pub real: usize,
-    /// Control machines.
+    /// Number of control machines.
     pub controls: usize,
-    /// The seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Sidecars ask only for the services that they call.
+    /// Sidecars request only the services that they call.
     pub interest: bool,
-    /// How long a day's events go on, in seconds.
+    /// Time during which a scenario's events happen, in seconds.
     pub duration_s: f64,
-    /// Requests a second of each hollow sidecar.
+    /// Requests per second of each hollow sidecar.
     pub rate: f64,
-    /// The least length of the decision module's window, in milliseconds; 0 for that of its classes.
+    /// Smallest length of the decision module's window, in milliseconds; 0 for that of its classes.
     pub window_ms: u64,
-    /// Faults that are planted, by the number of the sidecar.
+    /// Injected faults, by sidecar number.
     pub faults: BTreeMap<usize, String>,
-    /// What is judged by.
+    /// Limits to judge by.
     pub limits: Limits,
-    /// The grace of a drain, which sidecars derive from when a watch is late.
+    /// Grace period of a drain, in milliseconds, from which sidecars derive the tolerated silence of a watch.
     pub grace_ms: u64,
-    /// How long after the last change it is waited for.
+    /// Time to wait for the last change to be in force.
     pub settle_time: Duration,
 }
 
 impl RunSpec {
-    /// After its connection broke a sidecar asks for the whole list once, so many microseconds later at the latest.
+    /// Time after a broken connection within which a sidecar requests the whole list once, in microseconds.
     fn list_check_delay_us(&self) -> u64 {
         4_000_000 + 400 * self.grace_ms
     }
 
-    /// Processes that the hollow sidecars share.
+    /// Number of processes that the hollow sidecars share.
     pub fn hollow_processes(&self) -> usize {
         self.hollow.div_ceil(MAX_HOLLOW_PER_PROCESS).max(MIN_HOLLOW_PROCESSES.min(self.hollow))
     }
 }
 
-/// A day that can be played.
+/// A scenario of a scale run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Changes as they come in the mean.
+    /// Changes at the mean rate.
     ChangesMean,
-    /// And at peak.
+    /// Changes at the peak rate.
     ChangesPeak,
-    /// Sidecars end and start anew, and their servers leave and come.
+    /// Sidecars restart, and their servers leave the list and return.
     Restarts,
-    /// All endpoints of a zone leave at once and come back.
+    /// All endpoints of a zone leave at once and return.
     Zone,
-    /// Control breaks all connections, several times.
+    /// Control closes all connections, several times.
     Reconnects,
-    /// All sidecars start at once.
+    /// All sidecars restart at once.
     AllAnew,
     /// A control machine is killed.
     ControlKilled,
 }
 
 impl Scenario {
-    /// All of them, in the order in which they are played.
+    /// All scenarios by name, in the order in which they are run.
     pub const ALL: [(&'static str, Scenario); 7] = [
         ("changes-mean", Scenario::ChangesMean),
         ("changes-peak", Scenario::ChangesPeak),
@@ -119,7 +118,7 @@
         ("reconnects", Scenario::Reconnects),
     ];
 
-    /// The day of a name.
+    /// The scenario of this name.
     pub fn of(name: &str) -> Option<Scenario> {
         Scenario::ALL.iter().find(|(other, _)| *other == name).map(|(_, day)| *day)
     }
@@ -142,7 +141,7 @@
     Exited(String),
 }
 
-/// A process that is told orders by lines.
+/// A child process that reads commands as lines on its standard input.
 struct Child {
     process: Process,
     orders: UnboundedSender<Rc<str>>,
@@ -155,7 +154,7 @@
     }
 
     fn send_line(&self, line: Rc<str>) {
-        // One that has ended is told of by its reader.
+        // The task that reads its output reports a process that has exited.
         let _ = self.orders.send(line);
     }
 
@@ -202,10 +201,10 @@
     }
 }
 
-/// A process of the program.
+/// A process of the program under test.
 struct RealSidecar {
     process: Process,
-    /// Its processor time when it was last looked at, in nanoseconds.
+    /// Processor time at the last sample, in nanoseconds.
     cpu_ns: u64,
 }
 
@@ -218,30 +217,31 @@
     controls: Vec<Option<Child>>,
     hollow_processes: Vec<Child>,
     real_sidecars: BTreeMap<usize, RealSidecar>,
-    /// Which control machine serves a sidecar.
+    /// Control machine that serves each sidecar.
     served_by: Vec<usize>,
     running: Vec<bool>,
     port: u16,
     rev: u64,
     rng: SmallRng,
-    /// Servers that leave and have not come back, the longest away first.
+    /// Servers that are draining or removed, in the order of their last change.
     absent: Vec<usize>,
-    /// The last version that is due at a sidecar, and the last one in force there.
+    /// Latest revision that each sidecar has to apply.
     due_revisions: Vec<u64>,
+    /// Latest revision in force at each sidecar.
     latest_revisions: Vec<u64>,
     sent: BTreeMap<(usize, usize), SentCounts>,
     hollow_counts: Vec<hollow::SidecarCounts>,
     control_cpu: Vec<u64>,
     addresses_served: BTreeMap<usize, usize>,
     next_sample: Instant,
-    /// When the rig last broke a sidecar's connections.
+    /// Time at which the rig last broke each sidecar's connections.
     disconnected_at: Vec<Option<u64>>,
-    /// When everyone last told what it counted.
+    /// Time of the last report of each process.
     last_report: BTreeMap<String, u64>,
     fault: Option<String>,
 }
 
-/// The settings that all sidecars of a run have, as their configuration tells them.
+/// Settings of all sidecars of a run, as in their configuration.
 fn settings(zones: &[String], spec: &RunSpec) -> serde_json::Value {
     json!({
         "zones": zones, "stats": {"fields": ["inflight", "queue", "util"], "how": "inline"},
@@ -252,7 +252,7 @@
     })
 }
 
-/// The processor time of a process, in nanoseconds.
+/// Processor time of a process over all its threads, in nanoseconds; 0 where it cannot be read.
 fn process_cpu_ns(process: u32) -> u64 {
     let Ok(tasks) = std::fs::read_dir(format!("/proc/{process}/task")) else { return 0 };
     let of = |path: PathBuf| std::fs::read_to_string(path.join("schedstat")).unwrap_or_default();
@@ -264,11 +264,11 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Plays all days at one size.
+/// Runs the scenarios at one size.
 ///
 /// # Errors
 ///
-/// A process can't be started, or one ends by itself.
+/// A process can't be started, or exits unexpectedly.
 pub async fn run_all_scenarios(
     spec: &RunSpec,
     days: &[Scenario],
@@ -324,7 +324,7 @@
             controls: (0..spec.controls).map(control).collect(),
             late: Vec::new(),
         };
-        // A port that is free at one of loopback's addresses is free at the others, or the fault is told.
+        // The port is expected to be free at the other loopback addresses too; otherwise control reports a fault.
         let port = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()?.port();
         Ok(Rig {
             spec,
@@ -359,7 +359,7 @@
         SocketAddr::from((at, self.port))
     }
 
-    /// Where the same sidecar is known as well, for one that moves to and fro.
+    /// Second address at which control serves a sidecar, for the injected fault of alternating between two addresses.
     fn second_address(&self, sidecar: usize) -> SocketAddr {
         let at = Ipv4Addr::new(127, 20, (sidecar >> 8) as u8, sidecar as u8);
         SocketAddr::from((at, self.port))
@@ -369,7 +369,11 @@
         let mut at: Vec<(usize, SocketAddr)> = sidecars.iter().map(|n| (*n, self.address(*n))).collect();
         let faulty = sidecars.iter().filter(|n| self.spec.faults.contains_key(n));
         at.extend(faulty.map(|n| (*n, self.second_address(*n))));
-        let child = self.controls.get(control).and_then(Option::as_ref).context("a control machine")?;
+        let child = self
+            .controls
+            .get(control)
+            .and_then(Option::as_ref)
+            .with_context(|| format!("control machine {control} is not running"))?;
         child.send(&control::Command::Serve(at))
     }
 
@@ -377,7 +381,7 @@
         (0..self.served_by.len()).filter(|n| self.served_by[*n] == control).collect()
     }
 
-    /// Starts everything and waits until every sidecar has the list.
+    /// Starts all processes and waits until every sidecar has the list.
     async fn start_processes(&mut self) -> Result<()> {
         let list = control::Command::List { rev: self.rev, entries: self.fleet.entries.clone() };
         let list: Rc<str> = serde_json::to_string(&list)?.into();
@@ -393,14 +397,14 @@
             .try_for_each(|child| child.send(&hollow::Command::Configure(config.clone())))?;
         let deadline = Instant::now() + START_TIMEOUT;
         while self.addresses_served.len() < self.controls.len() {
-            self.wait_a_step(deadline, "control does not begin").await?;
+            self.wait_a_step(deadline, "not all control machines started in time").await?;
         }
         let all: Vec<usize> = (0..self.running.len()).collect();
         self.start_sidecars(&all)?;
         while !self.all_in_force() {
-            self.wait_a_step(deadline, "not every sidecar has the list").await?;
+            self.wait_a_step(deadline, "sidecars without the server list").await?;
         }
-        // On a busy machine some have asked twice at the start, and check.
+        // On a busy machine some sidecars reconnected at the start; wait for their check of the whole list.
         if self.spec.limits.timer_delay_us < u64::MAX {
             self.run_until(Instant::now() + Duration::from_micros(self.spec.list_check_delay_us())).await?;
         }
@@ -443,7 +447,7 @@
                 Some("deaf") => Some(InjectedFault::Unresponsive),
                 Some("leak") => Some(InjectedFault::Leak),
                 Some(other) => {
-                    bail!("--plant: {other} is none of whole-list, deaf, leak")
+                    bail!("--plant: unknown fault {other}; expected whole-list, deaf or leak")
                 }
             };
             self.hollow_counts[sidecar] = hollow::SidecarCounts::default();
@@ -459,9 +463,9 @@
     }
 
     fn start_real(&mut self, sidecar: usize, discovery: SocketAddr, seed: u64) -> Result<()> {
-        // One that runs ends here.
+        // Dropping a running process terminates it.
         self.real_sidecars.remove(&sidecar);
-        // Told by its standard input: nothing is left on a disk.
+        // The configuration is passed on standard input, so that no file is left behind.
         let config_path = PathBuf::from("/dev/stdin");
         let spec = self.spec;
         let mut process = Process::start(&spec.lab, &spec.program, &[], &[("EDGE_CONFIG", &config_path)])?;
@@ -488,7 +492,7 @@
                 }
                 last = line;
             }
-            let _ = event_sender.send(Event::Exited(format!("{name}, which said last: {last}")));
+            let _ = event_sender.send(Event::Exited(format!("{name}, last log line: {last}")));
         });
         self.real_sidecars.insert(sidecar, RealSidecar { process, cpu_ns: 0 });
         Ok(())
@@ -510,7 +514,7 @@
         Ok(())
     }
 
-    /// Tells control of a version's changes; gives where it is due.
+    /// Publishes changes as a new revision and returns the sidecars that have to apply it.
     fn publish_change(&mut self, entries: Vec<Entry>) -> Result<DueRevision> {
         self.rev += 1;
         let models: BTreeSet<&str> = entries.iter().map(|entry| entry.model.as_str()).collect();
@@ -536,7 +540,7 @@
         entry.clone()
     }
 
-    /// The next of the changes that come: a server drains, goes, or comes back.
+    /// The next ordinary change: a server drains, is removed, or returns.
     fn next_change(&mut self) -> Entry {
         let few = self.absent.len() < 3.max(self.spec.size / 100);
         if few && (self.absent.is_empty() || self.rng.random_bool(0.5)) {
@@ -557,21 +561,21 @@
         self.set_state(server, "up")
     }
 
-    /// Waits until everyone has told what it counted up to now.
+    /// Waits until every process has reported its counters up to now.
     async fn wait_for_reports(&mut self) -> Result<()> {
         let (from, deadline) = (now(), Instant::now() + START_TIMEOUT);
         self.last_report.clear();
         let alive = self.controls.iter().flatten().count() + self.hollow_processes.len() + 1;
         while self.last_report.values().filter(|at| **at > from).count() < alive {
             if Instant::now() > deadline {
-                bail!("what was counted is not told");
+                bail!("not every process reported its counters within {} s", START_TIMEOUT.as_secs());
             }
             self.run_until(Instant::now() + Duration::from_millis(50)).await?;
         }
         Ok(())
     }
 
-    /// Takes in what is seen until a time.
+    /// Handles events and samples real sidecars until a point in time.
     async fn run_until(&mut self, at: Instant) -> Result<()> {
         loop {
             let next = at.min(self.next_sample);
@@ -627,7 +631,7 @@
                 for new in sample.sidecars {
                     let Some(track) = self.observations.sidecars.get_mut(new.sidecar) else { continue };
                     let old = std::mem::replace(&mut self.hollow_counts[new.sidecar], new);
-                    // One that began anew counts from nothing.
+                    // The counters of a restarted sidecar start at zero.
                     let old = if new.cpu < old.cpu || new.deliveries < old.deliveries {
                         hollow::SidecarCounts::default()
                     } else {
@@ -651,7 +655,7 @@
                         .iter()
                         .any(|t| who.starts_with(&t.name) && t.started.len() > 1);
                 if !killed && !ended {
-                    self.fault = Some(format!("ended by itself: {who}"));
+                    self.fault = Some(format!("process exited unexpectedly: {who}"));
                 }
             }
         }
@@ -659,7 +663,7 @@
 
     fn record_in_force(&mut self, sidecar: usize, rev: u64, at: u64) {
         let Some(track) = self.observations.sidecars.get_mut(sidecar) else { return };
-        // What one that has ended took last may be told after the next has begun.
+        // The last revision of a terminated sidecar may be reported after its successor has started.
         if track.started.last().is_none_or(|started| *started <= at) {
             self.latest_revisions[sidecar] = self.latest_revisions[sidecar].max(rev);
         }
@@ -693,7 +697,7 @@
         track.memory.push((at, memory as f64));
     }
 
-    /// Plays a day and judges it.
+    /// Runs a scenario and judges it.
     async fn run_scenario(&mut self, scenario: Scenario) -> Result<ScenarioResult> {
         self.wait_for_reports().await?;
         let (from, start) = (now(), Instant::now());
@@ -722,7 +726,7 @@
                 }
             }
             Scenario::Restarts => {
-                // One each second and a half, each over within a second.
+                // One restart every 1.5 s, each completed within 1 s.
                 let restarts = (duration_s / 1.5).floor().max(1.0);
                 let a_day = figures.restarts_per_day * self.spec.size as f64 / figures.endpoints as f64;
                 pressed = restarts / duration_s / (a_day / 86_400.0);
@@ -786,7 +790,7 @@
                 while next < duration_s {
                     self.run_until(at(next)).await?;
                     if next >= 1.5 && self.controls[killed_control].is_some() {
-                        // Killed when it is dropped, before anything else is done.
+                        // The process is killed here, before anything else happens.
                         if let Some(child) = self.controls[killed_control].take() {
                             child.process.signal(Signal::KILL);
                             orphans.iter().for_each(|n| self.disconnected_at[*n] = Some(now()));
@@ -830,7 +834,7 @@
             killed,
         };
         let (verdict, why, figures) = judge(&played, &self.observations, &self.spec.limits);
-        // Nothing before this is asked for again, but for when a sidecar started.
+        // Later scenarios need none of these observations except the start times of sidecars.
         for track in self.observations.sidecars.iter_mut().chain(&mut self.observations.controls) {
             (track.samples, track.memory, track.in_force) = Default::default();
         }
@@ -844,15 +848,15 @@
     if sidecar < spec.hollow { format!("h{sidecar}") } else { format!("r{}", sidecar - spec.hollow) }
 }
 
-/// The same inputs to one hollow sidecar and one real one.
+/// Compares a hollow sidecar with a real one on the same inputs.
 ///
 /// # Errors
 ///
-/// A process can't be started, or one ends by itself.
+/// A process can't be started, or exits unexpectedly.
 pub async fn compare_hollow_with_real(of: &RunSpec) -> Result<HollowReal> {
     let spec = RunSpec { hollow: 1, real: 1, controls: 1, rate: 0.0, faults: BTreeMap::new(), ..of.clone() };
     let mut rig = Rig::start(&spec)?;
-    // Both call the same services, or they would not be told the same.
+    // Both call the same services, so that discovery sends both the same changes.
     rig.fleet.calls[1] = rig.fleet.calls[0].clone();
     rig.start_processes().await?;
     rig.wait_for_reports().await?;
@@ -869,7 +873,7 @@
     rig.wait_for_reports().await?;
     let of = |n: usize| rig.sent.get(&(0, n)).copied().unwrap_or_default();
     let (hollow, real) = (of(0), of(1));
-    // Signs of life count from when a watch was opened, which is not the same instant for both.
+    // Heartbeats are left out: they are timed from the opening of a watch, which differs between the two.
     let bytes = |sent: SentCounts| sent.bytes - sent.heartbeats * 6;
     let cpu = |n: usize| rig.observations.sidecars[n].samples.iter().map(|added| added.cpu).sum::<f64>();
     let memory = |n: usize| rig.observations.sidecars[n].memory.last().map_or(0.0, |last| last.1);
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run in its short form, judged by counts alone, so that a busy machine tells the same; planted faults, each
-//! named; control's counts against what came; and what is refused or left behind.
+//! Short scale runs, judged by counts only so that the load of the machine does not matter; injected faults; the counters
+//! of control; rejected runs; and cleanup of processes.
 
 mod common;
 
@@ -17,8 +17,9 @@
     String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr)
 }
 
-/// A hundred hollow sidecars and two real ones: every change is in force everywhere, no sidecar whose connection held took
-/// the whole list, each message that control wrote was taken, and a hollow one is sent what a real one is.
+/// With a hundred hollow sidecars and two real ones, every change comes into force everywhere, no sidecar whose connection
+/// held receives the whole list, each message written by control is applied, and a hollow sidecar is sent the same as a
+/// real one.
 #[test]
 fn hundred_sidecars_apply_every_change() {
     program("dunlincleat-sidecar");
@@ -31,7 +32,7 @@
     assert!(text.contains("hollow against real: messages 25 and 25"), "{text}");
 }
 
-/// Three hollow sidecars at fault among others: each is named under what it breaks.
+/// Three faulty hollow sidecars among others: each is named under the rule that it breaks.
 #[test]
 fn injected_faults_are_reported() {
     let common = ["scale", "--counts", "--sizes", "30", "--hollow", "30", "--lasts", "4", "--waits", "10"];
@@ -50,7 +51,8 @@
     }
 }
 
-/// More sidecars than there are descriptors for were found out by connections that failed, minutes later.
+/// Too few descriptors or too little memory are reported at the start. Without this check, connections failed minutes into
+/// the run.
 #[test]
 fn insufficient_resources_are_rejected_before_the_start() {
     let lab = env!("CARGO_BIN_EXE_dunlincleat-lab");
@@ -58,13 +60,13 @@
     let out = Command::new("sh").args(["-c", &run]).output().unwrap();
     assert_eq!(out.status.code(), Some(2));
     let text = output_text(&out);
-    assert!(text.contains("descriptors and may have 200; right would be ulimit -n"), "{text}");
+    assert!(text.contains("file descriptors and may open 200; raise the limit with ulimit -n"), "{text}");
     let out = Command::new(lab).args(["scale", "--sizes", "20000", "--hollow", "20000"]).output().unwrap();
     assert_eq!(out.status.code(), Some(2));
-    assert!(output_text(&out).contains("GB; right would be under 12"), "{}", output_text(&out));
+    assert!(output_text(&out).contains("GB; expected under 12 GB"), "{}", output_text(&out));
 }
 
-/// A rig that is killed leaves nothing behind.
+/// A killed run leaves no processes behind.
 #[test]
 fn killed_scale_run_leaves_no_processes() {
     program("dunlincleat-sidecar");
@@ -83,11 +85,11 @@
     all_end(&children, TIMEOUT);
 }
 
-/// A control machine, told what the rig would tell it.
+/// A control machine that receives the commands of a rig.
 struct Control {
     process: Child,
     commands: ChildStdin,
-    /// What it said last of each sidecar's bytes, messages, whole lists and signs of life.
+    /// Last reported bytes, messages, whole lists and heartbeats of each sidecar.
     counts: Arc<Mutex<BTreeMap<u64, [u64; 4]>>>,
     at: SocketAddr,
 }
@@ -152,8 +154,8 @@
         WatchStream { stream, bytes: 0, text: String::new() }
     }
 
-    /// Waits until it has said that it wrote what came, and no byte more; gives messages and whole lists. Signs of life go
-    /// on meanwhile and are left out.
+    /// Waits until it reports exactly the bytes that arrived, and returns its counts of messages and whole lists.
+    /// Heartbeats, which continue meanwhile, are left out.
     fn wait_until_written(&self, sidecar: u64, received: &WatchStream) -> [u64; 2] {
         let arrived = received.bytes - 6 * received.text.matches("1\r\n\n\r\n").count() as u64;
         let end = Instant::now() + TIMEOUT;
@@ -170,7 +172,7 @@
     }
 }
 
-/// What came on a connection.
+/// A connection and the bytes received on it.
 struct WatchStream {
     stream: TcpStream,
     bytes: u64,
@@ -178,7 +180,7 @@
 }
 
 impl WatchStream {
-    /// Reads on until a list of this version has come whole.
+    /// Reads until a list of this revision is complete.
     fn read_until(&mut self, rev: u64) -> &str {
         let begins = format!("{{\"rev\":{rev},");
         while !self.text.contains(&begins) || !self.text.trim_end().ends_with("]}") {
@@ -192,8 +194,8 @@
     }
 }
 
-/// What control says that it wrote is what came, byte for byte; a watch that names services hears of no other's change, and
-/// one that names none hears of all.
+/// The bytes that control reports as written are those that arrive. A watch that names services receives only their
+/// changes, and one that names none receives all.
 #[test]
 fn control_counts_written_bytes_and_filters_by_service() {
     let mut control = Control::start();
@@ -217,14 +219,14 @@
     assert_eq!(control.wait_until_written(1, &all), [3, 0]);
     assert_eq!(control.wait_until_written(2, &pay), [2, 0]);
 
-    // After a version it is told what changed since, those that went with it.
+    // A watch after a revision starts with the changes since then, including removed servers.
     control.change(8, "s-1", "pay", "removed");
     pay.read_until(8);
     let mut again = control.get(1, "/v1/servers?watch=1&after=6&models=pay");
     let received = again.read_until(8);
     assert!(received.contains("removed") && !received.contains("s-2"), "{received}");
 
-    // Of a change of several services each is told its own: a zone lost was told to all whole.
+    // A change of several services is filtered for each watch: the loss of a zone was once sent to every watch in full.
     let both = [entry("s-1", "pay", "up"), entry("s-2", "book", "up")];
     control.send(&serde_json::json!({"change": {"rev": 9, "entries": both}}));
     let received = again.read_until(9);
