--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -15,11 +15,11 @@
 use std::process::ExitCode;
 
 /// The page that another one begins with: its prose, and marks for the tables.
-const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
+const PAGE_TEMPLATE: &str = include_str!("../../../docs/CAPACITY.md");
 
 /// What is wanted of the writer.
 #[derive(Args)]
-pub struct Wanted {
+pub struct Options {
     /// The plan, as deploy/plans/fleet-ahead.toml
     plan: PathBuf,
     /// Results of `slopes`, `scale` and of what a call has added, as JSON
@@ -34,21 +34,23 @@
 }
 
 /// Writes or checks.
-pub fn run(wanted: &Wanted) -> Result<ExitCode> {
-    let plan = Plan::read(&wanted.plan)?;
-    let results = Results::read(&wanted.results)?;
+pub fn run(options: &Options) -> Result<ExitCode> {
+    let plan = Plan::read(&options.plan)?;
+    let results = Results::read(&options.results)?;
     let tables = tables::all(&plan, &results);
-    let Some(path) = &wanted.page else {
-        crate::say(page::filled(PAGE, &tables)?.0.trim_end());
+    let Some(path) = &options.page else {
+        crate::say(page::filled(PAGE_TEMPLATE, &tables)?.0.trim_end());
         return Ok(ExitCode::SUCCESS);
     };
     let shown = path.display().to_string();
     let text = match std::fs::read_to_string(path) {
-        Err(error) if error.kind() == std::io::ErrorKind::NotFound && !wanted.check => PAGE.to_owned(),
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound && !options.check => {
+            PAGE_TEMPLATE.to_owned()
+        }
         text => text.with_context(|| shown.clone())?,
     };
     let (filled, differ) = page::filled(&text, &tables).with_context(|| shown.clone())?;
-    if !wanted.check {
+    if !options.check {
         std::fs::write(path, filled).with_context(|| shown.clone())?;
         return Ok(ExitCode::SUCCESS);
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -48,7 +48,7 @@
     /// Many processes of the program under faults; exit 0 where every property held, 1 broken, 2 nothing can be said
     Trial(trial::Wanted),
     /// Write the tables of a capacity page from a plan and the results of runs; with --check exit 1 where a page differs
-    Capacity(capacity::Wanted),
+    Capacity(capacity::Options),
     /// What a real sidecar adds to a call, by servers known; exit 0 where the limits are kept, 1 broken, 2 nothing can be said
     Added(real::Options),
     /// Control machines, hollow sidecars and real ones at size; exit 0 where every limit was kept, 1 broken, 2 nothing can be
@@ -188,7 +188,7 @@
     match Cli::parse().command {
         Command::Demo(wanted) => demo::run(wanted),
         Command::Trial(wanted) => trial::run(wanted),
-        Command::Capacity(wanted) => capacity::run(&wanted),
+        Command::Capacity(options) => capacity::run(&options),
         Command::Slopes(options) => slopes::run(options),
         Command::Added(options) => real::run(&options),
         Command::Scale(options) => scale::run(options),
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -16,7 +16,7 @@
     /// What the fleet is called.
     pub name: String,
     /// The operators' figures.
-    pub told: Told,
+    pub told: Requirements,
     /// Our own.
     pub assumed: Assumed,
 }
@@ -24,7 +24,7 @@
 /// The operators' figures.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Told {
+pub struct Requirements {
     /// Endpoints, each with a sidecar.
     pub endpoints: u32,
     /// Services.
@@ -82,7 +82,7 @@
 /// A figure of our own and its reason.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Because<T> {
+pub struct Assumption<T> {
     /// The figure.
     pub is: T,
     /// The reason.
@@ -102,7 +102,7 @@
 /// A part of the services, and the part of the endpoints that is theirs.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Sizes {
+pub struct SizeGroup {
     /// The part of the services.
     pub services: f64,
     /// The part of the endpoints.
@@ -112,7 +112,7 @@
 /// How many services are called, the hub among them, by a share of the sidecars.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Called {
+pub struct ServicesCalled {
     /// Services.
     pub services: u32,
     /// The share of the sidecars.
@@ -124,39 +124,39 @@
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs, reason = "each key is told in the plan's file, beside its value")]
 pub struct Assumed {
-    pub zones_in_each_region: Because<bool>,
-    pub endpoints_a_machine: Because<u32>,
-    pub machines_a_rack: Because<u32>,
-    pub peak_over_mean: Because<f64>,
-    pub depths: Because<Vec<Depth>>,
-    pub hub_endpoints: Because<u32>,
-    pub largest_endpoints: Because<u32>,
-    pub service_sizes: Because<Vec<Sizes>>,
-    pub services_called: Because<Vec<Called>>,
-    pub list_changes_counted: Because<bool>,
-    pub settings_of_all_a_day: Because<f64>,
-    pub peak_server_comes: Because<f64>,
-    pub peak_server_drains: Because<f64>,
-    pub peak_server_goes: Because<f64>,
-    pub peak_settings_of_one: Because<f64>,
-    pub peak_settings_of_a_service: Because<f64>,
-    pub peak_settings_of_all: Because<f64>,
-    pub bytes_server_comes: Because<f64>,
-    pub bytes_server_drains: Because<f64>,
-    pub bytes_server_goes: Because<f64>,
-    pub bytes_entry: Because<f64>,
-    pub bytes_settings_of_one: Because<f64>,
-    pub bytes_settings_of_all: Because<f64>,
-    pub heartbeats_a_second: Because<f64>,
-    pub bytes_heartbeat: Because<f64>,
-    pub windows_a_second: Because<f64>,
-    pub probe_rounds_a_second: Because<f64>,
-    pub reconnect_spread_s: Because<f64>,
-    pub control_cores: Because<u32>,
-    pub control_memory_bytes: Because<f64>,
-    pub control_bytes_a_second: Because<f64>,
-    pub control_descriptors: Because<u32>,
-    pub sidecar_descriptors: Because<u32>,
+    pub zones_in_each_region: Assumption<bool>,
+    pub endpoints_a_machine: Assumption<u32>,
+    pub machines_a_rack: Assumption<u32>,
+    pub peak_over_mean: Assumption<f64>,
+    pub depths: Assumption<Vec<Depth>>,
+    pub hub_endpoints: Assumption<u32>,
+    pub largest_endpoints: Assumption<u32>,
+    pub service_sizes: Assumption<Vec<SizeGroup>>,
+    pub services_called: Assumption<Vec<ServicesCalled>>,
+    pub list_changes_counted: Assumption<bool>,
+    pub settings_of_all_a_day: Assumption<f64>,
+    pub peak_server_comes: Assumption<f64>,
+    pub peak_server_drains: Assumption<f64>,
+    pub peak_server_goes: Assumption<f64>,
+    pub peak_settings_of_one: Assumption<f64>,
+    pub peak_settings_of_a_service: Assumption<f64>,
+    pub peak_settings_of_all: Assumption<f64>,
+    pub bytes_server_comes: Assumption<f64>,
+    pub bytes_server_drains: Assumption<f64>,
+    pub bytes_server_goes: Assumption<f64>,
+    pub bytes_entry: Assumption<f64>,
+    pub bytes_settings_of_one: Assumption<f64>,
+    pub bytes_settings_of_all: Assumption<f64>,
+    pub heartbeats_a_second: Assumption<f64>,
+    pub bytes_heartbeat: Assumption<f64>,
+    pub windows_a_second: Assumption<f64>,
+    pub probe_rounds_a_second: Assumption<f64>,
+    pub reconnect_spread_s: Assumption<f64>,
+    pub control_cores: Assumption<u32>,
+    pub control_memory_bytes: Assumption<f64>,
+    pub control_bytes_a_second: Assumption<f64>,
+    pub control_descriptors: Assumption<u32>,
+    pub sidecar_descriptors: Assumption<u32>,
 }
 
 /// A kind of change.
@@ -225,38 +225,47 @@
 const DAY_S: f64 = 86_400.0;
 
 /// What is wrong: the key, and what its value is and would have to be.
-struct Wrong(String, String);
+struct InvalidValue {
+    key: String,
+    problem: String,
+}
+
+impl InvalidValue {
+    fn new(key: impl Into<String>, problem: impl Into<String>) -> InvalidValue {
+        InvalidValue { key: key.into(), problem: problem.into() }
+    }
+}
 
-fn within(key: &str, value: f64, least: f64, most: f64) -> Result<(), Wrong> {
+fn check_range(key: &str, value: f64, least: f64, most: f64) -> Result<(), InvalidValue> {
     if value.is_finite() && (least..=most).contains(&value) {
         return Ok(());
     }
-    Err(Wrong(key.to_owned(), format!("{value} is not from {least} to {most}")))
+    Err(InvalidValue::new(key, format!("{value} is not from {least} to {most}")))
 }
 
 /// Parts that come to 1.
-fn whole(key: &str, parts: impl Iterator<Item = f64> + Clone) -> Result<(), Wrong> {
+fn check_shares(key: &str, parts: impl Iterator<Item = f64> + Clone) -> Result<(), InvalidValue> {
     for (n, part) in parts.clone().enumerate() {
-        within(&format!("{key}[{n}]"), part, 0.0, 1.0)?;
+        check_range(&format!("{key}[{n}]"), part, 0.0, 1.0)?;
     }
     let sum: f64 = parts.sum();
     if (sum - 1.0).abs() > 1e-6 {
-        return Err(Wrong(key.to_owned(), format!("the parts come to {sum:.6}, not to 1")));
+        return Err(InvalidValue::new(key, format!("the parts come to {sum:.6}, not to 1")));
     }
     Ok(())
 }
 
 /// `whole` things given out by `parts`, by the largest remainder; each part gets at least `least`.
-fn given_out(whole: u32, parts: &[f64], least: &[u32]) -> Vec<u32> {
-    let spare = whole.saturating_sub(least.iter().sum());
+fn apportion(whole: u32, parts: &[f64], least: &[u32]) -> Vec<u32> {
+    let remaining = whole.saturating_sub(least.iter().sum());
     let exact: Vec<f64> = parts.iter().map(|part| part * f64::from(whole)).collect();
     // What a part would have over its least, brought to the sum that is there.
     let over: Vec<f64> = exact.iter().zip(least).map(|(e, l)| (e - f64::from(*l)).max(0.0)).collect();
     let sum = over.iter().sum::<f64>().max(f64::MIN_POSITIVE);
-    let wanted: Vec<f64> = over.iter().map(|over| over / sum * f64::from(spare)).collect();
-    let mut out: Vec<u32> = wanted.iter().zip(least).map(|(w, l)| w.floor() as u32 + l).collect();
+    let quotas: Vec<f64> = over.iter().map(|over| over / sum * f64::from(remaining)).collect();
+    let mut out: Vec<u32> = quotas.iter().zip(least).map(|(w, l)| w.floor() as u32 + l).collect();
     let mut order: Vec<usize> = (0..parts.len()).collect();
-    order.sort_by(|a, b| wanted[*b].fract().total_cmp(&wanted[*a].fract()).then(a.cmp(b)));
+    order.sort_by(|a, b| quotas[*b].fract().total_cmp(&quotas[*a].fract()).then(a.cmp(b)));
     let left = whole.saturating_sub(out.iter().sum()) as usize;
     order.into_iter().cycle().take(if parts.is_empty() { 0 } else { left }).for_each(|n| out[n] += 1);
     out
@@ -272,37 +281,37 @@
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path).with_context(|| shown.clone())?;
         let plan: Plan = toml::from_str(&text).with_context(|| shown.clone())?;
-        plan.check().map_err(|Wrong(key, what)| {
+        plan.check().map_err(|InvalidValue { key, problem }| {
             let line = line_of(&text, &key).unwrap_or_else(|| line_at(&text, 0));
-            anyhow!("{shown}: line {line}: {key}: {what}")
+            anyhow!("{shown}: line {line}: {key}: {problem}")
         })?;
         Ok(plan)
     }
 
-    fn check(&self) -> Result<(), Wrong> {
+    fn check(&self) -> Result<(), InvalidValue> {
         let (told, own) = (&self.told, &self.assumed);
         if self.version != 1 {
-            return Err(Wrong("version".into(), format!("{} is not 1", self.version)));
+            return Err(InvalidValue::new("version", format!("{} is not 1", self.version)));
         }
-        within("told.endpoints", told.endpoints.into(), 10.0, 1e6)?;
-        within("told.services", told.services.into(), 3.0, told.endpoints.into())?;
-        within("told.calls_a_second", told.calls_a_second, 1.0, 1e9)?;
-        within("told.depth", told.depth.into(), 1.0, 100.0)?;
-        within("told.regions", told.regions.into(), 1.0, 100.0)?;
-        within("told.zones", told.zones.into(), 1.0, told.endpoints.into())?;
-        within("told.control_machines", told.control_machines.into(), 2.0, 1000.0)?;
+        check_range("told.endpoints", told.endpoints.into(), 10.0, 1e6)?;
+        check_range("told.services", told.services.into(), 3.0, told.endpoints.into())?;
+        check_range("told.calls_a_second", told.calls_a_second, 1.0, 1e9)?;
+        check_range("told.depth", told.depth.into(), 1.0, 100.0)?;
+        check_range("told.regions", told.regions.into(), 1.0, 100.0)?;
+        check_range("told.zones", told.zones.into(), 1.0, told.endpoints.into())?;
+        check_range("told.control_machines", told.control_machines.into(), 2.0, 1000.0)?;
         let limits = &told.limits;
-        within("told.limits.added_ms", limits.added_ms, 0.01, 1000.0)?;
-        within("told.limits.in_force_s", limits.in_force_s, 0.01, 3600.0)?;
-        within("told.limits.cpu_part_of_core", limits.cpu_part_of_core, 1e-4, 64.0)?;
-        within("told.limits.memory_bytes", limits.memory_bytes, 1e6, 1e12)?;
-        within("told.limits.bytes_a_second", limits.bytes_a_second, 1.0, 1e10)?;
+        check_range("told.limits.added_ms", limits.added_ms, 0.01, 1000.0)?;
+        check_range("told.limits.in_force_s", limits.in_force_s, 0.01, 3600.0)?;
+        check_range("told.limits.cpu_part_of_core", limits.cpu_part_of_core, 1e-4, 64.0)?;
+        check_range("told.limits.memory_bytes", limits.memory_bytes, 1e6, 1e12)?;
+        check_range("told.limits.bytes_a_second", limits.bytes_a_second, 1.0, 1e10)?;
         let failures = &told.failures;
-        within("told.failures.machines_a_day", failures.machines_a_day, 0.0, told.endpoints.into())?;
-        within("told.failures.restarts_a_day", failures.restarts_a_day, 0.0, 1e6)?;
-        within("told.failures.racks_a_year", failures.racks_a_year, 0.0, 1e4)?;
-        within("told.failures.zones_a_year", failures.zones_a_year, 0.0, 1e3)?;
-        within("told.failures.region_cut_s", failures.region_cut_s, 1.0, DAY_S)?;
+        check_range("told.failures.machines_a_day", failures.machines_a_day, 0.0, told.endpoints.into())?;
+        check_range("told.failures.restarts_a_day", failures.restarts_a_day, 0.0, 1e6)?;
+        check_range("told.failures.racks_a_year", failures.racks_a_year, 0.0, 1e4)?;
+        check_range("told.failures.zones_a_year", failures.zones_a_year, 0.0, 1e3)?;
+        check_range("told.failures.region_cut_s", failures.region_cut_s, 1.0, DAY_S)?;
         for (key, figure, least, most) in [
             ("endpoints_a_machine", f64::from(own.endpoints_a_machine.is), 1.0, 1000.0),
             ("machines_a_rack", f64::from(own.machines_a_rack.is), 1.0, 1000.0),
@@ -331,30 +340,30 @@
             ("control_descriptors", own.control_descriptors.is.into(), 64.0, 1e8),
             ("sidecar_descriptors", own.sidecar_descriptors.is.into(), 64.0, 1e7),
         ] {
-            within(&format!("assumed.{key}.is"), figure, least, most)?;
+            check_range(&format!("assumed.{key}.is"), figure, least, most)?;
         }
-        let spare = f64::from(told.endpoints) - f64::from(told.services - 2);
-        within("assumed.hub_endpoints.is", own.hub_endpoints.is.into(), 1.0, spare - 1.0)?;
-        let spare = spare - f64::from(own.hub_endpoints.is);
-        within("assumed.largest_endpoints.is", own.largest_endpoints.is.into(), 1.0, spare)?;
+        let remaining = f64::from(told.endpoints) - f64::from(told.services - 2);
+        check_range("assumed.hub_endpoints.is", own.hub_endpoints.is.into(), 1.0, remaining - 1.0)?;
+        let remaining = remaining - f64::from(own.hub_endpoints.is);
+        check_range("assumed.largest_endpoints.is", own.largest_endpoints.is.into(), 1.0, remaining)?;
         for (n, called) in own.services_called.is.iter().enumerate() {
             let key = format!("assumed.services_called.is[{n}]");
-            within(&key, called.services.into(), 1.0, told.services.into())?;
+            check_range(&key, called.services.into(), 1.0, told.services.into())?;
         }
         for (n, depth) in own.depths.is.iter().enumerate() {
-            within(&format!("assumed.depths.is[{n}]"), depth.depth.into(), 1.0, told.depth.into())?;
+            check_range(&format!("assumed.depths.is[{n}]"), depth.depth.into(), 1.0, told.depth.into())?;
         }
-        whole("assumed.depths.is", own.depths.is.iter().map(|depth| depth.share))?;
-        whole("assumed.service_sizes.is", own.service_sizes.is.iter().map(|sizes| sizes.services))?;
-        whole("assumed.service_sizes.is", own.service_sizes.is.iter().map(|sizes| sizes.endpoints))?;
-        whole("assumed.services_called.is", own.services_called.is.iter().map(|called| called.share))?;
+        check_shares("assumed.depths.is", own.depths.is.iter().map(|depth| depth.share))?;
+        check_shares("assumed.service_sizes.is", own.service_sizes.is.iter().map(|sizes| sizes.services))?;
+        check_shares("assumed.service_sizes.is", own.service_sizes.is.iter().map(|sizes| sizes.endpoints))?;
+        check_shares("assumed.services_called.is", own.services_called.is.iter().map(|called| called.share))?;
         let known = self.changes_of_list_a_day() + own.settings_of_all_a_day.is;
         let least = if own.list_changes_counted.is { known } else { own.settings_of_all_a_day.is };
-        within("told.changes_a_day", told.changes_a_day, least, 1e7)?;
+        check_range("told.changes_a_day", told.changes_a_day, least, 1e7)?;
         self.check_reasons()
     }
 
-    fn check_reasons(&self) -> Result<(), Wrong> {
+    fn check_reasons(&self) -> Result<(), InvalidValue> {
         let own = &self.assumed;
         for (key, why) in [
             ("zones_in_each_region", &own.zones_in_each_region.why),
@@ -392,9 +401,9 @@
             ("sidecar_descriptors", &own.sidecar_descriptors.why),
         ] {
             if why.trim().is_empty() {
-                return Err(Wrong(
+                return Err(InvalidValue::new(
                     format!("assumed.{key}.why"),
-                    "it is empty; an assumption has a reason".into(),
+                    "it is empty; an assumption has a reason",
                 ));
             }
         }
@@ -441,13 +450,13 @@
             Service { name: "largest".into(), endpoints: own.largest_endpoints.is },
         ];
         let parts: Vec<f64> = own.service_sizes.is.iter().map(|sizes| sizes.services).collect();
-        let counts = given_out(self.told.services - 2, &parts, &vec![0; parts.len()]);
+        let counts = apportion(self.told.services - 2, &parts, &vec![0; parts.len()]);
         let parts: Vec<f64> = own.service_sizes.is.iter().map(|sizes| sizes.endpoints).collect();
         let left = self.told.endpoints - own.hub_endpoints.is - own.largest_endpoints.is;
         // A part without services holds no endpoints.
         let parts: Vec<f64> =
             parts.iter().zip(&counts).map(|(p, n)| if *n == 0 { 0.0 } else { *p }).collect();
-        for (endpoints, services) in given_out(left, &parts, &counts).into_iter().zip(counts) {
+        for (endpoints, services) in apportion(left, &parts, &counts).into_iter().zip(counts) {
             for n in 0..services {
                 let endpoints = endpoints / services + u32::from(n < endpoints % services);
                 all.push(Service { name: format!("s{}", all.len()), endpoints });
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -8,7 +8,7 @@
     Command::new(env!("CARGO_BIN_EXE_dunlincleat-lab")).args(args).output().unwrap()
 }
 
-fn said(out: &Output) -> String {
+fn output_text(out: &Output) -> String {
     format!("{}{}", String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr))
 }
 
@@ -32,7 +32,7 @@
     paths
 }
 
-fn made_up() -> PathBuf {
+fn synthetic_results() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/capacity")
 }
 
@@ -47,7 +47,7 @@
 /// The page that a plan and results give.
 fn page(plan: &Path, results: &[String]) -> String {
     let out = capacity(plan, results, &[]);
-    assert_eq!(out.status.code(), Some(0), "{}", said(&out));
+    assert_eq!(out.status.code(), Some(0), "{}", output_text(&out));
     String::from_utf8(out.stdout).unwrap()
 }
 
@@ -83,20 +83,20 @@
 }
 
 #[test]
-fn the_page_is_what_the_committed_plan_and_results_give() {
+fn committed_page_matches_committed_plan_and_results() {
     let page = root().join("docs/CAPACITY.md").display().to_string();
     let results = results(&root().join("deploy/plans/results"));
     let out = capacity(&plan(), &results, &["--page", &page, "--check"]);
-    assert_eq!(out.status.code(), Some(0), "{}", said(&out));
-    assert_eq!(said(&out), "");
+    assert_eq!(out.status.code(), Some(0), "{}", output_text(&out));
+    assert_eq!(output_text(&out), "");
 }
 
 #[test]
-fn a_check_names_each_table_that_differs_and_writes_nothing() {
+fn check_names_each_differing_table_and_writes_nothing() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("page.md");
     let shown = path.display().to_string();
-    let results = results(&made_up());
+    let results = results(&synthetic_results());
     let whole = page(&plan(), &results);
     // A figure by hand, a row taken out, and prose, which is free.
     let by_hand = whole
@@ -105,18 +105,18 @@
         .replacen("# Capacity of", "# The capacity of", 1);
     std::fs::write(&path, &by_hand).unwrap();
     let out = capacity(&plan(), &results, &["--page", &shown, "--check"]);
-    assert_eq!(out.status.code(), Some(1), "{}", said(&out));
+    assert_eq!(out.status.code(), Some(1), "{}", output_text(&out));
     let named = |name: &str| format!("{shown}: table '{name}' is not what the plan and the results give\n");
-    assert_eq!(said(&out), named("drivers") + &named("changes"));
+    assert_eq!(output_text(&out), named("drivers") + &named("changes"));
     assert_eq!(std::fs::read_to_string(&path).unwrap(), by_hand);
     let out = capacity(&plan(), &results, &["--page", &shown]);
-    assert_eq!(out.status.code(), Some(0), "{}", said(&out));
+    assert_eq!(out.status.code(), Some(0), "{}", output_text(&out));
     let written = std::fs::read_to_string(&path).unwrap();
     assert_eq!(written, whole.replacen("# Capacity of", "# The capacity of", 1));
 }
 
 #[test]
-fn a_plan_with_doubled_figures_gives_another_page_in_one_command() {
+fn plan_with_doubled_figures_gives_its_own_page() {
     let folder = tempfile::tempdir().unwrap();
     let doubled = changed(
         folder.path(),
@@ -128,10 +128,10 @@
             ("restarts_a_day = 780", "restarts_a_day = 1560"),
         ],
     );
-    let results = results(&made_up());
+    let results = results(&synthetic_results());
     let path = folder.path().join("twice.md");
     let out = capacity(&doubled, &results, &["--page", &path.display().to_string()]);
-    assert_eq!(out.status.code(), Some(0), "{}", said(&out));
+    assert_eq!(out.status.code(), Some(0), "{}", output_text(&out));
     let twice = std::fs::read_to_string(&path).unwrap();
     let once = page(&plan(), &results);
     let driver = |page: &str, name: &str| row(page, "drivers", &[name])[1].clone();
@@ -158,8 +158,8 @@
 /// Figures worked out by hand from the made-up lines: 3,100 known without the interest set, and with it 60 of
 /// the hub, 200 of the largest and 38 × 2,840 / 488 of other services: 481.1.
 #[test]
-fn made_up_results_come_to_figures_worked_out_by_hand() {
-    let page = page(&plan(), &results(&made_up()));
+fn synthetic_results_give_figures_calculated_by_hand() {
+    let page = page(&plan(), &results(&synthetic_results()));
     // 5 MB + 6 KB × 3,100 = 23.6 MB; × 481.1: 7.89 MB. Limits of 128 MB: 5.42 and 16.2.
     let memory = row(&page, "role-follower", &["idle, the list held", "changes at mean"]);
     assert_eq!(memory[2], "5 MB + 6 KB × 3,100 = 23.6 MB");
@@ -193,8 +193,8 @@
 }
 
 #[test]
-fn played_figures_are_held_against_limits_and_void_ones_are_not() {
-    let page = page(&plan(), &results(&made_up()));
+fn run_figures_are_compared_with_limits_and_void_ones_are_not() {
+    let page = page(&plan(), &results(&synthetic_results()));
     let answer = |limit: &str, how: &str| row(&page, "answer", &[limit, how]);
     let bytes = answer("a sidecar's bytes", "played");
     assert_eq!(
@@ -228,7 +228,7 @@
     assert_eq!(row(&page, "hollow-real", &["scale-before"])[1..3], ["41 and 41", "90,210 and 90,210: equal"]);
     // A point of calls that is void has its counts and its reasons, and no figures; nor has the answer.
     let folder = tempfile::tempdir().unwrap();
-    let text = std::fs::read_to_string(made_up().join("added-before.json")).unwrap();
+    let text = std::fs::read_to_string(synthetic_results().join("added-before.json")).unwrap();
     let void = folder.path().join("added-void.json");
     std::fs::write(&void, text.replace("\"broken\"", "\"void\"")).unwrap();
     let void = self::page(&plan(), &[void.display().to_string()]);
@@ -247,9 +247,9 @@
 /// A sum without one of its parts is told as the least that it can be; and what was measured on one side alone
 /// isn't held against another thing on the other.
 #[test]
-fn parts_that_were_not_measured_are_told_in_sums_and_verdicts() {
+fn unmeasured_parts_show_in_sums_and_verdicts() {
     let folder = tempfile::tempdir().unwrap();
-    let text = std::fs::read_to_string(made_up().join("slopes-before.json")).unwrap();
+    let text = std::fs::read_to_string(synthetic_results().join("slopes-before.json")).unwrap();
     let path = folder.path().join("slopes-parts.json");
     let text = text.replace("cpu-idle", "another").replace("memory-in-service", "state-by-services");
     assert!(text.contains("\"intercept\": 6000000.0"));
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn what_has_no_result_is_told_as_not_measured() {
+fn figures_without_results_show_as_not_measured() {
     let page = page(&plan(), &[]);
     let answer = row(&page, "answer", &["added to a call"]);
     assert_eq!(answer[1..], ["-", "not measured", "-", "not measured", "-", "nothing can be said"]);
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_plan_at_fault_is_named_by_line_key_value_and_range() {
+fn invalid_plan_is_reported_by_line_key_value_and_range() {
     let folder = tempfile::tempdir().unwrap();
     for (from, to, said_is) in [
         ("endpoints = 3100", "endpoints = 3", "line 12: told.endpoints: 3 is not from 10 to 1000000"),
@@ -314,9 +314,9 @@
     ] {
         let path = changed(folder.path(), &[(from, to)]);
         let out = capacity(&path, &[], &[]);
-        assert_eq!(out.status.code(), Some(2), "{to}: {}", said(&out));
-        assert!(said(&out).contains(said_is), "{said_is}: {}", said(&out));
-        assert!(said(&out).contains("plan.toml"), "{}", said(&out));
+        assert_eq!(out.status.code(), Some(2), "{to}: {}", output_text(&out));
+        assert!(output_text(&out).contains(said_is), "{said_is}: {}", output_text(&out));
+        assert!(output_text(&out).contains("plan.toml"), "{}", output_text(&out));
     }
     let text = std::fs::read_to_string(plan()).unwrap();
     let reasons = text.matches("why = ").count();
@@ -326,15 +326,19 @@
         let path = folder.path().join("plan.toml");
         std::fs::write(&path, format!("{}why = \" \"{}", &text[..at], &text[end..])).unwrap();
         let out = capacity(&path, &[], &[]);
-        assert!(said(&out).contains(".why: it is empty; an assumption has a reason"), "{}", said(&out));
+        assert!(
+            output_text(&out).contains(".why: it is empty; an assumption has a reason"),
+            "{}",
+            output_text(&out)
+        );
     }
     assert!(reasons > 30);
 }
 
 #[test]
-fn results_at_fault_are_named_by_file() {
+fn invalid_results_are_reported_by_file() {
     let folder = tempfile::tempdir().unwrap();
-    let whole = std::fs::read_to_string(made_up().join("scale-before.json")).unwrap();
+    let whole = std::fs::read_to_string(synthetic_results().join("scale-before.json")).unwrap();
     for (name, text, named) in [
         ("kind.json", whole.replacen("\"scale\"", "\"scales\"", 1), "kind: 'scales' isn't known"),
         ("version.json", whole.replacen("\"v\": 1", "\"v\": 2", 1), "v: 2 is no version that is known"),
@@ -344,16 +348,20 @@
     ] {
         let path = folder.path().join(name);
         std::fs::write(&path, text).unwrap();
-        let mut files = results(&made_up());
+        let mut files = results(&synthetic_results());
         files.push(path.display().to_string());
         let out = capacity(&plan(), &files, &[]);
-        assert_eq!(out.status.code(), Some(2), "{name}: {}", said(&out));
-        assert!(said(&out).contains(name) && said(&out).contains(named), "{named}: {}", said(&out));
+        assert_eq!(out.status.code(), Some(2), "{name}: {}", output_text(&out));
+        assert!(
+            output_text(&out).contains(name) && output_text(&out).contains(named),
+            "{named}: {}",
+            output_text(&out)
+        );
     }
 }
 
 #[test]
-fn a_page_whose_marks_are_at_fault_is_named_by_line() {
+fn invalid_page_marks_are_reported_by_line() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("page.md");
     let shown = path.display().to_string();
@@ -367,8 +375,8 @@
     ] {
         std::fs::write(&path, &text).unwrap();
         let out = capacity(&plan(), &[], &["--page", &shown]);
-        assert_eq!(out.status.code(), Some(2), "{named}: {}", said(&out));
-        assert!(said(&out).contains(named), "{named}: {}", said(&out));
+        assert_eq!(out.status.code(), Some(2), "{named}: {}", output_text(&out));
+        assert!(output_text(&out).contains(named), "{named}: {}", output_text(&out));
         assert_eq!(std::fs::read_to_string(&path).unwrap(), text, "a page at fault was written");
     }
 }
