--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -1,5 +1,5 @@
-//! `capacity`: a plan and the results of runs come to a page. What is between its marks is written from both;
-//! `--check` tells where a page says something else.
+//! `capacity`: writes the capacity page from a plan and the results of runs. The tables between the page's marks are
+//! generated; `--check` reports the tables of a page that differ.
 
 mod figures;
 mod page;
@@ -14,26 +14,26 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The page that another one begins with: its prose, and marks for the tables.
+/// Prose and table marks of a new page.
 const PAGE_TEMPLATE: &str = include_str!("../../../docs/CAPACITY.md");
 
-/// What is wanted of the writer.
+/// Command-line options of `capacity`.
 #[derive(Args)]
 pub struct Options {
-    /// The plan, as deploy/plans/fleet-ahead.toml
+    /// The plan, such as deploy/plans/fleet-ahead.toml
     plan: PathBuf,
-    /// Results of `slopes`, `scale` and of what a call has added, as JSON
+    /// JSON results of `slopes`, `scale` and `added`
     results: Vec<PathBuf>,
-    /// The page whose tables are written; where there is none yet, one with the prose of docs/CAPACITY.md.
-    /// Without it the whole page is printed
+    /// Update the tables of this page; a new page gets the prose of docs/CAPACITY.md. Without this option the whole page is
+    /// printed
     #[arg(long, value_name = "FILE")]
     page: Option<PathBuf>,
-    /// Write nothing; exit 1 with the name of each table in which the page differs
+    /// Do not write; exit with 1 and the names of the tables that differ
     #[arg(long, requires = "page")]
     check: bool,
 }
 
-/// Writes or checks.
+/// Writes or checks the page.
 pub fn run(options: &Options) -> Result<ExitCode> {
     let plan = Plan::read(&options.plan)?;
     let results = Results::read(&options.results)?;
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -1,69 +1,68 @@
-//! A fleet's plan as data: what operators told of the fleet to design for, and what is assumed beside it, each
-//! with its reason. Reads and proves the file; a fault is named with its line, key, value and the range that
-//! would be right.
+//! The plan of a fleet: the operators' requirements, and assumptions with a reason each. Reads and validates the file; an
+//! invalid value is reported with its line, key and permitted range.
 
 use anyhow::{Context, Result, anyhow};
 use dunlincleat_fleet::template::{line_at, line_of};
 use serde::Deserialize;
 use std::path::Path;
 
-/// A plan.
+/// A plan of a fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Of the file's form: 1.
+    /// Version of the file format: 1.
     pub version: u32,
-    /// What the fleet is called.
+    /// Name of the fleet.
     pub name: String,
-    /// The operators' figures.
+    /// Requirements stated by the operators.
     pub told: Requirements,
-    /// Our own.
+    /// Assumptions beside the requirements.
     pub assumed: Assumed,
 }
 
-/// The operators' figures.
+/// Requirements stated by the operators.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Requirements {
-    /// Endpoints, each with a sidecar.
+    /// Number of endpoints, each with a sidecar.
     pub endpoints: u32,
-    /// Services.
+    /// Number of services.
     pub services: u32,
-    /// Calls of all sidecars together, a second.
+    /// Calls per second of all sidecars together.
     pub calls_a_second: f64,
-    /// Most calls in a chain.
+    /// Largest number of calls in a chain.
     pub depth: u32,
-    /// Regions.
+    /// Number of regions.
     pub regions: u32,
-    /// Zones; whether in all or in each region is assumed.
+    /// Number of zones; whether in total or in each region is an assumption.
     pub zones: u32,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub changes_a_day: f64,
-    /// Machines set aside for control.
+    /// Number of machines reserved for control.
     pub control_machines: u32,
-    /// What has to be kept.
+    /// Required limits.
     pub limits: Limits,
-    /// What fails.
+    /// Expected failures.
     pub failures: Failures,
 }
 
-/// What has to be kept.
+/// Required limits.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Added to a call for 99 in 100, in milliseconds.
+    /// 99th percentile of the latency added to a call, in milliseconds.
     pub added_ms: f64,
-    /// From a change to being in force everywhere, in seconds.
+    /// Time until a change is in force everywhere, in seconds.
     pub in_force_s: f64,
-    /// A sidecar's processor time for control, as a part of one core.
+    /// A sidecar's processor time for control, as a fraction of one core.
     pub cpu_part_of_core: f64,
     /// A sidecar's memory for control, in bytes.
     pub memory_bytes: f64,
-    /// A sidecar's bytes a second for control.
+    /// A sidecar's bytes per second for control.
     pub bytes_a_second: f64,
 }
 
-/// What fails.
+/// Expected failures.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failures {
@@ -75,54 +74,54 @@
     pub racks_a_year: f64,
     /// Zones lost in a year.
     pub zones_a_year: f64,
-    /// How long regions lose each other, in seconds.
+    /// Duration of a loss of connection between regions, in seconds.
     pub region_cut_s: f64,
 }
 
-/// A figure of our own and its reason.
+/// An assumed value and its reason.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumption<T> {
-    /// The figure.
+    /// The value.
     pub is: T,
     /// The reason.
     pub why: String,
 }
 
-/// A depth of chains, and the share of chains that are so deep.
+/// A depth of call chains and the share of chains with it.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Depth {
-    /// Calls in the chain.
+    /// Number of calls in the chain.
     pub depth: u32,
-    /// Its share of the chains.
+    /// Share of the chains.
     pub share: f64,
 }
 
-/// A part of the services, and the part of the endpoints that is theirs.
+/// A group of services of similar size: its share of the services and of the endpoints.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SizeGroup {
-    /// The part of the services.
+    /// Share of the services.
     pub services: f64,
-    /// The part of the endpoints.
+    /// Share of the endpoints.
     pub endpoints: f64,
 }
 
-/// How many services are called, the hub among them, by a share of the sidecars.
+/// Number of services, including the hub, that a share of the sidecars calls.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServicesCalled {
-    /// Services.
+    /// Number of services.
     pub services: u32,
-    /// The share of the sidecars.
+    /// Share of the sidecars.
     pub share: f64,
 }
 
-/// What is assumed: each key with its reason in the file.
+/// Assumptions; each key has its reason in the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-#[allow(missing_docs, reason = "each key is told in the plan's file, beside its value")]
+#[allow(missing_docs, reason = "each key is documented in the plan's file, beside its value")]
 pub struct Assumed {
     pub zones_in_each_region: Assumption<bool>,
     pub endpoints_a_machine: Assumption<u32>,
@@ -162,20 +161,20 @@
 /// A kind of change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A server comes up.
+    /// A server joins the list.
     ServerComes,
     /// A server drains.
     ServerDrains,
-    /// A server goes.
+    /// A server leaves the list.
     ServerGoes,
-    /// One service's settings.
+    /// New settings of one service.
     SettingsOfOne,
-    /// Everyone's settings.
+    /// New settings of all services.
     SettingsOfAll,
 }
 
 impl Change {
-    /// All of them.
+    /// All kinds of change.
     pub const ALL: [Change; 5] = [
         Change::ServerComes,
         Change::ServerDrains,
@@ -184,7 +183,7 @@
         Change::SettingsOfAll,
     ];
 
-    /// As the page names it.
+    /// Name on the capacity page.
     pub fn name(self) -> &'static str {
         match self {
             Change::ServerComes => "a server comes",
@@ -195,36 +194,36 @@
         }
     }
 
-    /// Whether discovery's list tells it.
+    /// Whether the change is one of discovery's list.
     pub fn is_of_list(self) -> bool {
         !matches!(self, Change::SettingsOfOne | Change::SettingsOfAll)
     }
 }
 
-/// How often a kind of change comes and what it weighs.
+/// Frequency and size of a kind of change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// A second, in the mean of a day.
+    /// Changes per second, mean over a day.
     pub mean: f64,
-    /// A second, at most on an ordinary day.
+    /// Changes per second, peak of an ordinary day.
     pub peak: f64,
-    /// Bytes of one on the wire.
+    /// Bytes of one change on the wire.
     pub bytes: f64,
 }
 
 /// A service of the plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// As `model` in discovery's list.
+    /// Name, as in `model` of discovery's list.
     pub name: String,
-    /// Its endpoints.
+    /// Number of endpoints.
     pub endpoints: u32,
 }
 
-/// Seconds of a day.
+/// Seconds per day.
 const DAY_S: f64 = 86_400.0;
 
-/// What is wrong: the key, and what its value is and would have to be.
+/// An invalid value: its key, and the value with what is permitted.
 struct InvalidValue {
     key: String,
     problem: String,
@@ -243,7 +242,7 @@
     Err(InvalidValue::new(key, format!("{value} is not from {least} to {most}")))
 }
 
-/// Parts that come to 1.
+/// Checks that shares are from 0 to 1 and sum to 1.
 fn check_shares(key: &str, parts: impl Iterator<Item = f64> + Clone) -> Result<(), InvalidValue> {
     for (n, part) in parts.clone().enumerate() {
         check_range(&format!("{key}[{n}]"), part, 0.0, 1.0)?;
@@ -255,11 +254,11 @@
     Ok(())
 }
 
-/// `whole` things given out by `parts`, by the largest remainder; each part gets at least `least`.
+/// Apportions `whole` items by `parts` with the largest remainder method; each part gets at least its `least`.
 fn apportion(whole: u32, parts: &[f64], least: &[u32]) -> Vec<u32> {
     let remaining = whole.saturating_sub(least.iter().sum());
     let exact: Vec<f64> = parts.iter().map(|part| part * f64::from(whole)).collect();
-    // What a part would have over its least, brought to the sum that is there.
+    // The excess of each part over its minimum, scaled to the remaining items.
     let over: Vec<f64> = exact.iter().zip(least).map(|(e, l)| (e - f64::from(*l)).max(0.0)).collect();
     let sum = over.iter().sum::<f64>().max(f64::MIN_POSITIVE);
     let quotas: Vec<f64> = over.iter().map(|over| over / sum * f64::from(remaining)).collect();
@@ -272,11 +271,11 @@
 }
 
 impl Plan {
-    /// Reads and proves a plan's file.
+    /// Reads and validates a plan's file.
     ///
     /// # Errors
     ///
-    /// Where it can't be read or a key is at fault: file, line, key, value, and the range that would be right.
+    /// The file cannot be read or a value is invalid: file, line, key, value and the permitted range.
     pub fn read(path: &Path) -> Result<Plan> {
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path).with_context(|| shown.clone())?;
@@ -410,14 +409,15 @@
         Ok(())
     }
 
-    /// Changes of the list in a day: a restart drains, goes and comes; a machine that fails goes and comes.
+    /// Changes of the list per day: three for a restart (drain, leave, join), two for each endpoint of a failed machine (leave,
+    /// join).
     pub fn changes_of_list_a_day(&self) -> f64 {
         let failures = &self.told.failures;
         let lost = failures.machines_a_day * f64::from(self.assumed.endpoints_a_machine.is);
         3.0 * failures.restarts_a_day + 2.0 * lost
     }
 
-    /// How often a kind of change comes, and its bytes.
+    /// Frequency and size of a kind of change.
     pub fn change(&self, kind: Change) -> Rate {
         let (told, own) = (&self.told, &self.assumed);
         let lost = told.failures.machines_a_day * f64::from(own.endpoints_a_machine.is);
@@ -436,13 +436,13 @@
         Rate { mean: a_day / DAY_S, peak, bytes }
     }
 
-    /// Zones in all.
+    /// Total number of zones.
     pub fn zones(&self) -> u32 {
         let each = if self.assumed.zones_in_each_region.is { self.told.regions } else { 1 };
         self.told.zones * each
     }
 
-    /// All services: the hub first, the largest next, then the others by size. The same at every call.
+    /// All services: the hub, the largest, then the others by size. Deterministic.
     pub fn services(&self) -> Vec<Service> {
         let own = &self.assumed;
         let mut all = vec![
@@ -453,7 +453,7 @@
         let counts = apportion(self.told.services - 2, &parts, &vec![0; parts.len()]);
         let parts: Vec<f64> = own.service_sizes.is.iter().map(|sizes| sizes.endpoints).collect();
         let left = self.told.endpoints - own.hub_endpoints.is - own.largest_endpoints.is;
-        // A part without services holds no endpoints.
+        // A group without services has no endpoints.
         let parts: Vec<f64> =
             parts.iter().zip(&counts).map(|(p, n)| if *n == 0 { 0.0 } else { *p }).collect();
         for (endpoints, services) in apportion(left, &parts, &counts).into_iter().zip(counts) {
@@ -465,12 +465,13 @@
         all
     }
 
-    /// Services that the widest sidecar calls.
+    /// Largest number of services that a sidecar calls.
     pub fn services_called_most(&self) -> u32 {
         self.assumed.services_called.is.iter().map(|called| called.services).max().unwrap_or(1)
     }
 
-    /// Servers that the widest sidecar calls: the hub's, the largest service's, and those of so many others.
+    /// Number of servers of the services that the sidecar with the most services calls: the hub, the largest service, and
+    /// other services of mean size.
     pub fn servers_called_most(&self) -> f64 {
         let own = &self.assumed;
         let widest = self.services_called_most();
@@ -483,8 +484,8 @@
         }
     }
 
-    /// The plan of a fleet that is larger by a factor, with the same control machines, and services called as
-    /// before.
+    /// The plan of a fleet that is larger by a factor, with the same control machines and the same numbers of called
+    /// services.
     #[must_use]
     pub fn grown(&self, factor: f64) -> Plan {
         let mut plan = self.clone();
@@ -509,12 +510,12 @@
         plan
     }
 
-    /// Services that a sidecar calls, in the mean.
+    /// Mean number of services that a sidecar calls.
     pub fn services_called_mean(&self) -> f64 {
         self.assumed.services_called.is.iter().map(|called| f64::from(called.services) * called.share).sum()
     }
 
-    /// Servers that a sidecar that calls so many services calls, the hub's among them, in the mean of the others.
+    /// Number of servers that a sidecar calls: those of the hub, and of `services - 1` other services of mean size.
     pub fn servers_called(&self, services: f64) -> f64 {
         let hub = f64::from(self.assumed.hub_endpoints.is);
         let others = (f64::from(self.told.endpoints) - hub) / f64::from(self.told.services - 1);
--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -1,5 +1,6 @@
-//! What a sidecar adds to a call, by the servers that it knows: real sidecars beside stand-in servers, each call paired with
-//! one the direct way in the same run. Also the result file, that pages are written from.
+//! `added`: measures the latency that a sidecar adds to a call, by the number of servers that it knows. Real sidecars run
+//! beside stub servers, and each call is paired with a direct one in the same run. The capacity page is written from the
+//! result file.
 
 use crate::runs::{or_stopped, programs, ranged};
 use anyhow::{Context, Result, bail};
@@ -15,144 +16,146 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The version of the result file.
+/// Format version of the result file.
 pub const VERSION: u32 = 1;
 
-/// What the letter allows a sidecar to add to a call, for 99 in 100, in microseconds.
+/// Required limit on the 99th percentile of the latency added to a call, in microseconds.
 pub const LIMIT_US: f64 = 1600.0;
 
 /// The result file of `added`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Added {
-    /// The version of this format.
+    /// Format version, [`VERSION`].
     pub v: u32,
     /// `added`.
     pub kind: String,
-    /// The commit that was measured, empty where it is not known.
+    /// The commit that was measured; empty where it is unknown.
     pub commit: String,
-    /// How it was called.
+    /// The command line.
     pub command: String,
-    /// Processors of the machine.
+    /// Number of processors of the machine.
     pub cores: usize,
-    /// The seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How often each point was played.
+    /// Number of rounds for each point.
     pub rounds: usize,
     /// `release` or `debug`.
     pub profile: String,
-    /// A point for each number of servers known.
+    /// One point for each number of servers known.
     pub points: Vec<Point>,
 }
 
-/// What was measured of one number of servers known, over all rounds.
+/// Measurements with one number of servers known, over all rounds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// Servers on the list that a sidecar is told.
+    /// Servers on the list that a sidecar receives.
     pub known: usize,
-    /// Calls a second through each sidecar, and as many the direct way.
+    /// Calls per second through each sidecar, and as many direct ones.
     pub rate: f64,
-    /// Sidecars that a call goes through.
+    /// Number of sidecars that a call passes through.
     pub depth: usize,
-    /// Sidecars beside one another, each with a caller of its own.
+    /// Sidecars running in parallel, each with its own caller.
     pub real: usize,
-    /// Its configuration names the services that it calls.
+    /// Each sidecar's configuration names the services that it calls.
     pub interest: bool,
-    /// The direct way to the same stand-in servers: the median, in microseconds from when a call was due.
+    /// Median latency of direct calls to the same stub servers, in microseconds from when a call was due.
     pub direct_p50_us: f64,
-    /// The direct way, 99 in 100.
+    /// 99th percentile of direct calls.
     pub direct_p99_us: f64,
-    /// Through the sidecar: the median of those served.
+    /// Median latency of served calls through the sidecar.
     pub through_p50_us: f64,
-    /// Through the sidecar, 99 in 100 of those served.
+    /// 99th percentile of served calls through the sidecar.
     pub through_p99_us: f64,
-    /// The difference of the medians.
+    /// Difference of the medians.
     pub added_p50_us: f64,
-    /// The difference of what 99 in 100 had.
+    /// Difference of the 99th percentiles.
     pub added_p99_us: f64,
-    /// The lower end of its 95% interval.
+    /// Lower end of its 95% interval.
     pub added_p99_low_us: f64,
-    /// The upper end of its 95% interval.
+    /// Upper end of its 95% interval.
     pub added_p99_high_us: f64,
-    /// Processor time of a sidecar for each call through it, with what it does besides calls.
+    /// Processor time of a sidecar for each call through it, including its background work.
     pub cpu_us_a_call: f64,
-    /// The most memory a sidecar had resident at the end of a round, in bytes.
+    /// Largest resident memory of a sidecar at the end of a round, in bytes.
     pub rss_bytes: u64,
-    /// Calls through sidecars that were served, like all times of the seconds that count.
+    /// Calls served through sidecars; like all latencies, in undisturbed seconds only.
     pub answered: u64,
-    /// Calls through sidecars that were answered 429 or 503.
+    /// Calls through sidecars with a 429 or 503 response.
     pub refused: u64,
-    /// Calls through sidecars with any other answer, with none, or not sent as too many were out.
+    /// Calls through sidecars with any other response or none, or not sent as too many were in flight.
     pub lost: u64,
-    /// What can be said.
+    /// Verdict on the point.
     pub verdict: PointVerdict,
-    /// Why it is not kept, and what was left out.
+    /// Reasons for a verdict other than `kept`, and what was left out.
     pub why: Vec<String>,
 }
 
-/// What can be said of a point.
+/// Verdict on a point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PointVerdict {
-    /// Every limit and rule held.
+    /// All limits and rules were met.
     Kept,
-    /// One did not.
+    /// A limit or rule was violated.
     Broken,
-    /// Nothing can be said.
+    /// Nothing can be concluded.
     Void,
 }
 
-/// What is wanted of a run.
+/// Command-line options of `added`.
 #[derive(Args)]
 pub struct Options {
-    /// Servers on the list that each sidecar is told, a point for each number, from 6 to 10000
+    /// Numbers of servers on the list of each sidecar, one point for each, from 6 to 10000
     #[arg(long, value_delimiter = ',', default_values_t = [60, 200, 1000, 3100])]
     known: Vec<usize>,
-    /// Sidecars beside one another, from 0 to 16; with 0 the direct way alone is played, and nothing can be said
+    /// Sidecars running in parallel, from 0 to 16; with 0 only direct calls are made and the verdict is void
     #[arg(long, default_value_t = 1)]
     real: usize,
-    /// Calls a second through each sidecar, and as many the direct way, from 1 to 1000
+    /// Calls per second through each sidecar, and as many direct ones, from 1 to 1000
     #[arg(long, default_value_t = 223)]
     rate: u64,
-    /// Sidecars that a call goes through; only 1 is played yet
+    /// Number of sidecars that a call passes through; only 1 is supported
     #[arg(long, default_value_t = 1)]
     depth: u64,
-    /// For how many seconds calls count in a round, from 2 to 120
+    /// Measured seconds of a round, from 2 to 120
     #[arg(long, default_value_t = 20)]
     lasts: u64,
-    /// How often each point is played, from 1 to 20
+    /// Number of rounds for each point, from 1 to 20
     #[arg(long, default_value_t = 3)]
     rounds: u64,
-    /// The seed of all that is drawn
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The sidecar's program; that beside this one where it is not told
+    /// The sidecar's program [default: `dunlincleat-sidecar` in the folder of this program]
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Configure each sidecar with the one service that it calls
+    /// Name the one service that each sidecar calls in its configuration
     #[arg(long)]
     interest: bool,
-    /// Judge by answers alone, not by times: for a machine that is too busy to tell these
+    /// Judge by responses only, not by latencies, for a busy machine
     #[arg(long)]
     counts_only: bool,
-    /// The result file
+    /// Write the result to this file
     #[arg(long, value_name = "FILE")]
     out: PathBuf,
 }
 
-/// How long calls go out before any counts: connections are opened, delays are learnt.
+/// Time before the measurement in which connections are opened and delays learnt.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// How long a call waits.
+/// Time that a caller waits for a response.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(740);
-/// How late a second's calls may go out, and what 99 in 100 of its direct ones may take, for the second to count.
+/// Largest send delay of a second's calls, and largest 99th percentile of its direct latencies, for the second to count
+/// as undisturbed, in microseconds.
 const MAX_UNDISTURBED_US: u64 = 5000;
-/// One in so many calls may go without a 200: the rest is 99 in 100.
+/// At most one in this many calls may go without a 200 response.
 const UNSERVED_ONE_IN: u64 = 100;
-/// Calls a second of all sidecars together that the callers' one thread can send.
+/// Calls per second to all sidecars together that the callers' single thread can send.
 const MAX_CALLS_PER_S: u64 = 4000;
-/// How often the interval's seconds are drawn.
+/// Number of bootstrap resamples.
 const BOOTSTRAP_DRAWS: usize = 1000;
 
-/// Runs it: 0 where every point is kept, 1 where one is broken, 2 where one is void, 130 where it was ended by hand.
+/// Measures all points. Exit code 0 where all are kept, 1 where one is broken, 2 where one is void, 130 where the run was
+/// interrupted.
 pub fn run(options: &Options) -> Result<ExitCode> {
     for known in &options.known {
         ranged("known", *known as u64, CALLED_SERVERS as u64, 10_000)?;
@@ -164,7 +167,7 @@
     ranged("rounds", options.rounds, 1, 20)?;
     if options.rate * options.real as u64 > MAX_CALLS_PER_S {
         bail!(
-            "--rate {} with --real {}: {} calls a second; right would be {MAX_CALLS_PER_S} or fewer",
+            "--rate {} with --real {}: {} calls per second; expected {MAX_CALLS_PER_S} or fewer",
             options.rate,
             options.real,
             options.rate * options.real as u64
@@ -175,7 +178,7 @@
     }
     let folder = options.out.parent().filter(|folder| !folder.as_os_str().is_empty());
     if options.out.is_dir() || folder.is_some_and(|folder| !folder.is_dir()) {
-        bail!("--out: {}: right would be a file in a folder that is there", options.out.display());
+        bail!("--out: {}: expected a file in an existing folder", options.out.display());
     }
     let (lab, program) = programs("dunlincleat-sidecar", "--program", options.program.as_deref())?;
     let callers = |known: usize, seed: u64| Callers {
@@ -195,16 +198,16 @@
             Bounds { drain_grace: 1_000_000, slack: 250_000, duty_recovery: 0, timer_lateness: 150_000 }
         },
     };
-    // What is checked out may change while the run goes on.
+    // Another commit may be checked out while the run goes on.
     let commit = commit();
     let work = async {
         let mut measurements: Vec<Vec<Measurements>> = options.known.iter().map(|_| Vec::new()).collect();
         for round in 0..options.rounds {
             for n in 0..options.known.len() {
-                // Each size comes first in its turn, so that none has the machine's best time alone.
+                // The order rotates with the rounds, so that no size always gets the same conditions.
                 let n = (n + round as usize) % options.known.len();
                 let known = options.known[n];
-                // The same arrivals at each size.
+                // The seed does not depend on the size: each size has the same arrivals.
                 let found = callers(known, options.seed.wrapping_mul(1000).wrapping_add(round)).run().await;
                 let found = found.with_context(|| format!("{known} servers known, round {round}"))?;
                 let sum = |of: &dyn Fn(&SecondSample) -> u64| -> u64 { found.seconds.iter().map(of).sum() };
@@ -247,7 +250,7 @@
     Ok(ExitCode::from(code))
 }
 
-/// The commit that is checked out, where that can be told.
+/// The commit that is checked out; empty where git does not report one.
 fn commit() -> String {
     let output = std::process::Command::new("git").args(["rev-parse", "--short=10", "HEAD"]).output();
     output
@@ -291,8 +294,8 @@
     path.latencies_us.len() as u64
 }
 
-/// The machine let a second's calls out in time, and the direct way was quick in it: what the sidecar's calls took then is
-/// the sidecar's. Nothing of these is looked at.
+/// Whether calls were sent on time in this second and direct calls were fast, so that the latencies through the sidecar
+/// are attributable to it. The calls through the sidecar are not considered.
 fn is_undisturbed(second: &SecondSample) -> bool {
     let mut times = second.direct.latencies_us.clone();
     times.sort_unstable();
@@ -302,7 +305,7 @@
         && served(&second.direct) == second.direct.due
 }
 
-/// Times of many seconds, the longest first, each with its second.
+/// Latencies of many seconds in descending order, each with the index of its second.
 struct Latencies {
     ranked: Vec<(u64, usize)>,
     served_by_second: Vec<u64>,
@@ -319,14 +322,9 @@
         Latencies { ranked, served_by_second }
     }
 
-    /// A quantile by nearest rank, of seconds that count so often each; 0 where nothing was served.
+    /// Quantile by nearest rank, with each second weighted by its count; 0 where nothing was served.
     fn quantile(&self, of: f64, counts: &[u64]) -> f64 {
-        let total: u64 = self
-            .served_by_second
-            .iter()
-            .zip(counts)
-            .map(|(served_by_second, count)| served_by_second * count)
-            .sum();
+        let total: u64 = self.served_by_second.iter().zip(counts).map(|(served, count)| served * count).sum();
         let above = total - ((of * total as f64).ceil() as u64).clamp(u64::from(total > 0), total);
         let mut passed = 0;
         for (time, second) in &self.ranked {
@@ -339,8 +337,8 @@
     }
 }
 
-/// The 95% interval of what 99 in 100 have added: seconds are drawn again and again within their rounds, the same ones of
-/// both ways, as both met the same machine in them.
+/// Bootstrap 95% interval of the added latency. Seconds are resampled within their rounds, the same ones for both paths, as
+/// both met the same conditions on the machine.
 fn interval(lengths: &[usize], added: impl Fn(&[u64]) -> f64) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut drawn: Vec<f64> = (0..BOOTSTRAP_DRAWS)
@@ -358,6 +356,7 @@
     (drawn[BOOTSTRAP_DRAWS / 40], drawn[BOOTSTRAP_DRAWS - 1 - BOOTSTRAP_DRAWS / 40])
 }
 
+/// Summarizes the rounds with one number of servers known.
 fn summarize(options: &Options, known: usize, rounds: &[Measurements]) -> Point {
     let counted: Vec<Vec<&SecondSample>> = rounds
         .iter()
@@ -410,8 +409,8 @@
     point
 }
 
-/// What can be said of a point, why it is not kept, and what was left out. A rule that was broken is so on any machine; a
-/// limit is judged only where the machine was good enough for that in half of the seconds, `chosen`.
+/// Verdict on a point, with reasons and notes on what was left out. A violated rule counts on any machine. A limit is
+/// judged only where at least half of the seconds, `counted`, were undisturbed.
 fn judge(
     point: &Point,
     rounds: &[Measurements],
--- a/crates/lab/src/real/tests.rs
+++ b/crates/lab/src/real/tests.rs
@@ -1,10 +1,10 @@
-//! Verdicts of points with a planted fault each, and the quantiles that they stand on.
+//! Verdicts on points with one injected fault each, and the quantiles behind them.
 
 use super::*;
 use dunlincleat_trial::audit::{Property, Violation};
 use dunlincleat_trial::callers::PathStats;
 
-/// A round of 400 calls each way, in two seconds: the direct way takes 1 to 400 us, the sidecar so many more.
+/// A round of 400 calls on each path in two seconds: direct calls take 1 to 400 us, calls through the sidecar `more` longer.
 fn round(more: u64) -> Measurements {
     let second = |odd: u64| {
         let path = |more: u64| {
@@ -51,7 +51,7 @@
     assert_eq!((point.direct_p50_us, point.direct_p99_us), (200.0, 396.0));
     assert_eq!((point.through_p50_us, point.through_p99_us), (1200.0, 1396.0));
     assert_eq!((point.added_p50_us, point.added_p99_us, point.cpu_us_a_call), (1000.0, 1000.0, 200.0));
-    // Both ways have the same seconds drawn, so that what differs between seconds alone adds nothing to the interval.
+    // Both paths have the same seconds resampled, so differences between seconds do not widen the interval.
     assert_eq!((point.added_p99_low_us, point.added_p99_high_us), (1000.0, 1000.0));
     assert_eq!((point.answered, point.refused, point.lost), (1200, 0, 0));
 }
@@ -68,7 +68,7 @@
         judged(|measurements| measurements.seconds.iter_mut().for_each(|s| slower(&mut s.via_sidecar, 700)));
     assert_eq!(verdict, PointVerdict::Broken);
     assert!(why.contains("1700 us added for 99 in 100") && why.ends_with("over 1600"), "{why}");
-    // One slow second of the six: drawn once or more often, or not at all.
+    // One slow second of six: the resamples contain it several times, once or not at all.
     let mut rounds = [round(1000), round(1000), round(1000)];
     slower(&mut rounds[1].seconds[0].via_sidecar, 700);
     let point = summarize(&options(), 60, &rounds);
@@ -82,7 +82,7 @@
     let (verdict, why) = judged(|measurements| refuse(&mut measurements.seconds[0].via_sidecar, 5));
     assert_eq!(verdict, PointVerdict::Broken);
     assert!(why.contains("15 refused and 0 lost of 1200 calls, over 1 in 100"), "{why}");
-    // A broken rule is one on any machine.
+    // A violated rule counts on any machine.
     let fault =
         || Violation { property: Property::OneAnswer, at: 0, what: "request 7 of n0 got none".to_owned() };
     let (verdict, why) = judged(|measurements| {
@@ -94,7 +94,7 @@
     assert!(verdict == PointVerdict::Void && why.contains("rules could be judged in no round"), "{why}");
 }
 
-/// What the machine did is no fault of the sidecar's; what the sidecar did in a second that the machine let be, is.
+/// Slow calls are attributed to the sidecar only in seconds that the machine did not disturb.
 #[test]
 fn seconds_disturbed_by_the_machine_are_left_out() {
     let disturbances: [fn(&mut SecondSample); 3] = [
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -1,5 +1,5 @@
-//! The file of results that `run` writes: a first line that says what was asked for, then a line a day as it is done. One
-//! that was cut off is read up to its last whole line, and is known to be a part.
+//! Result file of `run`, as JSON lines: a header with the request, then one line for each completed seed. A truncated run
+//! is read up to its last complete line and recognized as partial.
 
 use anyhow::{Context, Result, bail};
 use dunlincleat_fleet::report::Report;
@@ -8,49 +8,49 @@
 use std::io::Write;
 use std::path::Path;
 
-/// The version of this format.
+/// Version of this format.
 const VERSION: u32 = 2;
 
-/// The first line of a run.
+/// Header line of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunHeader {
-    /// The version.
+    /// Format version, [`VERSION`].
     pub v: u32,
-    /// The scenario's file.
+    /// Path of the scenario's file.
     pub plan: String,
     /// The policy.
     pub policy: String,
-    /// The seeds that were to be played.
+    /// The requested seeds.
     pub seeds: Vec<u64>,
 }
 
-/// A run that was read.
+/// A run read from a file.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// What was asked for.
+    /// The header.
     pub plan: RunHeader,
-    /// What is there.
+    /// The complete results.
     pub days: Vec<Report>,
 }
 
 impl Run {
-    /// Not all that was asked for is there.
+    /// Whether results of requested seeds are missing.
     pub fn partial(&self) -> bool {
         self.days.len() < self.plan.seeds.len()
     }
 }
 
-/// Writes results as they come.
+/// Appends results to a file as they are completed.
 pub struct Writer(File);
 
 impl Writer {
-    /// Begins a run at the end of a file.
+    /// Appends a run's header to a file.
     pub fn begin(path: &Path, plan: &str, policy: &str, seeds: &[u64]) -> Result<Writer> {
         let location = || path.display().to_string();
         let cut_off = std::fs::read(path).is_ok_and(|bytes| bytes.last().is_some_and(|last| *last != b'\n'));
         let mut file = OpenOptions::new().create(true).append(true).open(path).with_context(location)?;
         if cut_off {
-            // The plan would else be a part of the line that the run before did not finish.
+            // Otherwise the header would continue the line that the previous run left incomplete.
             file.write_all(b"\n").with_context(location)?;
         }
         let mut writer = Writer(file);
@@ -59,11 +59,11 @@
         Ok(writer)
     }
 
-    /// Adds a line, whole or not at all as far as one write is.
+    /// Appends a line with a single write.
     pub fn line(&mut self, value: &impl Serialize) -> Result<()> {
         let mut line = serde_json::to_vec(value)?;
         line.push(b'\n');
-        self.0.write_all(&line).context("the results can't be written")
+        self.0.write_all(&line).context("cannot write the results")
     }
 }
 
@@ -71,37 +71,33 @@
 ///
 /// # Errors
 ///
-/// Names the line that is at fault, but for the last one of a run, which may be cut off.
+/// An invalid line, named by its number, unless it is the last one of a run, which may be truncated.
 pub fn read(path: &Path) -> Result<Vec<Run>> {
     let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
     let mut runs: Vec<Run> = Vec::new();
     let lines: Vec<&str> = text.lines().collect();
     for (n, line) in lines.iter().enumerate() {
         let location = || format!("{}: line {}", path.display(), n + 1);
-        // The last line of a run that was ended by hand, at the end of the file or before the next run's plan.
+        // The last line of an interrupted run, at the end of the file or before the next run's header.
         let cut_off = match lines.get(n + 1) {
             None => !text.ends_with('\n'),
             Some(next) => serde_json::from_str::<RunHeader>(next).is_ok(),
         };
         if let Ok(plan) = serde_json::from_str::<RunHeader>(line) {
             if plan.v != VERSION {
-                bail!(
-                    "{}: v: {} is not a version that is read; right would be {VERSION}",
-                    location(),
-                    plan.v
-                );
+                bail!("{}: v: {} is not a supported version; expected {VERSION}", location(), plan.v);
             }
             runs.push(Run { plan, days: Vec::new() });
             continue;
         }
         let Some(run) = runs.last_mut() else {
-            bail!("{}: a day before any plan; right would be a file that `run --out` wrote", location());
+            bail!("{}: a result before any header; expected a file written by `run --out`", location());
         };
         match serde_json::from_str::<Report>(line) {
             Ok(day) => run.days.push(day),
             Err(_) if cut_off => {}
             Err(error) => {
-                return Err(error).with_context(|| format!("{}: it is no day's result", location()));
+                return Err(error).with_context(|| format!("{}: not a result", location()));
             }
         }
     }
--- a/crates/lab/src/results/tests.rs
+++ b/crates/lab/src/results/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `results.rs`.
+//! Tests of reading and writing result files.
 
 use super::*;
 
-/// A run that was ended by hand left a file that nothing could read.
+/// Regression test: an interrupted run left a file that could not be read.
 #[test]
 fn interrupted_run_is_partial_and_corrupt_line_is_reported() {
     let folder = tempfile::tempdir().unwrap();
@@ -17,7 +17,7 @@
     std::fs::write(&path, &whole[..whole.len() - 30]).unwrap();
     let runs = read(&path).unwrap();
     assert!(runs[0].days.len() == 1 && runs[0].partial());
-    // The next run into the same file once began in the middle of that line, and neither could be read.
+    // Regression test: the next run into the same file started in the middle of that line, and neither could be read.
     Writer::begin(&path, "b.toml", "module", &[4]).unwrap().line(&day).unwrap();
     let runs = read(&path).unwrap();
     assert!(runs[0].days.len() == 1 && runs[0].partial());
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity page: that it is what the committed plan and results give, what another plan gives, how a
-//! made-up set of results comes to figures, and how faults are named.
+//! The capacity page: the committed page matches the committed plan and results, another plan gives another page,
+//! synthetic results give known figures, and invalid inputs are reported.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -20,7 +20,7 @@
     root().join("deploy/plans/fleet-ahead.toml")
 }
 
-/// The result files of a folder, in turn; none where there is no folder.
+/// The result files of a folder in order of name; none where the folder does not exist.
 fn results(folder: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(folder).into_iter().flatten();
     let paths = entries.map(|entry| entry.unwrap().path());
@@ -44,7 +44,7 @@
     lab(&args)
 }
 
-/// The page that a plan and results give.
+/// The page written from a plan and results.
 fn page(plan: &Path, results: &[String]) -> String {
     let out = capacity(plan, results, &[]);
     assert_eq!(out.status.code(), Some(0), "{}", output_text(&out));
@@ -60,7 +60,7 @@
     table.lines().skip(2).map(cells).collect()
 }
 
-/// The one row of a table whose cells hold these in turn.
+/// The only row of a table whose first cells begin with these texts.
 fn row(page: &str, name: &str, begins: &[&str]) -> Vec<String> {
     let rows = table(page, name);
     let fits =
@@ -70,7 +70,7 @@
     found[0].clone()
 }
 
-/// A copy of the plan with each of these replaced once.
+/// A copy of the plan with each of these texts replaced once.
 fn changed(folder: &Path, changes: &[(&str, &str)]) -> PathBuf {
     let mut text = std::fs::read_to_string(plan()).unwrap();
     for (from, to) in changes {
--- a/crates/lab/tests/real.rs
+++ b/crates/lab/tests/real.rs
@@ -1,4 +1,4 @@
-//! Real sidecars beside stand-in servers, as `added` measures them: by counts alone, so that a busy machine tells the same.
+//! `added` with real sidecars beside stub servers, judged by counts only so that the load of the machine does not matter.
 
 mod common;
 
@@ -9,9 +9,9 @@
 use std::sync::LazyLock;
 use std::time::Duration;
 
-/// The sidecar, built once beside the lab.
+/// The sidecar's program, built once beside the lab.
 static SIDECAR: LazyLock<PathBuf> = LazyLock::new(|| program("dunlincleat-sidecar"));
-/// How long processes may take to begin and to end.
+/// Time limit for processes to start and to exit.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn lab() -> Command {
@@ -33,8 +33,8 @@
     point[key].as_u64().unwrap_or_else(|| panic!("{key} of {point}"))
 }
 
-/// Every call has one answer, each sidecar was told of every server (the run fails where one was not), and all that was
-/// started is gone when the run is.
+/// Every call has one response, each sidecar receives every server (the run fails otherwise), and all started processes
+/// exit with the run.
 #[test]
 fn each_call_has_one_response_and_no_process_is_left() {
     let folder = tempfile::tempdir().unwrap();
@@ -57,7 +57,7 @@
     for point in &points {
         assert_eq!(point["verdict"], "kept", "{point}");
         assert_eq!(number(point, "lost"), 0, "{point}");
-        // The same seed has the same arrivals, whatever is known: some 50 a second of each of the two, for 2 s.
+        // The same seed gives the same arrivals for any number of servers: about 50 per second of each of the two, for 2 s.
         let answers = |point: &Value| number(point, "answered") + number(point, "refused");
         assert!(answers(point) > 100 && answers(point) == answers(&points[0]), "{point}");
         assert!(number(point, "answered") > 0 && number(point, "rss_bytes") > 1 << 20, "{point}");
@@ -65,7 +65,7 @@
     }
 }
 
-/// Planted: with no sidecar there is nothing to compare the direct way with, and that must not look kept.
+/// Without a sidecar there is nothing to compare direct calls with, so the verdict must not be `kept`.
 #[test]
 fn run_without_a_sidecar_is_void() {
     let folder = tempfile::tempdir().unwrap();
@@ -77,10 +77,10 @@
     let points = points(&out);
     assert_eq!(points[0]["verdict"], "void");
     assert!(points[0]["why"][0].as_str().unwrap().contains("no call was served through a sidecar"));
-    assert!(points[0]["direct_p50_us"].as_f64().unwrap() > 0.0, "the direct way was played");
+    assert!(points[0]["direct_p50_us"].as_f64().unwrap() > 0.0, "direct calls were made");
 }
 
-/// A run that is killed takes its sidecars and stand-ins with it.
+/// The sidecars and stubs of a killed run exit with it.
 #[test]
 fn killed_run_leaves_no_processes() {
     let folder = tempfile::tempdir().unwrap();
@@ -96,7 +96,7 @@
     all_end(&children, TIMEOUT);
 }
 
-/// What can't be played is refused before anything starts, with the flag, its value and what would be right.
+/// Invalid options are rejected before anything starts, with the flag, its value and the expected range.
 #[test]
 fn invalid_options_are_rejected_by_name() {
     let folder = tempfile::tempdir().unwrap();
@@ -118,7 +118,7 @@
     refused(&["--rate", "1000", "--real", "5"], &["--rate 1000", "--real 5", "4000 or fewer"]);
     refused(&["--program", "/nowhere"], &["--program", "/nowhere is no program"]);
     refused(&["--known", "6", "--program", "/bin/true"], &["6 servers known, round 0: n0", "ended at once"]);
-    // Few descriptors: refused before a stand-in fails in the middle.
+    // Too few descriptors are rejected at the start, not by a stub that fails in the middle of the run.
     let few = "ulimit -n 2000 && exec \"$0\" added --known 3100 --out \"$1\"";
     let done =
         Command::new("sh").args(["-c", few]).arg(env!("CARGO_BIN_EXE_dunlincleat-lab")).arg(&out).output();
