--- a/crates/lab/src/capacity/figures.rs
+++ b/crates/lab/src/capacity/figures.rs
@@ -1,16 +1,16 @@
-//! Figures against limits: each is either played by a run at the plan's size, or worked out as slope × driver.
-//! Without the interest set and with it; with it at the sidecar that calls the most services, since that one
-//! has to keep the limits.
+//! Figures compared with limits. Each is either played, that is measured by a run at the plan's size, or worked out as
+//! slope × driver. All are given without the interest set and with it; with it for the sidecar that calls the most
+//! services, as the limits have to hold there too.
 
 use super::results::{Added, Form, Results, Seen, Slope, Verdict};
 use super::show::{amount, count, part};
 use crate::plan::{Change, Plan};
 use std::fmt::Write;
 
-/// What is said in place of a figure of a run that says nothing.
+/// Shown in place of a figure of a void run.
 pub const VOID: &str = "void";
 
-/// Whom a figure is of.
+/// Role of the process that a figure describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     Caller,
@@ -28,7 +28,7 @@
     }
 }
 
-/// In what a figure's unit is told.
+/// Unit of a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
     Bytes,
@@ -41,7 +41,7 @@
     Micros,
 }
 
-/// A limit: the letter's, then those of the machines that we assume.
+/// A limit: first those required, then those of the assumed machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Limit {
     Added,
@@ -113,7 +113,7 @@
     }
 }
 
-/// When: an ordinary time, or a loss.
+/// Situation: ordinary operation or a loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum When {
     Mean,
@@ -152,7 +152,7 @@
     }
 }
 
-/// How a figure came.
+/// Origin of a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum How {
     Played,
@@ -168,24 +168,24 @@
     }
 }
 
-/// A figure.
+/// A figure with its derivation.
 #[derive(Clone, Debug)]
 pub struct Value {
     pub is: f64,
-    /// How it was worked out, or of what it was played.
+    /// How it was worked out, or what was measured.
     pub working: String,
-    /// The result files that it rests on.
+    /// The result files that it is based on.
     pub from: Vec<String>,
-    /// It rests on a line drawn past what was measured.
+    /// It is extrapolated beyond the measured sizes.
     pub beyond: bool,
-    /// A part of it wasn't measured: it is this at least.
+    /// A lower bound, as a part of it was not measured.
     pub least: bool,
 }
 
-/// A figure, or why there is none.
+/// A figure, or the reason why there is none.
 pub type Cell = Result<Value, String>;
 
-/// What a role has of something at a time, without the interest set and with it.
+/// A figure of a role in a situation, without the interest set and with it.
 #[derive(Clone, Debug)]
 pub struct Row {
     pub role: Role,
@@ -194,16 +194,16 @@
     pub how: How,
     pub unit: Unit,
     pub limit: Option<Limit>,
-    /// Without the interest set; with it at the widest sidecar.
+    /// Without the interest set, and with it for the sidecar that calls the most services.
     pub cells: [Cell; 2],
-    /// The mechanism and its file.
+    /// The mechanism responsible and its source files.
     pub by: &'static str,
-    /// It counts against its limit; else it stands beside it as the strictest reading.
+    /// It counts against its limit; otherwise it is shown only as the strictest interpretation of the limit.
     pub counts: bool,
 }
 
 impl Row {
-    /// The limit over the figure: under 1 it is missed.
+    /// The limit divided by the figure; below 1 the limit is missed.
     pub fn headroom(&self, plan: &Plan, side: usize) -> Option<f64> {
         let limit = self.limit?.of(plan);
         self.cells[side].as_ref().ok().filter(|value| value.is > 0.0).map(|value| limit / value.is)
@@ -220,11 +220,11 @@
     }
 }
 
-/// How far points may be from their line for the line to stand for them.
+/// Largest residual up to which the line is used in place of the points.
 const TRUSTED: f64 = 0.15;
 
-/// A slope at a size of its driver: on its line, between its points where the line is no good, and past them as
-/// its form says; none where the form past them isn't clear.
+/// Value of a slope at a size of its driver: on its line, interpolated between the points where the line does not fit, and
+/// extrapolated by the form beyond them. `None` beyond the points where the form is not clear.
 fn at(slope: &Slope, driver: f64, unit: Unit) -> Option<(f64, String, bool)> {
     let mut points: Vec<(f64, f64)> = slope.points.iter().map(|p| (p.at, median(&p.values))).collect();
     points.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -261,14 +261,14 @@
     Some((grown, format!("{} at {}, grown as {by} to {}", show(last.1), count(last.0), count(driver)), true))
 }
 
-/// A row of messages, without a limit and still without figures.
+/// A row for messages, without a limit and with figures still to be filled in.
 fn message_row((role, when): (Role, When), what: &'static str, by: &'static str) -> Row {
     let none = || Err(String::new());
     let (how, unit, cells) = (How::WorkedOut, Unit::MessagesASecond, [none(), none()]);
     Row { role, what, when, how, unit, limit: None, cells, by, counts: true }
 }
 
-/// Terms of a sum.
+/// A sum with its derivation.
 #[derive(Default)]
 struct Sum {
     is: f64,
@@ -293,7 +293,7 @@
         self.beyond |= value.beyond;
     }
 
-    /// What takes so many microseconds, so many times a second, with how it was worked out.
+    /// Adds the processor time of an operation in microseconds, done `times` times per second, with its derivation.
     fn add_times(&mut self, name: &str, value: Value, times: f64) {
         let shown = value.working.clone();
         self.add_value(name, value, times / 1e6, Unit::PartOfCore);
@@ -316,7 +316,7 @@
     }
 }
 
-/// What a plan asks of sidecars and control machines: the drivers, and what is worked out from them.
+/// Load that a plan puts on sidecars and control machines: the drivers and the figures worked out from them.
 pub struct Work<'a> {
     pub plan: &'a Plan,
     pub results: &'a Results,
@@ -329,39 +329,39 @@
 const PATH: &str = "`crates/http`, `crates/engine`, `src/rules.rs`";
 
 impl Work<'_> {
-    /// Servers that a sidecar knows: all, or those of the services that the widest calls.
+    /// Number of servers that a sidecar knows: all, or those of the most services that a sidecar calls.
     pub fn known(&self, interest: bool) -> f64 {
         if interest { self.plan.servers_called_most() } else { self.plan.told.endpoints.into() }
     }
 
-    /// Servers that a sidecar knows in the mean of all: what a control machine pays for.
+    /// Mean number of servers that a sidecar knows, which determines the load of a control machine.
     pub fn known_mean(&self, interest: bool) -> f64 {
         let mean = self.plan.servers_called(self.plan.services_called_mean());
         if interest { mean } else { self.plan.told.endpoints.into() }
     }
 
-    /// The part of the changes of the list that one sees who knows so many servers.
+    /// Fraction of the list's changes that a sidecar with so many known servers receives.
     pub fn seen(&self, known: f64) -> f64 {
         known / f64::from(self.plan.told.endpoints)
     }
 
-    /// Calls of a sidecar a second, in the mean.
+    /// Mean calls per second of a sidecar.
     pub fn calls(&self) -> f64 {
         self.plan.told.calls_a_second / f64::from(self.plan.told.endpoints)
     }
 
-    /// Sidecars on one control machine: when all stand, and when one has gone.
+    /// Number of sidecars on one control machine, with all machines running or with one lost.
     pub fn sidecars(&self, one_gone: bool) -> f64 {
         let machines = self.plan.told.control_machines - u32::from(one_gone);
         f64::from(self.plan.told.endpoints.div_ceil(machines))
     }
 
-    /// Endpoints of a zone.
+    /// Number of endpoints of a zone.
     pub fn zone(&self) -> f64 {
         f64::from(self.plan.told.endpoints.div_ceil(self.plan.zones()))
     }
 
-    /// Changes of the list a second at the word of discovery.
+    /// Changes of the list per second.
     pub fn list_changes(&self, peak: bool) -> f64 {
         let of_list = Change::ALL.into_iter().filter(|kind| kind.is_of_list());
         of_list.map(|kind| self.rate(kind, peak)).sum()
@@ -372,7 +372,7 @@
         if peak { rate.peak } else { rate.mean }
     }
 
-    /// Changes of settings a second that a sidecar takes up: its service's, and everyone's.
+    /// Changes of settings per second that a sidecar applies: those of its service, and those of all services.
     fn settings(&self, peak: bool) -> [f64; 2] {
         let of_one = if peak {
             self.plan.assumed.peak_settings_of_a_service.is
@@ -382,7 +382,7 @@
         [of_one, self.rate(Change::SettingsOfAll, peak)]
     }
 
-    /// A measured figure at a size of its driver.
+    /// A measured figure at a size of its driver, from its slope.
     pub fn slope(&self, name: &str, driver: f64, interest: bool, unit: Unit) -> Cell {
         let Some((file, slope)) = self.results.slope(name, interest) else {
             return Err(format!("not measured ({name})"));
@@ -394,7 +394,7 @@
         }
     }
 
-    /// Bytes of a whole list of so many servers.
+    /// Bytes of a whole list of `known` servers.
     pub fn whole_list(&self, known: f64, interest: bool) -> Value {
         self.slope("whole-list-bytes", known, interest, Unit::Bytes).unwrap_or_else(|_| {
             let entry = self.plan.assumed.bytes_entry.is;
@@ -403,7 +403,7 @@
         })
     }
 
-    /// Bytes a second of the list and of signs of life, and of settings, to one who knows so many servers.
+    /// Bytes per second of heartbeats, list and settings to a sidecar with so many known servers.
     fn steady_bytes(&self, peak: bool, known: f64) -> Sum {
         let own = &self.plan.assumed;
         let mut sum = Sum::default();
@@ -417,12 +417,12 @@
         sum
     }
 
-    /// Bytes of a zone that goes, to one who knows so many servers.
+    /// Bytes for the loss of a zone to a sidecar with so many known servers.
     pub fn zone_bytes(&self, known: f64) -> f64 {
         self.zone() * self.plan.change(Change::ServerGoes).bytes * self.seen(known)
     }
 
-    /// Messages a second to one who knows so many servers.
+    /// Messages per second to a sidecar with so many known servers.
     fn messages(&self, peak: bool, known: f64) -> Sum {
         let mut sum = Sum::default();
         sum.add("signs of life", self.plan.assumed.heartbeats_a_second.is, Unit::MessagesASecond);
@@ -431,7 +431,7 @@
         sum
     }
 
-    /// What one is sent after its watch broke.
+    /// Bytes sent to a sidecar after its watch broke.
     pub fn reconnect(&self, known: f64, interest: bool) -> Value {
         let measured = self.slope("reconnect-bytes", known, interest, Unit::Bytes);
         measured.unwrap_or_else(|_| self.whole_list(known, interest))
@@ -441,11 +441,11 @@
         [cell(false), cell(true)]
     }
 
-    /// Processor time of control beside calls: idle, with what changes cost.
+    /// A sidecar's processor time for control, apart from calls: idle time and changes.
     fn cpu_of_control(&self, peak: bool, interest: bool) -> Result<Sum, String> {
         let known = self.known(interest);
         let mut sum = Sum::default();
-        // Without it the sum is the least that it can be, and says so.
+        // Without the idle figure the sum is a lower bound and marked as such.
         match self.slope("cpu-idle", known, interest, Unit::PartOfCore) {
             Ok(idle) => {
                 let shown = idle.working.clone();
@@ -465,7 +465,7 @@
         Ok(sum)
     }
 
-    /// Windows and draws, as the kernels were measured.
+    /// Processor time of windows and draws, from the measured cost of each.
     fn cpu_of_draws(&self, peak: bool, interest: bool) -> Result<Sum, String> {
         let known = self.known(interest);
         let own = &self.plan.assumed;
@@ -478,8 +478,8 @@
         Ok(sum)
     }
 
-    /// Windows and draws where the operator's file has a pool for each service called. Measured with all
-    /// servers known, it says nothing of the interest set unless a run with it does.
+    /// Processor time of windows and draws where the operator's file has a pool for each called service. It was measured
+    /// with all servers known, so it applies to the interest set only where a run with it was measured.
     fn cpu_of_pools(&self, peak: bool, interest: bool) -> Cell {
         let own = &self.plan.assumed;
         let calls = self.calls() * if peak { own.peak_over_mean.is } else { 1.0 };
@@ -494,7 +494,7 @@
         if !self.results.slopes[usize::from(interest)].contains_key(name) {
             return Err(format!("not measured ({name})"));
         }
-        // Services are varied with as many servers known as were known at most; the figure is of a fleet of that size alone.
+        // Services were varied with the largest measured number of known servers, so the figure applies to that number only.
         let slopes = self.results.slopes[usize::from(interest)].values().map(|(_, slope)| slope);
         let by_servers = slopes.filter(|slope| slope.driver == "known-servers");
         let most = by_servers.flat_map(|slope| &slope.points).map(|point| point.at).fold(0.0, f64::max);
@@ -504,7 +504,7 @@
         self.slope(name, f64::from(self.plan.services_called_most()), interest, unit)
     }
 
-    /// What knowing the servers adds to the program in service, over the fewest that were measured.
+    /// Processor time that known servers add to the program in service, over the smallest measured number.
     fn cpu_of_known(&self, interest: bool) -> Cell {
         let unit = Unit::PartOfCore;
         let whole = self.slope("cpu-in-service", self.known(interest), interest, unit)?;
@@ -529,7 +529,7 @@
         Row { role, what, when, how: How::WorkedOut, unit, limit: Some(limit), cells, by, counts: true }
     }
 
-    /// Each figure that is worked out.
+    /// All figures that are worked out.
     pub fn worked(&self) -> Vec<Row> {
         let mut rows = Vec::new();
         for (when, peak) in [(When::Mean, false), (When::Peak, true)] {
@@ -603,7 +603,7 @@
         let by = "bounds of `crates/sidecar/src/config.rs`";
         let what = "one connection to each server known, up to the bound";
         rows.push(self.worked_row(caller, what, Limit::Descriptors, by, |interest| {
-            // docs/configuration.md: half of all less 40 are for servers.
+            // docs/configuration.md: half of the descriptors, after 40 are set aside, are for servers.
             let bound = (f64::from(self.plan.assumed.sidecar_descriptors.is) - 40.0) / 2.0;
             let servers = self.known(interest).min(bound).round();
             let working = format!("40 kept + {} of at most {}", count(servers), count(bound));
@@ -652,7 +652,7 @@
                 sum.add_value("list in 10 s", told, 0.1, Unit::BytesASecond);
                 sum.cell()
             }));
-            // Nothing paces it so: what is sent faster counts against the bytes a second, in the row before.
+            // Nothing paces the transfer in this way; a faster one counts against the bytes per second in the previous row.
             let paced = "were it paced to the bytes allowed (strictest reading)";
             let paced = self.worked_row(loss, paced, Limit::InForce, FOLLOWER, |interest| {
                 let told = told(interest);
@@ -711,7 +711,7 @@
                 STAND_IN,
                 |interest| {
                     let known = self.known_mean(interest);
-                    // Those of the one that has gone, spread over the others; all of one's own where all come anew.
+                    // The share taken over from the lost machine, or all of a machine's own sidecars where all restart.
                     let more = self.sidecars(true) - self.sidecars(false);
                     let (sidecars, told) = match when {
                         When::ControlKilled => (more, self.reconnect(known, interest)),
@@ -737,7 +737,7 @@
         ));
     }
 
-    /// Each figure that was played at the plan's size.
+    /// All figures that were measured by a run at the plan's size.
     pub fn played(&self) -> Vec<Row> {
         let mut rows: Vec<Row> = Vec::new();
         for (file, run) in self.results.runs.iter().filter(|(_, run)| run.size == self.plan.told.endpoints) {
@@ -792,7 +792,7 @@
         rows
     }
 
-    /// The point of a call's cost that is nearest to the plan: depth 1, its rate, and as many servers known.
+    /// The measurement of added latency that is closest to the plan: depth 1, its rate, and most known servers.
     fn added(&self) -> Option<Row> {
         if self.results.added.is_empty() {
             return None;
@@ -800,7 +800,7 @@
         let cell = |interest: bool| {
             let near = |rate: f64| (rate / self.calls()).ln().abs() < 0.1;
             let fits = |p: &Added| p.interest == interest && p.depth == 1 && near(p.rate);
-            // Without the interest set all servers are known, or the point says nothing of the plan.
+            // Without the interest set, a point with fewer known servers than the plan's does not apply.
             let least = if interest { 1 } else { self.plan.told.endpoints };
             let points = self.results.added.iter().filter(|(_, p)| fits(p) && p.known >= least);
             let Some((file, point)) = points.max_by_key(|(_, p)| p.known) else {
@@ -833,13 +833,13 @@
     }
 }
 
-/// What part of the calls of a point was answered.
+/// Fraction of a point's calls that were served, as text.
 pub fn answered(point: &Added) -> String {
     let all = point.answered + point.refused + point.lost;
     part(point.answered as f64 / (all.max(1)) as f64)
 }
 
-/// Where a figure of a scale run belongs.
+/// Role, name, unit and limit of a figure of a scale run.
 fn place(seen: &Seen) -> Option<(Role, &'static str, Unit, Option<Limit>)> {
     let (role, words) = match seen.role.as_str() {
         "control" => (Role::Control, ["", "", "", "", "", "", ""]),
@@ -888,8 +888,8 @@
     })
 }
 
-/// The figure that is held against a limit, and which it is: bytes of a sidecar in any 10 s, of a control
-/// machine in any second; of all else the most of any.
+/// The value that is compared with a limit, and its name: bytes of a sidecar in any 10 s, of a control machine in any
+/// second, and for all other figures the largest value of any process.
 fn judged(seen: &Seen) -> Option<(f64, &'static str)> {
     let most_10s = seen.most_10s.map(|is| (is, "most of any in any 10 s"));
     let most_1s = seen.most_1s.map(|is| (is, "most of any in any second"));
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -1,4 +1,4 @@
-//! The page: prose that persons write, and between marks tables that the writer writes.
+//! The capacity page: hand-written prose, and generated tables between marks.
 
 use anyhow::{Result, bail};
 use std::collections::BTreeMap;
@@ -6,11 +6,11 @@
 const OPEN: &str = "<!-- table ";
 const CLOSE: &str = "<!-- end -->";
 
-/// A page with each marked table as it is given, and the names of those that were another before.
+/// Replaces each marked table of a page, and returns the page with the names of the tables that changed.
 ///
 /// # Errors
 ///
-/// Where a mark isn't closed, names no table, or a table has no mark or two.
+/// A mark is not closed or names no table, or a table has no mark or more than one.
 pub fn filled(page: &str, tables: &BTreeMap<&'static str, String>) -> Result<(String, Vec<String>)> {
     let (mut out, mut differ, mut met) = (String::new(), Vec::new(), Vec::new());
     let mut lines = page.lines().enumerate();
--- a/crates/lab/src/capacity/results.rs
+++ b/crates/lab/src/capacity/results.rs
@@ -1,5 +1,5 @@
-//! Results of runs as files: slopes, scale runs, and what a call has added. Form 1 of each; another kind or
-//! version is an error that names the file. What a page doesn't use is passed over.
+//! Reads result files of `slopes`, `scale` and `added`, format version 1 of each. Another kind or version is an error that
+//! names the file. Fields that the page does not use are ignored.
 
 use anyhow::{Context, Result, bail};
 use serde::Deserialize;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// What a figure grows like.
+/// How a figure grows with its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Form {
@@ -30,14 +30,14 @@
     }
 }
 
-/// The values at one size of a driver, one a round.
+/// Values at one size of a driver, one for each round.
 #[derive(Clone, Debug, Deserialize)]
 pub struct At {
     pub at: f64,
     pub values: Vec<f64>,
 }
 
-/// A figure against one driver, and the line through it.
+/// A figure against one driver, and the line through its points.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Slope {
     pub name: String,
@@ -52,7 +52,7 @@
     pub residual: f64,
 }
 
-/// What is said of a day or a point.
+/// Verdict on a scenario or a point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verdict {
@@ -71,7 +71,7 @@
     }
 }
 
-/// A figure over all of a role on a day.
+/// A figure over all processes of a role in a scenario.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Seen {
     pub role: String,
@@ -85,12 +85,12 @@
     pub most_10s: Option<f64>,
 }
 
-/// A day of a scale run.
+/// A scenario of a scale run.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Day {
     pub name: String,
     pub lasts_s: f64,
-    /// By what factor its events were pressed together, where that is told of the day.
+    /// Factor by which its events were compressed in time, where recorded for the scenario.
     #[serde(default)]
     pub pressed: Option<f64>,
     pub verdict: Verdict,
@@ -99,7 +99,7 @@
     pub figures: Vec<Seen>,
 }
 
-/// All days at one size.
+/// All scenarios at one size.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Run {
     pub size: u32,
@@ -111,13 +111,13 @@
 }
 
 impl Run {
-    /// By what factor a day's events were pressed together; 1 for none.
+    /// Factor by which a scenario's events were compressed in time; 1 for none.
     pub fn pressed(&self, day: &Day) -> f64 {
         day.pressed.unwrap_or(self.pressed)
     }
 }
 
-/// The same inputs to one hollow sidecar and one real one, in this order.
+/// A hollow sidecar and a real one compared on the same inputs, in this order.
 #[derive(Clone, Debug, Deserialize)]
 pub struct HollowReal {
     pub messages: [u64; 2],
@@ -126,10 +126,10 @@
     pub memory_ratio: f64,
 }
 
-/// What real sidecars added to a call.
+/// Latency that real sidecars added to a call.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Added {
-    /// Servers on the list, whatever the sidecar asks for.
+    /// Servers on the list, whatever the sidecar requests.
     pub known: u32,
     pub rate: f64,
     pub depth: u32,
@@ -151,10 +151,10 @@
     pub why: Vec<String>,
 }
 
-/// A file, as the page names it.
+/// A result file, as named on the page.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// Its name without its ending.
+    /// File name without its extension.
     pub name: String,
     pub kind: String,
     pub commit: String,
@@ -162,15 +162,15 @@
     pub cores: u64,
     pub rounds: Option<u64>,
     pub seed: Option<u64>,
-    /// `release` or `debug`, where it is told.
+    /// `release` or `debug`, where recorded.
     pub profile: Option<String>,
 }
 
-/// All that was given. Each thing beside the name of its file.
+/// All results, each with the name of its file.
 #[derive(Default)]
 pub struct Results {
     pub sources: Vec<Source>,
-    /// Slopes by name: without the interest set, and with it.
+    /// Slopes by name, without the interest set and with it.
     pub slopes: [BTreeMap<String, (String, Slope)>; 2],
     pub runs: Vec<(String, Run)>,
     pub hollow_real: Vec<(String, HollowReal)>,
@@ -186,8 +186,7 @@
     ///
     /// # Errors
     ///
-    /// Where one can't be read, is of a kind or version that isn't known, or tells what another has told: with
-    /// its name.
+    /// A file cannot be read, has an unknown kind or version, or repeats a result of another file; with its name.
     pub fn read(paths: &[impl AsRef<Path>]) -> Result<Results> {
         let mut all = Results::default();
         for path in paths {
@@ -257,7 +256,7 @@
         Ok(())
     }
 
-    /// A slope: of a run with the interest set where one was given and is wanted.
+    /// A slope by name; with `interest`, of a run with the interest set where one was given.
     pub fn slope(&self, name: &str, interest: bool) -> Option<(&str, &Slope)> {
         let of = |side: usize| self.slopes[side].get(name).map(|(file, slope)| (file.as_str(), slope));
         if interest { of(1).or_else(|| of(0)) } else { of(0) }
--- a/crates/lab/src/capacity/show.rs
+++ b/crates/lab/src/capacity/show.rs
@@ -1,8 +1,8 @@
-//! Numbers as the page shows them.
+//! Number formats of the page.
 
 use super::figures::Unit;
 
-/// Three digits that count, thousands parted by commas.
+/// Three significant digits, thousands separated by commas.
 pub fn digits(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return if value == 0.0 { "0".into() } else { "-".into() };
@@ -16,7 +16,7 @@
     if text.is_empty() || text == "-" { "0".into() } else { text.to_owned() }
 }
 
-/// A whole number, thousands parted by commas; one under 10 with what is after its point.
+/// A whole number, thousands separated by commas; a fractional number below 10 keeps its decimals.
 pub fn count(value: f64) -> String {
     if value.fract() != 0.0 && value.abs() < 10.0 {
         return digits(value);
@@ -28,12 +28,12 @@
     format!("{sign}{}", parts.join(","))
 }
 
-/// A part of 1 in hundredths.
+/// A fraction as a percentage.
 pub fn part(value: f64) -> String {
     format!("{}%", digits(value * 100.0))
 }
 
-/// A figure in its unit; MB and KB are 1,000,000 and 1,000 bytes.
+/// A figure with its unit; MB and KB are 1,000,000 and 1,000 bytes.
 pub fn amount(value: f64, unit: Unit) -> String {
     let bytes = |value: f64| {
         let (scale, name) = match value.abs() {
@@ -56,8 +56,8 @@
     }
 }
 
-/// A limit over a figure, in bold where the limit is missed.
+/// A headroom, in bold where the limit is missed.
 pub fn factor(headroom: f64) -> String {
-    // What is missed by a hair must not read as 1.
+    // A narrowly missed limit must not round to 1.
     if headroom < 1.0 { format!("**{} missed**", digits(headroom.min(0.999))) } else { digits(headroom) }
 }
--- a/crates/lab/src/capacity/tables.rs
+++ b/crates/lab/src/capacity/tables.rs
@@ -1,4 +1,4 @@
-//! The page's tables, from the plan and the figures.
+//! Tables of the capacity page, written from the plan and the figures.
 
 use super::figures::{Cell, How, Limit, Role, Row, Unit, VOID, Value, When, Work, answered, median};
 use super::results::{Day, Results, Run, Seen, Verdict};
@@ -6,10 +6,10 @@
 use crate::plan::{Change, Plan};
 use std::collections::BTreeMap;
 
-/// What a cell says of nothing.
+/// Content of a cell without a value.
 const NONE: &str = "-";
 
-/// A table of Markdown.
+/// A Markdown table.
 struct Table(String);
 
 impl Table {
@@ -18,13 +18,13 @@
     }
 
     fn row(&mut self, cells: &[String]) {
-        // A bar would end the cell.
+        // An unescaped bar would end the cell.
         let cells: Vec<String> = cells.iter().map(|cell| cell.replace('|', "\\|")).collect();
         self.0.push_str(&format!("| {} |\n", cells.join(" | ")));
     }
 }
 
-/// The figure alone.
+/// The figure without its derivation.
 fn figure(cell: &Cell, unit: Unit) -> String {
     match cell {
         Ok(value) => {
@@ -35,7 +35,7 @@
     }
 }
 
-/// How it was worked out, and what came of it.
+/// The derivation and the figure.
 fn worked(cell: &Cell, unit: Unit) -> String {
     match cell {
         Ok(value) => format!("{} = {}", value.working, figure(cell, unit)),
@@ -43,7 +43,7 @@
     }
 }
 
-/// The room that a limit leaves: no more than this where a part of the figure wasn't measured.
+/// Headroom of a limit; an upper bound where a part of the figure was not measured.
 fn room_of(cell: &Cell, room: f64) -> String {
     let most = if cell.as_ref().is_ok_and(|value| value.least) { "at most " } else { "" };
     format!("{most}{}", factor(room))
@@ -53,7 +53,7 @@
     row.headroom(plan, side).map_or_else(|| NONE.to_owned(), |room| room_of(&row.cells[side], room))
 }
 
-/// The runs that a row rests on.
+/// The runs that a row is based on.
 fn from(row: &Row) -> String {
     let mut names: Vec<&str> = Vec::new();
     for value in row.cells.iter().flatten() {
@@ -97,7 +97,7 @@
     tables
 }
 
-/// The row in which a limit has the least room on a side.
+/// The row with the smallest headroom on a side (0 without the interest set, 1 with it).
 fn worst<'a>(plan: &Plan, rows: &[&'a Row], side: usize) -> Option<(&'a Row, f64)> {
     let with = rows.iter().filter_map(|row| Some((*row, row.headroom(plan, side)?)));
     with.min_by(|a, b| a.1.total_cmp(&b.1))
@@ -118,7 +118,7 @@
             let of: Vec<&Row> =
                 rows.iter().filter(|row| row.counts && row.limit == Some(limit) && row.how == how).collect();
             if of.is_empty() {
-                // A limit that nothing was played or worked out of is told all the same.
+                // A limit without any figure still gets a row.
                 if how == How::Played && !rows.iter().any(|row| row.counts && row.limit == Some(limit)) {
                     let name = format!("{}: {}", limit.name(), amount(limit.of(plan), limit.unit()));
                     let (none, not) = (NONE.to_owned(), "not measured".to_owned());
@@ -153,7 +153,7 @@
                 [Some((row, room)), None] => format!("{} without it", verdict(row, room, 0)),
                 [None, None] => "nothing can be said".to_owned(),
             };
-            // Two figures of different things must not read as before and after.
+            // Figures of different quantities must not read as a comparison.
             if let [Some((row, _)), Some(_)] = sides
                 && row.cells[1].is_err()
             {
@@ -283,7 +283,7 @@
     {
         let of: Vec<&Row> =
             rows.iter().filter(|row| row.counts && row.limit == Some(limit) && row.how == how).collect();
-        // Of each limit the time with the least room on either side, and every other in which it is missed.
+        // For each limit: the situation with the smallest headroom on either side, and all others in which it is missed.
         let least = [0, 1].map(|side| worst(plan, &of, side).map(|(row, _)| std::ptr::from_ref(row)));
         for when in When::ALL {
             let then: Vec<&Row> = of.iter().copied().filter(|row| row.when == when).collect();
@@ -317,7 +317,7 @@
     table.0
 }
 
-/// The letter's failures, with what was played and worked out of each.
+/// The failures of the requirements, with the played and worked out figures of each.
 fn failures(work: &Work, rows: &[Row]) -> String {
     let plan = work.plan;
     let mut table = Table::new(&[
@@ -377,7 +377,7 @@
     table.row(&cells);
 }
 
-/// What has to flow after each loss, and the least time for it.
+/// Bytes to transfer after each loss, and the shortest time for it.
 fn recovery(work: &Work, rows: &[Row]) -> String {
     let plan = work.plan;
     let own = &plan.assumed;
@@ -394,7 +394,7 @@
         (bytes(Change::ServerComes), bytes(Change::ServerDrains), bytes(Change::ServerGoes));
     let rack = f64::from(own.machines_a_rack.is * own.endpoints_a_machine.is);
     let machine = f64::from(own.endpoints_a_machine.is);
-    // To the widest sidecar; from a control machine to the sidecars in their mean.
+    // To the sidecar with the most services; from a control machine to sidecars with the mean number.
     let knows = [[false, true].map(|i| work.known(i)), [false, true].map(|i| work.known_mean(i))];
     let words = |each: f64| knows.map(|known| known.map(|known| each * work.seen(known)));
     let lists = |list: &dyn Fn(f64, bool) -> Value| {
@@ -433,7 +433,7 @@
     table.0
 }
 
-/// A region alone, all of it worked out.
+/// An isolated region; all figures are worked out.
 fn region(work: &Work) -> String {
     let plan = work.plan;
     let (told, own) = (&plan.told, &plan.assumed);
@@ -501,7 +501,7 @@
     let mut lines: Vec<(f64, Vec<String>)> = Vec::new();
     for (limit, when) in Limit::ALL.into_iter().flat_map(|limit| When::ALL.map(|when| (limit, when))) {
         let fits = |row: &&Row| row.counts && row.limit == Some(limit) && row.when == when;
-        // Of those that come to a figure at each growth, where there are such: else one size is held against another thing.
+        // Prefer rows that have a figure at every growth; otherwise different quantities would be compared across sizes.
         let whole = |what: &str, side: usize| {
             let same = |rows: &Vec<Row>| {
                 rows.iter().filter(fits).any(|row| row.what == what && row.cells[side].is_ok())
@@ -540,7 +540,7 @@
     table.0
 }
 
-/// The growth at which a headroom has come down to 1, between two that were worked out, on a line of logarithms.
+/// The growth at which a headroom reaches 1, interpolated on logarithmic scales between two that were worked out.
 fn breaks_at(factors: &[f64; 3], rooms: &[Option<f64>; 3]) -> Option<(f64, String)> {
     let rooms = [rooms[0], rooms[1], rooms[2]];
     if let Some(room) = rooms[0].filter(|room| *room < 1.0) {
@@ -557,13 +557,13 @@
     None
 }
 
-/// A figure of a role on a day.
+/// A figure of a role in a scenario.
 fn seen<'a>(run: &'a Run, day: &str, roles: &[&str], name: &str) -> Option<&'a Seen> {
     let day = run.days.iter().find(|of| of.name == day)?;
     day.figures.iter().find(|seen| roles.contains(&seen.role.as_str()) && seen.name == name)
 }
 
-/// As it grows: the same days at each size that was played.
+/// The same scenarios at each size that was run.
 fn sizes(results: &Results) -> String {
     let mut table = Table::new(&[
         "size",
@@ -630,7 +630,7 @@
     or_none(table, results.runs.is_empty(), 12)
 }
 
-/// Days that didn't simply hold, with their reasons.
+/// Scenarios with a verdict other than `kept` or with notes.
 fn verdicts(results: &Results) -> String {
     let mut table = Table::new(&["size", "interest set", "day", "played", "verdict", "why"]);
     let mut none = true;
@@ -661,7 +661,7 @@
     table.0
 }
 
-/// With how many, for how long, and how far pressed together.
+/// Number of sidecars, duration and time compression of a scenario.
 fn played(run: &Run, day: &Day) -> String {
     let pressed = digits(run.pressed(day));
     format!(
@@ -689,7 +689,7 @@
     ]);
     let ms = |us: f64| amount(us / 1e3, Unit::Millis);
     for (file, point) in &results.added {
-        // What is void says nothing, and its figures would be read all the same.
+        // The figures of a void point are hidden, as a reader would use them.
         let void = point.verdict == Verdict::Void;
         let told = |text: String| if void { VOID.to_owned() } else { text };
         let why = if point.why.is_empty() { String::new() } else { format!(": {}", point.why.join("; ")) };
@@ -796,7 +796,7 @@
     table.0
 }
 
-/// The called side: an endpoint of a service of the mean, and what comes to it beside calls.
+/// The called side: an endpoint of a service of mean size, and its load apart from calls.
 fn called(work: &Work) -> String {
     let (plan, own) = (work.plan, &work.plan.assumed);
     let told = &plan.told;
@@ -835,7 +835,7 @@
     table.0
 }
 
-/// What slopes tell of duties; nothing of it was played at the plan's size.
+/// Slopes of duties; none was run at the plan's size.
 fn voter(results: &Results) -> String {
     let mut table = Table::new(&["figure", "at the most members measured", "limit", "how", "runs"]);
     let mut none = true;
@@ -857,7 +857,7 @@
     or_none(table, none, 5)
 }
 
-/// What the page says nothing of.
+/// Topics that the page does not cover.
 fn left(results: &Results) -> String {
     let mut table = Table::new(&["what", "what is there"]);
     let mut row = |what: &str, there: &str| table.row(&[what.into(), there.into()]);
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -98,7 +98,7 @@
     let shown = path.display().to_string();
     let results = results(&synthetic_results());
     let whole = page(&plan(), &results);
-    // A figure by hand, a row taken out, and prose, which is free.
+    // An edited figure, a removed row, and edited prose, which is not checked.
     let by_hand = whole
         .replacen("| services | 490 |", "| services | 491 |", 1)
         .replacen("| all | 7,700 |", "| sum | 7,700 |", 1)
@@ -147,7 +147,7 @@
         assert_eq!((driver(&once).as_str(), driver(&twice).as_str()), (a, b), "{name}");
     }
     assert_eq!(driver(&twice, "calls of a sidecar a second, mean"), "223");
-    // Nothing was played at that size; what was measured is drawn on, and marked.
+    // Nothing was run at that size; measured figures are extrapolated and marked.
     assert!(table(&twice, "answer").iter().all(|row| row[1] != "played" || row[0].starts_with("added")));
     let list = row(&twice, "recovery", &["all sidecars anew"]);
     assert!(list[1].starts_with("558 KB and "), "{list:?}");
@@ -155,8 +155,8 @@
     assert!(whole[2].ends_with('†'), "{whole:?}");
 }
 
-/// Figures worked out by hand from the made-up lines: 3,100 known without the interest set, and with it 60 of
-/// the hub, 200 of the largest and 38 × 2,840 / 488 of other services: 481.1.
+/// Figures calculated by hand from the synthetic lines: 3,100 servers known without the interest set, and with it 60 of the
+/// hub, 200 of the largest and 38 × 2,840 / 488 of other services: 481.1.
 #[test]
 fn synthetic_results_give_figures_calculated_by_hand() {
     let page = page(&plan(), &results(&synthetic_results()));
@@ -170,17 +170,17 @@
     let draws = row(&page, "role-caller", &["windows and draws", "changes at mean", "windows 0.32%"]);
     assert!(draws[2].ends_with("= 14.1%"), "{draws:?}");
     assert!(draws[5].starts_with("**0.332 missed**, "), "{draws:?}");
-    // What isn't straight is read between its points and not off its line: 0.9% at 3,100.
+    // A figure that is not linear is interpolated between its points: 0.9% at 3,100.
     let control = row(&page, "role-follower", &["control without windows", "changes at mean"]);
     assert!(control[2].starts_with("idle 0.9% (0.9% by its points, at 3,100)"), "{control:?}");
-    // Past the points it isn't clear, and nothing is made of it: what is left of the sum is the least.
+    // Beyond the points its form is not clear, so it is left out and the rest of the sum is a lower bound.
     let grown = row(&page, "growth", &["a sidecar's processor time", "a zone at once"]);
     assert_eq!(grown[2], "4.28, 14.5");
     assert!(grown[3].starts_with("at most ") && grown[3].ends_with(", 12.4"), "{grown:?}");
-    // A watch opened anew: 100 + 90 × 3,100 bytes, a tenth of it each second of ten, and some for ordinary changes.
+    // A reopened watch: 100 + 90 × 3,100 bytes, a tenth of it each second for 10 s, plus ordinary changes.
     let anew = row(&page, "rank", &["", "a sidecar's bytes", "follower of discovery: a watch opened anew"]);
     assert_eq!((anew[5].as_str(), anew[6].as_str()), ("27.9 KB/s", "**0.358 missed**"));
-    // The whole process is the strictest reading: shown, and in no other table.
+    // The whole process is the strictest interpretation: shown here and in no other table.
     let whole = row(&page, "role-caller", &["the whole process", "changes at mean", "", "", "4.7%"]);
     assert!(whole[5].starts_with("**0.27 missed**"), "{whole:?}");
     let strict = row(&page, "role-follower", &["were it paced to the bytes allowed", "all sidecars anew"]);
@@ -212,21 +212,21 @@
         added[2..],
         ["3.2 ms, changes at mean", "**0.5 missed**", "1 ms, changes at mean", "1.6", "holds with it"]
     );
-    // In force is told in milliseconds and held against seconds.
+    // The time in force is recorded in milliseconds and compared in seconds.
     assert_eq!(answer("a change in force", "played")[2], "2.2 s, all sidecars anew");
     let restarts = row(&page, "failures", &["restarts of a day", "780 a day", "a sidecar's bytes"]);
     assert_eq!(restarts[4..8], ["900 B/s", "11.1", "void", "-"]);
     assert_eq!(restarts[8], "scale-before");
     let day = row(&page, "sizes", &["3,100", "with", "restarts", "3,092 hollow", "void"]);
     assert_eq!((day[4].as_str(), day[10].as_str()), ("void, void, void", "void"));
-    // A control machine's bytes: the most in a second.
+    // A control machine's bytes: the largest value in a second.
     let control = row(&page, "role-control", &["bytes out", "a zone at once"]);
     assert_eq!(control[2], "most of any in any second = 20 MB/s");
-    // Its reason is told, with its bar kept from ending the cell.
+    // Its reason is shown, with its bar escaped.
     let broken = row(&page, "verdicts", &["310", "without", "zone"]);
     assert_eq!(broken[5], "bytes-in: 10 KB/s, seed 1, at 3.2 s, h17 \\| first");
     assert_eq!(row(&page, "hollow-real", &["scale-before"])[1..3], ["41 and 41", "90,210 and 90,210: equal"]);
-    // A point of calls that is void has its counts and its reasons, and no figures; nor has the answer.
+    // A void point of calls shows its counts and reasons but no figures, and neither does the answer.
     let folder = tempfile::tempdir().unwrap();
     let text = std::fs::read_to_string(synthetic_results().join("added-before.json")).unwrap();
     let void = folder.path().join("added-void.json");
@@ -236,7 +236,7 @@
     assert_eq!(point[4..8], ["void", "void", "void", "void"]);
     assert_eq!(point[9..11], ["97%; 30; 0", "void: added p99"]);
     assert_eq!(row(&void, "answer", &["added to a call"])[1..4], ["played", "void", "-"]);
-    // Ranked by the room without the mechanism.
+    // Ranked by the headroom without the mechanism.
     let rooms: Vec<f64> = table(&page, "rank")
         .iter()
         .filter_map(|row| row[6].trim_matches('*').split(' ').next()?.replace(',', "").parse().ok())
@@ -244,8 +244,8 @@
     assert!(rooms.len() > 10 && rooms.is_sorted(), "{rooms:?}");
 }
 
-/// A sum without one of its parts is told as the least that it can be; and what was measured on one side alone
-/// isn't held against another thing on the other.
+/// A sum without one of its parts is shown as a lower bound, and a quantity measured on one side only is not compared with
+/// another quantity on the other side.
 #[test]
 fn unmeasured_parts_show_in_sums_and_verdicts() {
     let folder = tempfile::tempdir().unwrap();
@@ -266,7 +266,7 @@
     assert_eq!(memory[6], "holds with it; what was most without it was not measured with it");
     let pools = row(&page, "role-caller", &["state, a pool for each service"]);
     assert_eq!(pools[3], "not measured (state-by-services)");
-    // It is of a fleet of the size measured alone, and doesn't stand still as the fleet grows.
+    // It applies to a fleet of the measured size only and must not stay constant as the fleet grows.
     let grown = row(&page, "growth", &["a sidecar's memory"]);
     assert_eq!(grown[2..4], ["5.42, 16.2", "3.03 †, 13.6"]);
 }
