--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -48,12 +48,12 @@
     /// Many processes of the program under faults; exit 0 where every property held, 1 broken, 2 nothing can be said
     Trial(trial::Wanted),
     /// Write the tables of a capacity page from a plan and the results of runs; with --check exit 1 where a page differs
-    Capacity(capacity::Wanted),
+    Capacity(capacity::Options),
     /// What a real sidecar adds to a call, by servers known; exit 0 where the limits are kept, 1 broken, 2 nothing can be said
-    Added(real::Wanted),
+    Added(real::Options),
     /// Control machines, hollow sidecars and real ones at size; exit 0 where every limit was kept, 1 broken, 2 nothing can be
     /// said
-    Scale(scale::Wanted),
+    Scale(scale::Options),
     /// A control machine of a scale run
     #[command(hide = true)]
     Control,
@@ -142,7 +142,7 @@
         out: Option<PathBuf>,
     },
     /// What a sidecar costs against one driver at a time, with the line through each figure's points, as JSON
-    Slopes(slopes::Wanted),
+    Slopes(slopes::Options),
     /// What a day at size costs: real time, memory and both for each instance
     Size {
         /// The scenario
@@ -188,10 +188,10 @@
     match Cli::parse().command {
         Command::Demo(wanted) => demo::run(wanted),
         Command::Trial(wanted) => trial::run(wanted),
-        Command::Capacity(wanted) => capacity::run(&wanted),
-        Command::Slopes(wanted) => slopes::run(wanted),
-        Command::Added(wanted) => real::run(&wanted),
-        Command::Scale(wanted) => scale::run(wanted),
+        Command::Capacity(options) => capacity::run(&options),
+        Command::Slopes(options) => slopes::run(options),
+        Command::Added(options) => real::run(&options),
+        Command::Scale(options) => scale::run(options),
         Command::Control => dunlincleat_trial::control::run().map(|()| ExitCode::SUCCESS),
         Command::Hollow => dunlincleat_hollow::run(memory::allocated).map(|()| ExitCode::SUCCESS),
         Command::Stand { stand } => dunlincleat_trial::stubs::run(stand).map(|()| ExitCode::SUCCESS),
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -1,69 +1,68 @@
-//! A fleet's plan as data: what operators told of the fleet to design for, and what is assumed beside it, each
-//! with its reason. Reads and proves the file; a fault is named with its line, key, value and the range that
-//! would be right.
+//! The plan of a fleet: the operators' requirements, and assumptions with a reason each. Reads and validates the file; an
+//! invalid value is reported with its line, key and permitted range.
 
 use anyhow::{Context, Result, anyhow};
 use dunlincleat_fleet::template::{line_at, line_of};
 use serde::Deserialize;
 use std::path::Path;
 
-/// A plan.
+/// A plan of a fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Of the file's form: 1.
+    /// Version of the file format: 1.
     pub version: u32,
-    /// What the fleet is called.
+    /// Name of the fleet.
     pub name: String,
-    /// The operators' figures.
-    pub told: Told,
-    /// Our own.
+    /// Requirements stated by the operators.
+    pub told: Requirements,
+    /// Assumptions beside the requirements.
     pub assumed: Assumed,
 }
 
-/// The operators' figures.
+/// Requirements stated by the operators.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Told {
-    /// Endpoints, each with a sidecar.
+pub struct Requirements {
+    /// Number of endpoints, each with a sidecar.
     pub endpoints: u32,
-    /// Services.
+    /// Number of services.
     pub services: u32,
-    /// Calls of all sidecars together, a second.
+    /// Calls per second of all sidecars together.
     pub calls_a_second: f64,
-    /// Most calls in a chain.
+    /// Largest number of calls in a chain.
     pub depth: u32,
-    /// Regions.
+    /// Number of regions.
     pub regions: u32,
-    /// Zones; whether in all or in each region is assumed.
+    /// Number of zones; whether in total or in each region is an assumption.
     pub zones: u32,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub changes_a_day: f64,
-    /// Machines set aside for control.
+    /// Number of machines reserved for control.
     pub control_machines: u32,
-    /// What has to be kept.
+    /// Required limits.
     pub limits: Limits,
-    /// What fails.
+    /// Expected failures.
     pub failures: Failures,
 }
 
-/// What has to be kept.
+/// Required limits.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Added to a call for 99 in 100, in milliseconds.
+    /// 99th percentile of the latency added to a call, in milliseconds.
     pub added_ms: f64,
-    /// From a change to being in force everywhere, in seconds.
+    /// Time until a change is in force everywhere, in seconds.
     pub in_force_s: f64,
-    /// A sidecar's processor time for control, as a part of one core.
+    /// A sidecar's processor time for control, as a fraction of one core.
     pub cpu_part_of_core: f64,
     /// A sidecar's memory for control, in bytes.
     pub memory_bytes: f64,
-    /// A sidecar's bytes a second for control.
+    /// A sidecar's bytes per second for control.
     pub bytes_a_second: f64,
 }
 
-/// What fails.
+/// Expected failures.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failures {
@@ -75,107 +74,107 @@
     pub racks_a_year: f64,
     /// Zones lost in a year.
     pub zones_a_year: f64,
-    /// How long regions lose each other, in seconds.
+    /// Duration of a loss of connection between regions, in seconds.
     pub region_cut_s: f64,
 }
 
-/// A figure of our own and its reason.
+/// An assumed value and its reason.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Because<T> {
-    /// The figure.
+pub struct Assumption<T> {
+    /// The value.
     pub is: T,
     /// The reason.
     pub why: String,
 }
 
-/// A depth of chains, and the share of chains that are so deep.
+/// A depth of call chains and the share of chains with it.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Depth {
-    /// Calls in the chain.
+    /// Number of calls in the chain.
     pub depth: u32,
-    /// Its share of the chains.
+    /// Share of the chains.
     pub share: f64,
 }
 
-/// A part of the services, and the part of the endpoints that is theirs.
+/// A group of services of similar size: its share of the services and of the endpoints.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Sizes {
-    /// The part of the services.
+pub struct SizeGroup {
+    /// Share of the services.
     pub services: f64,
-    /// The part of the endpoints.
+    /// Share of the endpoints.
     pub endpoints: f64,
 }
 
-/// How many services are called, the hub among them, by a share of the sidecars.
+/// Number of services, including the hub, that a share of the sidecars calls.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Called {
-    /// Services.
+pub struct ServicesCalled {
+    /// Number of services.
     pub services: u32,
-    /// The share of the sidecars.
+    /// Share of the sidecars.
     pub share: f64,
 }
 
-/// What is assumed: each key with its reason in the file.
+/// Assumptions; each key has its reason in the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-#[allow(missing_docs, reason = "each key is told in the plan's file, beside its value")]
+#[allow(missing_docs, reason = "each key is documented in the plan's file, beside its value")]
 pub struct Assumed {
-    pub zones_in_each_region: Because<bool>,
-    pub endpoints_a_machine: Because<u32>,
-    pub machines_a_rack: Because<u32>,
-    pub peak_over_mean: Because<f64>,
-    pub depths: Because<Vec<Depth>>,
-    pub hub_endpoints: Because<u32>,
-    pub largest_endpoints: Because<u32>,
-    pub service_sizes: Because<Vec<Sizes>>,
-    pub services_called: Because<Vec<Called>>,
-    pub list_changes_counted: Because<bool>,
-    pub settings_of_all_a_day: Because<f64>,
-    pub peak_server_comes: Because<f64>,
-    pub peak_server_drains: Because<f64>,
-    pub peak_server_goes: Because<f64>,
-    pub peak_settings_of_one: Because<f64>,
-    pub peak_settings_of_a_service: Because<f64>,
-    pub peak_settings_of_all: Because<f64>,
-    pub bytes_server_comes: Because<f64>,
-    pub bytes_server_drains: Because<f64>,
-    pub bytes_server_goes: Because<f64>,
-    pub bytes_entry: Because<f64>,
-    pub bytes_settings_of_one: Because<f64>,
-    pub bytes_settings_of_all: Because<f64>,
-    pub heartbeats_a_second: Because<f64>,
-    pub bytes_heartbeat: Because<f64>,
-    pub windows_a_second: Because<f64>,
-    pub probe_rounds_a_second: Because<f64>,
-    pub reconnect_spread_s: Because<f64>,
-    pub control_cores: Because<u32>,
-    pub control_memory_bytes: Because<f64>,
-    pub control_bytes_a_second: Because<f64>,
-    pub control_descriptors: Because<u32>,
-    pub sidecar_descriptors: Because<u32>,
+    pub zones_in_each_region: Assumption<bool>,
+    pub endpoints_a_machine: Assumption<u32>,
+    pub machines_a_rack: Assumption<u32>,
+    pub peak_over_mean: Assumption<f64>,
+    pub depths: Assumption<Vec<Depth>>,
+    pub hub_endpoints: Assumption<u32>,
+    pub largest_endpoints: Assumption<u32>,
+    pub service_sizes: Assumption<Vec<SizeGroup>>,
+    pub services_called: Assumption<Vec<ServicesCalled>>,
+    pub list_changes_counted: Assumption<bool>,
+    pub settings_of_all_a_day: Assumption<f64>,
+    pub peak_server_comes: Assumption<f64>,
+    pub peak_server_drains: Assumption<f64>,
+    pub peak_server_goes: Assumption<f64>,
+    pub peak_settings_of_one: Assumption<f64>,
+    pub peak_settings_of_a_service: Assumption<f64>,
+    pub peak_settings_of_all: Assumption<f64>,
+    pub bytes_server_comes: Assumption<f64>,
+    pub bytes_server_drains: Assumption<f64>,
+    pub bytes_server_goes: Assumption<f64>,
+    pub bytes_entry: Assumption<f64>,
+    pub bytes_settings_of_one: Assumption<f64>,
+    pub bytes_settings_of_all: Assumption<f64>,
+    pub heartbeats_a_second: Assumption<f64>,
+    pub bytes_heartbeat: Assumption<f64>,
+    pub windows_a_second: Assumption<f64>,
+    pub probe_rounds_a_second: Assumption<f64>,
+    pub reconnect_spread_s: Assumption<f64>,
+    pub control_cores: Assumption<u32>,
+    pub control_memory_bytes: Assumption<f64>,
+    pub control_bytes_a_second: Assumption<f64>,
+    pub control_descriptors: Assumption<u32>,
+    pub sidecar_descriptors: Assumption<u32>,
 }
 
 /// A kind of change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A server comes up.
+    /// A server joins the list.
     ServerComes,
     /// A server drains.
     ServerDrains,
-    /// A server goes.
+    /// A server leaves the list.
     ServerGoes,
-    /// One service's settings.
+    /// New settings of one service.
     SettingsOfOne,
-    /// Everyone's settings.
+    /// New settings of all services.
     SettingsOfAll,
 }
 
 impl Change {
-    /// All of them.
+    /// All kinds of change.
     pub const ALL: [Change; 5] = [
         Change::ServerComes,
         Change::ServerDrains,
@@ -184,7 +183,7 @@
         Change::SettingsOfAll,
     ];
 
-    /// As the page names it.
+    /// Name on the capacity page.
     pub fn name(self) -> &'static str {
         match self {
             Change::ServerComes => "a server comes",
@@ -195,114 +194,123 @@
         }
     }
 
-    /// Whether discovery's list tells it.
+    /// Whether the change is one of discovery's list.
     pub fn is_of_list(self) -> bool {
         !matches!(self, Change::SettingsOfOne | Change::SettingsOfAll)
     }
 }
 
-/// How often a kind of change comes and what it weighs.
+/// Frequency and size of a kind of change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// A second, in the mean of a day.
+    /// Changes per second, mean over a day.
     pub mean: f64,
-    /// A second, at most on an ordinary day.
+    /// Changes per second, peak of an ordinary day.
     pub peak: f64,
-    /// Bytes of one on the wire.
+    /// Bytes of one change on the wire.
     pub bytes: f64,
 }
 
 /// A service of the plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// As `model` in discovery's list.
+    /// Name, as in `model` of discovery's list.
     pub name: String,
-    /// Its endpoints.
+    /// Number of endpoints.
     pub endpoints: u32,
 }
 
-/// Seconds of a day.
+/// Seconds per day.
 const DAY_S: f64 = 86_400.0;
 
-/// What is wrong: the key, and what its value is and would have to be.
-struct Wrong(String, String);
+/// An invalid value: its key, and the value with what is permitted.
+struct InvalidValue {
+    key: String,
+    problem: String,
+}
+
+impl InvalidValue {
+    fn new(key: impl Into<String>, problem: impl Into<String>) -> InvalidValue {
+        InvalidValue { key: key.into(), problem: problem.into() }
+    }
+}
 
-fn within(key: &str, value: f64, least: f64, most: f64) -> Result<(), Wrong> {
+fn check_range(key: &str, value: f64, least: f64, most: f64) -> Result<(), InvalidValue> {
     if value.is_finite() && (least..=most).contains(&value) {
         return Ok(());
     }
-    Err(Wrong(key.to_owned(), format!("{value} is not from {least} to {most}")))
+    Err(InvalidValue::new(key, format!("{value} is not from {least} to {most}")))
 }
 
-/// Parts that come to 1.
-fn whole(key: &str, parts: impl Iterator<Item = f64> + Clone) -> Result<(), Wrong> {
+/// Checks that shares are from 0 to 1 and sum to 1.
+fn check_shares(key: &str, parts: impl Iterator<Item = f64> + Clone) -> Result<(), InvalidValue> {
     for (n, part) in parts.clone().enumerate() {
-        within(&format!("{key}[{n}]"), part, 0.0, 1.0)?;
+        check_range(&format!("{key}[{n}]"), part, 0.0, 1.0)?;
     }
     let sum: f64 = parts.sum();
     if (sum - 1.0).abs() > 1e-6 {
-        return Err(Wrong(key.to_owned(), format!("the parts come to {sum:.6}, not to 1")));
+        return Err(InvalidValue::new(key, format!("the parts come to {sum:.6}, not to 1")));
     }
     Ok(())
 }
 
-/// `whole` things given out by `parts`, by the largest remainder; each part gets at least `least`.
-fn given_out(whole: u32, parts: &[f64], least: &[u32]) -> Vec<u32> {
-    let spare = whole.saturating_sub(least.iter().sum());
+/// Apportions `whole` items by `parts` with the largest remainder method; each part gets at least its `least`.
+fn apportion(whole: u32, parts: &[f64], least: &[u32]) -> Vec<u32> {
+    let remaining = whole.saturating_sub(least.iter().sum());
     let exact: Vec<f64> = parts.iter().map(|part| part * f64::from(whole)).collect();
-    // What a part would have over its least, brought to the sum that is there.
+    // The excess of each part over its minimum, scaled to the remaining items.
     let over: Vec<f64> = exact.iter().zip(least).map(|(e, l)| (e - f64::from(*l)).max(0.0)).collect();
     let sum = over.iter().sum::<f64>().max(f64::MIN_POSITIVE);
-    let wanted: Vec<f64> = over.iter().map(|over| over / sum * f64::from(spare)).collect();
-    let mut out: Vec<u32> = wanted.iter().zip(least).map(|(w, l)| w.floor() as u32 + l).collect();
+    let quotas: Vec<f64> = over.iter().map(|over| over / sum * f64::from(remaining)).collect();
+    let mut out: Vec<u32> = quotas.iter().zip(least).map(|(w, l)| w.floor() as u32 + l).collect();
     let mut order: Vec<usize> = (0..parts.len()).collect();
-    order.sort_by(|a, b| wanted[*b].fract().total_cmp(&wanted[*a].fract()).then(a.cmp(b)));
+    order.sort_by(|a, b| quotas[*b].fract().total_cmp(&quotas[*a].fract()).then(a.cmp(b)));
     let left = whole.saturating_sub(out.iter().sum()) as usize;
     order.into_iter().cycle().take(if parts.is_empty() { 0 } else { left }).for_each(|n| out[n] += 1);
     out
 }
 
 impl Plan {
-    /// Reads and proves a plan's file.
+    /// Reads and validates a plan's file.
     ///
     /// # Errors
     ///
-    /// Where it can't be read or a key is at fault: file, line, key, value, and the range that would be right.
+    /// The file cannot be read or a value is invalid: file, line, key, value and the permitted range.
     pub fn read(path: &Path) -> Result<Plan> {
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path).with_context(|| shown.clone())?;
         let plan: Plan = toml::from_str(&text).with_context(|| shown.clone())?;
-        plan.check().map_err(|Wrong(key, what)| {
+        plan.check().map_err(|InvalidValue { key, problem }| {
             let line = line_of(&text, &key).unwrap_or_else(|| line_at(&text, 0));
-            anyhow!("{shown}: line {line}: {key}: {what}")
+            anyhow!("{shown}: line {line}: {key}: {problem}")
         })?;
         Ok(plan)
     }
 
-    fn check(&self) -> Result<(), Wrong> {
+    fn check(&self) -> Result<(), InvalidValue> {
         let (told, own) = (&self.told, &self.assumed);
         if self.version != 1 {
-            return Err(Wrong("version".into(), format!("{} is not 1", self.version)));
+            return Err(InvalidValue::new("version", format!("{} is not 1", self.version)));
         }
-        within("told.endpoints", told.endpoints.into(), 10.0, 1e6)?;
-        within("told.services", told.services.into(), 3.0, told.endpoints.into())?;
-        within("told.calls_a_second", told.calls_a_second, 1.0, 1e9)?;
-        within("told.depth", told.depth.into(), 1.0, 100.0)?;
-        within("told.regions", told.regions.into(), 1.0, 100.0)?;
-        within("told.zones", told.zones.into(), 1.0, told.endpoints.into())?;
-        within("told.control_machines", told.control_machines.into(), 2.0, 1000.0)?;
+        check_range("told.endpoints", told.endpoints.into(), 10.0, 1e6)?;
+        check_range("told.services", told.services.into(), 3.0, told.endpoints.into())?;
+        check_range("told.calls_a_second", told.calls_a_second, 1.0, 1e9)?;
+        check_range("told.depth", told.depth.into(), 1.0, 100.0)?;
+        check_range("told.regions", told.regions.into(), 1.0, 100.0)?;
+        check_range("told.zones", told.zones.into(), 1.0, told.endpoints.into())?;
+        check_range("told.control_machines", told.control_machines.into(), 2.0, 1000.0)?;
         let limits = &told.limits;
-        within("told.limits.added_ms", limits.added_ms, 0.01, 1000.0)?;
-        within("told.limits.in_force_s", limits.in_force_s, 0.01, 3600.0)?;
-        within("told.limits.cpu_part_of_core", limits.cpu_part_of_core, 1e-4, 64.0)?;
-        within("told.limits.memory_bytes", limits.memory_bytes, 1e6, 1e12)?;
-        within("told.limits.bytes_a_second", limits.bytes_a_second, 1.0, 1e10)?;
+        check_range("told.limits.added_ms", limits.added_ms, 0.01, 1000.0)?;
+        check_range("told.limits.in_force_s", limits.in_force_s, 0.01, 3600.0)?;
+        check_range("told.limits.cpu_part_of_core", limits.cpu_part_of_core, 1e-4, 64.0)?;
+        check_range("told.limits.memory_bytes", limits.memory_bytes, 1e6, 1e12)?;
+        check_range("told.limits.bytes_a_second", limits.bytes_a_second, 1.0, 1e10)?;
         let failures = &told.failures;
-        within("told.failures.machines_a_day", failures.machines_a_day, 0.0, told.endpoints.into())?;
-        within("told.failures.restarts_a_day", failures.restarts_a_day, 0.0, 1e6)?;
-        within("told.failures.racks_a_year", failures.racks_a_year, 0.0, 1e4)?;
-        within("told.failures.zones_a_year", failures.zones_a_year, 0.0, 1e3)?;
-        within("told.failures.region_cut_s", failures.region_cut_s, 1.0, DAY_S)?;
+        check_range("told.failures.machines_a_day", failures.machines_a_day, 0.0, told.endpoints.into())?;
+        check_range("told.failures.restarts_a_day", failures.restarts_a_day, 0.0, 1e6)?;
+        check_range("told.failures.racks_a_year", failures.racks_a_year, 0.0, 1e4)?;
+        check_range("told.failures.zones_a_year", failures.zones_a_year, 0.0, 1e3)?;
+        check_range("told.failures.region_cut_s", failures.region_cut_s, 1.0, DAY_S)?;
         for (key, figure, least, most) in [
             ("endpoints_a_machine", f64::from(own.endpoints_a_machine.is), 1.0, 1000.0),
             ("machines_a_rack", f64::from(own.machines_a_rack.is), 1.0, 1000.0),
@@ -331,30 +339,30 @@
             ("control_descriptors", own.control_descriptors.is.into(), 64.0, 1e8),
             ("sidecar_descriptors", own.sidecar_descriptors.is.into(), 64.0, 1e7),
         ] {
-            within(&format!("assumed.{key}.is"), figure, least, most)?;
+            check_range(&format!("assumed.{key}.is"), figure, least, most)?;
         }
-        let spare = f64::from(told.endpoints) - f64::from(told.services - 2);
-        within("assumed.hub_endpoints.is", own.hub_endpoints.is.into(), 1.0, spare - 1.0)?;
-        let spare = spare - f64::from(own.hub_endpoints.is);
-        within("assumed.largest_endpoints.is", own.largest_endpoints.is.into(), 1.0, spare)?;
+        let remaining = f64::from(told.endpoints) - f64::from(told.services - 2);
+        check_range("assumed.hub_endpoints.is", own.hub_endpoints.is.into(), 1.0, remaining - 1.0)?;
+        let remaining = remaining - f64::from(own.hub_endpoints.is);
+        check_range("assumed.largest_endpoints.is", own.largest_endpoints.is.into(), 1.0, remaining)?;
         for (n, called) in own.services_called.is.iter().enumerate() {
             let key = format!("assumed.services_called.is[{n}]");
-            within(&key, called.services.into(), 1.0, told.services.into())?;
+            check_range(&key, called.services.into(), 1.0, told.services.into())?;
         }
         for (n, depth) in own.depths.is.iter().enumerate() {
-            within(&format!("assumed.depths.is[{n}]"), depth.depth.into(), 1.0, told.depth.into())?;
+            check_range(&format!("assumed.depths.is[{n}]"), depth.depth.into(), 1.0, told.depth.into())?;
         }
-        whole("assumed.depths.is", own.depths.is.iter().map(|depth| depth.share))?;
-        whole("assumed.service_sizes.is", own.service_sizes.is.iter().map(|sizes| sizes.services))?;
-        whole("assumed.service_sizes.is", own.service_sizes.is.iter().map(|sizes| sizes.endpoints))?;
-        whole("assumed.services_called.is", own.services_called.is.iter().map(|called| called.share))?;
+        check_shares("assumed.depths.is", own.depths.is.iter().map(|depth| depth.share))?;
+        check_shares("assumed.service_sizes.is", own.service_sizes.is.iter().map(|sizes| sizes.services))?;
+        check_shares("assumed.service_sizes.is", own.service_sizes.is.iter().map(|sizes| sizes.endpoints))?;
+        check_shares("assumed.services_called.is", own.services_called.is.iter().map(|called| called.share))?;
         let known = self.changes_of_list_a_day() + own.settings_of_all_a_day.is;
         let least = if own.list_changes_counted.is { known } else { own.settings_of_all_a_day.is };
-        within("told.changes_a_day", told.changes_a_day, least, 1e7)?;
+        check_range("told.changes_a_day", told.changes_a_day, least, 1e7)?;
         self.check_reasons()
     }
 
-    fn check_reasons(&self) -> Result<(), Wrong> {
+    fn check_reasons(&self) -> Result<(), InvalidValue> {
         let own = &self.assumed;
         for (key, why) in [
             ("zones_in_each_region", &own.zones_in_each_region.why),
@@ -392,23 +400,24 @@
             ("sidecar_descriptors", &own.sidecar_descriptors.why),
         ] {
             if why.trim().is_empty() {
-                return Err(Wrong(
+                return Err(InvalidValue::new(
                     format!("assumed.{key}.why"),
-                    "it is empty; an assumption has a reason".into(),
+                    "it is empty; an assumption has a reason",
                 ));
             }
         }
         Ok(())
     }
 
-    /// Changes of the list in a day: a restart drains, goes and comes; a machine that fails goes and comes.
+    /// Changes of the list per day: three for a restart (drain, leave, join), two for each endpoint of a failed machine (leave,
+    /// join).
     pub fn changes_of_list_a_day(&self) -> f64 {
         let failures = &self.told.failures;
         let lost = failures.machines_a_day * f64::from(self.assumed.endpoints_a_machine.is);
         3.0 * failures.restarts_a_day + 2.0 * lost
     }
 
-    /// How often a kind of change comes, and its bytes.
+    /// Frequency and size of a kind of change.
     pub fn change(&self, kind: Change) -> Rate {
         let (told, own) = (&self.told, &self.assumed);
         let lost = told.failures.machines_a_day * f64::from(own.endpoints_a_machine.is);
@@ -427,13 +436,13 @@
         Rate { mean: a_day / DAY_S, peak, bytes }
     }
 
-    /// Zones in all.
+    /// Total number of zones.
     pub fn zones(&self) -> u32 {
         let each = if self.assumed.zones_in_each_region.is { self.told.regions } else { 1 };
         self.told.zones * each
     }
 
-    /// All services: the hub first, the largest next, then the others by size. The same at every call.
+    /// All services: the hub, the largest, then the others by size. Deterministic.
     pub fn services(&self) -> Vec<Service> {
         let own = &self.assumed;
         let mut all = vec![
@@ -441,13 +450,13 @@
             Service { name: "largest".into(), endpoints: own.largest_endpoints.is },
         ];
         let parts: Vec<f64> = own.service_sizes.is.iter().map(|sizes| sizes.services).collect();
-        let counts = given_out(self.told.services - 2, &parts, &vec![0; parts.len()]);
+        let counts = apportion(self.told.services - 2, &parts, &vec![0; parts.len()]);
         let parts: Vec<f64> = own.service_sizes.is.iter().map(|sizes| sizes.endpoints).collect();
         let left = self.told.endpoints - own.hub_endpoints.is - own.largest_endpoints.is;
-        // A part without services holds no endpoints.
+        // A group without services has no endpoints.
         let parts: Vec<f64> =
             parts.iter().zip(&counts).map(|(p, n)| if *n == 0 { 0.0 } else { *p }).collect();
-        for (endpoints, services) in given_out(left, &parts, &counts).into_iter().zip(counts) {
+        for (endpoints, services) in apportion(left, &parts, &counts).into_iter().zip(counts) {
             for n in 0..services {
                 let endpoints = endpoints / services + u32::from(n < endpoints % services);
                 all.push(Service { name: format!("s{}", all.len()), endpoints });
@@ -456,12 +465,13 @@
         all
     }
 
-    /// Services that the widest sidecar calls.
+    /// Largest number of services that a sidecar calls.
     pub fn services_called_most(&self) -> u32 {
         self.assumed.services_called.is.iter().map(|called| called.services).max().unwrap_or(1)
     }
 
-    /// Servers that the widest sidecar calls: the hub's, the largest service's, and those of so many others.
+    /// Number of servers of the services that the sidecar with the most services calls: the hub, the largest service, and
+    /// other services of mean size.
     pub fn servers_called_most(&self) -> f64 {
         let own = &self.assumed;
         let widest = self.services_called_most();
@@ -474,8 +484,8 @@
         }
     }
 
-    /// The plan of a fleet that is larger by a factor, with the same control machines, and services called as
-    /// before.
+    /// The plan of a fleet that is larger by a factor, with the same control machines and the same numbers of called
+    /// services.
     #[must_use]
     pub fn grown(&self, factor: f64) -> Plan {
         let mut plan = self.clone();
@@ -500,12 +510,12 @@
         plan
     }
 
-    /// Services that a sidecar calls, in the mean.
+    /// Mean number of services that a sidecar calls.
     pub fn services_called_mean(&self) -> f64 {
         self.assumed.services_called.is.iter().map(|called| f64::from(called.services) * called.share).sum()
     }
 
-    /// Servers that a sidecar that calls so many services calls, the hub's among them, in the mean of the others.
+    /// Number of servers that a sidecar calls: those of the hub, and of `services - 1` other services of mean size.
     pub fn servers_called(&self, services: f64) -> f64 {
         let hub = f64::from(self.assumed.hub_endpoints.is);
         let others = (f64::from(self.told.endpoints) - hub) / f64::from(self.told.services - 1);
--- a/crates/lab/src/slopes/duty.rs
+++ b/crates/lab/src/slopes/duty.rs
@@ -1,31 +1,32 @@
-//! One duty and its members, over a network that loses nothing: what a lease costs all of them together.
+//! Cost of one duty's lease to all members together, over a simulated network without loss.
 
-use super::{Context, cpu};
+use super::{Context, thread_cpu_us};
 use anyhow::{Result, bail};
 use dunlincleat_duties::{Datagram, Destination, DutySpec, Input, LeaseConfig, Member, Moment, Output};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The default lease, and by how many millionths clocks may run off.
-const LEASE: u64 = 1_500_000;
-const DRIFT: u64 = 10_000;
-/// A datagram's way.
-const WAY: u64 = 500;
+/// Length of a lease, in microseconds: the default.
+const LEASE_US: u64 = 1_500_000;
+/// Tolerated clock drift, in parts per million: the default.
+const DRIFT_PPM: u64 = 10_000;
+/// One-way delay of a datagram, in microseconds.
+const NETWORK_DELAY_US: u64 = 500;
 const FLEET: &str = "fleet";
 
-/// What is to happen to a member, in order of time and then of saying.
+/// A scheduled event at a member, ordered by time and then by insertion.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct Event {
     at: u64,
-    order: u64,
+    sequence: u64,
     to: usize,
-    /// Who said it, and its bytes; nothing where the member is to be woken.
+    /// Sender and bytes of a datagram; `None` for a timer.
     datagram: Option<(usize, Vec<u8>)>,
 }
 
-/// What was said.
+/// Datagrams sent and their bytes.
 #[derive(Clone, Copy, Default)]
-struct Said {
+struct Traffic {
     messages: u64,
     bytes: u64,
 }
@@ -33,55 +34,61 @@
 struct Fleet {
     members: Vec<Member>,
     names: Vec<String>,
-    /// The next waking that is set for each.
-    woken: Vec<u64>,
-    due: BinaryHeap<Reverse<Due>>,
-    order: u64,
-    said: Said,
+    /// Earliest scheduled timer of each member, in microseconds; `u64::MAX` for none.
+    wake_times: Vec<u64>,
+    events: BinaryHeap<Reverse<Event>>,
+    sequence: u64,
+    traffic: Traffic,
 }
 
 impl Fleet {
     fn new(members: usize) -> Fleet {
         let names: Vec<String> = (0..members).map(|n| format!("sidecar-{n:04}")).collect();
         let voters = names.iter().take(if members < 5 { 3 } else { 5 }).cloned().collect();
-        let terms = LeaseConfig { lease_us: LEASE, drift_ppm: DRIFT, voters };
+        let lease_config = LeaseConfig { lease_us: LEASE_US, drift_ppm: DRIFT_PPM, voters };
         let duties = [DutySpec { name: "settle".to_owned(), schedule: None }];
         let member = |(n, name): (usize, &String)| {
-            Member::new(name, n as u64 + 1, terms.clone(), &duties, Moment(0), true)
+            Member::new(name, n as u64 + 1, lease_config.clone(), &duties, Moment(0), true)
         };
         let members: Vec<Member> = names.iter().enumerate().map(member).collect();
-        let woken = vec![u64::MAX; members.len()];
-        let mut fleet =
-            Fleet { members, names, woken, due: BinaryHeap::new(), order: 0, said: Said::default() };
-        (0..fleet.members.len()).for_each(|n| fleet.plan(n));
+        let wake_times = vec![u64::MAX; members.len()];
+        let mut fleet = Fleet {
+            members,
+            names,
+            wake_times,
+            events: BinaryHeap::new(),
+            sequence: 0,
+            traffic: Traffic::default(),
+        };
+        (0..fleet.members.len()).for_each(|n| fleet.schedule_wake(n));
         fleet
     }
 
     fn push(&mut self, at: u64, to: usize, datagram: Option<(usize, Vec<u8>)>) {
-        self.order += 1;
-        self.due.push(Reverse(Due { at, order: self.order, to, datagram }));
+        self.sequence += 1;
+        self.events.push(Reverse(Event { at, sequence: self.sequence, to, datagram }));
     }
 
-    /// Has a member woken when it wants to be.
-    fn plan(&mut self, n: usize) {
-        let due = self.members[n].wake_at().0;
-        if due < self.woken[n] {
-            self.woken[n] = due;
-            self.push(due, n, None);
+    /// Schedules a member's next timer, unless an earlier one is scheduled already.
+    fn schedule_wake(&mut self, n: usize) {
+        let wake_at = self.members[n].wake_at().0;
+        if wake_at < self.wake_times[n] {
+            self.wake_times[n] = wake_at;
+            self.push(wake_at, n, None);
         }
     }
 
-    fn play(&mut self, until: u64) -> Result<()> {
-        while self.due.peek().is_some_and(|Reverse(due)| due.at <= until) {
-            let Some(Reverse(Due { at, to, datagram, .. })) = self.due.pop() else { break };
-            let (back, input) = match datagram {
+    fn run_until(&mut self, until: u64) -> Result<()> {
+        while self.events.peek().is_some_and(|Reverse(event)| event.at <= until) {
+            let Some(Reverse(Event { at, to, datagram, .. })) = self.events.pop() else { break };
+            let (sender, input) = match datagram {
                 None => {
-                    self.woken[to] = u64::MAX;
+                    self.wake_times[to] = u64::MAX;
                     (None, Input::Tick)
                 }
                 Some((from, bytes)) => {
                     let Some(read) = Datagram::decode(&bytes, FLEET) else {
-                        bail!("a datagram can't be read")
+                        bail!("member {to} received a datagram that does not decode")
                     };
                     let Datagram { from: name, incarnation, in_reply_to, message, .. } = read;
                     (Some(from), Input::Received { from: name, incarnation, in_reply_to, message })
@@ -90,41 +97,43 @@
             let mut out = Vec::new();
             self.members[to].handle(Moment(at), input, &mut out);
             for output in out {
-                let Output::Send { to: hears, in_reply_to, message } = output else { continue };
-                let hears = match hears {
+                let Output::Send { to: recipient, in_reply_to, message } = output else { continue };
+                let recipient = match recipient {
                     Destination::Voter(voter) => Some(voter),
-                    Destination::Sender => back,
+                    Destination::Sender => sender,
                 };
                 let incarnation = self.members[to].incarnation();
                 let datagram = Datagram::new(FLEET, &self.names[to], incarnation, in_reply_to, message);
-                let (Some(hears), Some(bytes)) = (hears, datagram.encode()) else { continue };
-                self.said.messages += 1;
-                self.said.bytes += bytes.len() as u64;
-                self.push(at + WAY, hears, Some((to, bytes)));
+                let (Some(recipient), Some(bytes)) = (recipient, datagram.encode()) else { continue };
+                self.traffic.messages += 1;
+                self.traffic.bytes += bytes.len() as u64;
+                self.push(at + NETWORK_DELAY_US, recipient, Some((to, bytes)));
             }
-            self.plan(to);
+            self.schedule_wake(to);
         }
         Ok(())
     }
 }
 
-/// Messages, bytes and processor time of all members together in one lease, with a holder that renews.
+/// Messages, bytes and processor time of all members together during one lease, with a holder that renews it.
 pub fn lease(context: &Context, members: usize) -> Result<Vec<f64>> {
     let mut fleet = Fleet::new(members);
-    // Until those that ask have spread as voters tell them to: at the most over 32 leases.
-    let (warm, leases) = (64, 64);
-    fleet.play(warm * LEASE)?;
-    let (before, first) = (fleet.said, cpu());
-    fleet.play((warm + leases) * LEASE)?;
-    let took = cpu() - first;
-    let holds = |member: &&Member| member.held_fence("settle", Moment((warm + leases) * LEASE)).is_some();
+    // Voters spread the requests of the candidates over at most 32 leases; this is over after the warm-up.
+    let (warm_up_leases, measured_leases) = (64, 64);
+    fleet.run_until(warm_up_leases * LEASE_US)?;
+    let (before, first) = (fleet.traffic, thread_cpu_us());
+    fleet.run_until((warm_up_leases + measured_leases) * LEASE_US)?;
+    let took = thread_cpu_us() - first;
+    let holds = |member: &&Member| {
+        member.held_fence("settle", Moment((warm_up_leases + measured_leases) * LEASE_US)).is_some()
+    };
     if fleet.members.iter().filter(holds).count() != 1 {
         bail!("the duty has no holder among {members} members, or more than one, seed {}", context.seed);
     }
-    let each = |n: u64| n as f64 / leases as f64;
+    let each = |n: u64| n as f64 / measured_leases as f64;
     Ok(vec![
-        each(fleet.said.messages - before.messages),
-        each(fleet.said.bytes - before.bytes),
-        took / leases as f64,
+        each(fleet.traffic.messages - before.messages),
+        each(fleet.traffic.bytes - before.bytes),
+        took / measured_leases as f64,
     ])
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity page: that it is what the committed plan and results give, what another plan gives, how a
-//! made-up set of results comes to figures, and how faults are named.
+//! The capacity page: the committed page matches the committed plan and results, another plan gives another page,
+//! synthetic results give known figures, and invalid inputs are reported.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -8,7 +8,7 @@
     Command::new(env!("CARGO_BIN_EXE_dunlincleat-lab")).args(args).output().unwrap()
 }
 
-fn said(out: &Output) -> String {
+fn output_text(out: &Output) -> String {
     format!("{}{}", String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr))
 }
 
@@ -20,7 +20,7 @@
     root().join("deploy/plans/fleet-ahead.toml")
 }
 
-/// The result files of a folder, in turn; none where there is no folder.
+/// The result files of a folder in order of name; none where the folder does not exist.
 fn results(folder: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(folder).into_iter().flatten();
     let paths = entries.map(|entry| entry.unwrap().path());
@@ -32,7 +32,7 @@
     paths
 }
 
-fn made_up() -> PathBuf {
+fn synthetic_results() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/capacity")
 }
 
@@ -44,10 +44,10 @@
     lab(&args)
 }
 
-/// The page that a plan and results give.
+/// The page written from a plan and results.
 fn page(plan: &Path, results: &[String]) -> String {
     let out = capacity(plan, results, &[]);
-    assert_eq!(out.status.code(), Some(0), "{}", said(&out));
+    assert_eq!(out.status.code(), Some(0), "{}", output_text(&out));
     String::from_utf8(out.stdout).unwrap()
 }
 
@@ -60,7 +60,7 @@
     table.lines().skip(2).map(cells).collect()
 }
 
-/// The one row of a table whose cells hold these in turn.
+/// The only row of a table whose first cells begin with these texts.
 fn row(page: &str, name: &str, begins: &[&str]) -> Vec<String> {
     let rows = table(page, name);
     let fits =
@@ -70,7 +70,7 @@
     found[0].clone()
 }
 
-/// A copy of the plan with each of these replaced once.
+/// A copy of the plan with each of these texts replaced once.
 fn changed(folder: &Path, changes: &[(&str, &str)]) -> PathBuf {
     let mut text = std::fs::read_to_string(plan()).unwrap();
     for (from, to) in changes {
@@ -83,40 +83,40 @@
 }
 
 #[test]
-fn the_page_is_what_the_committed_plan_and_results_give() {
+fn committed_page_matches_committed_plan_and_results() {
     let page = root().join("docs/CAPACITY.md").display().to_string();
     let results = results(&root().join("deploy/plans/results"));
     let out = capacity(&plan(), &results, &["--page", &page, "--check"]);
-    assert_eq!(out.status.code(), Some(0), "{}", said(&out));
-    assert_eq!(said(&out), "");
+    assert_eq!(out.status.code(), Some(0), "{}", output_text(&out));
+    assert_eq!(output_text(&out), "");
 }
 
 #[test]
-fn a_check_names_each_table_that_differs_and_writes_nothing() {
+fn check_names_each_differing_table_and_writes_nothing() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("page.md");
     let shown = path.display().to_string();
-    let results = results(&made_up());
+    let results = results(&synthetic_results());
     let whole = page(&plan(), &results);
-    // A figure by hand, a row taken out, and prose, which is free.
+    // An edited figure, a removed row, and edited prose, which is not checked.
     let by_hand = whole
         .replacen("| services | 490 |", "| services | 491 |", 1)
         .replacen("| all | 7,700 |", "| sum | 7,700 |", 1)
         .replacen("# Capacity of", "# The capacity of", 1);
     std::fs::write(&path, &by_hand).unwrap();
     let out = capacity(&plan(), &results, &["--page", &shown, "--check"]);
-    assert_eq!(out.status.code(), Some(1), "{}", said(&out));
+    assert_eq!(out.status.code(), Some(1), "{}", output_text(&out));
     let named = |name: &str| format!("{shown}: table '{name}' is not what the plan and the results give\n");
-    assert_eq!(said(&out), named("drivers") + &named("changes"));
+    assert_eq!(output_text(&out), named("drivers") + &named("changes"));
     assert_eq!(std::fs::read_to_string(&path).unwrap(), by_hand);
     let out = capacity(&plan(), &results, &["--page", &shown]);
-    assert_eq!(out.status.code(), Some(0), "{}", said(&out));
+    assert_eq!(out.status.code(), Some(0), "{}", output_text(&out));
     let written = std::fs::read_to_string(&path).unwrap();
     assert_eq!(written, whole.replacen("# Capacity of", "# The capacity of", 1));
 }
 
 #[test]
-fn a_plan_with_doubled_figures_gives_another_page_in_one_command() {
+fn plan_with_doubled_figures_gives_its_own_page() {
     let folder = tempfile::tempdir().unwrap();
     let doubled = changed(
         folder.path(),
@@ -128,10 +128,10 @@
             ("restarts_a_day = 780", "restarts_a_day = 1560"),
         ],
     );
-    let results = results(&made_up());
+    let results = results(&synthetic_results());
     let path = folder.path().join("twice.md");
     let out = capacity(&doubled, &results, &["--page", &path.display().to_string()]);
-    assert_eq!(out.status.code(), Some(0), "{}", said(&out));
+    assert_eq!(out.status.code(), Some(0), "{}", output_text(&out));
     let twice = std::fs::read_to_string(&path).unwrap();
     let once = page(&plan(), &results);
     let driver = |page: &str, name: &str| row(page, "drivers", &[name])[1].clone();
@@ -147,7 +147,7 @@
         assert_eq!((driver(&once).as_str(), driver(&twice).as_str()), (a, b), "{name}");
     }
     assert_eq!(driver(&twice, "calls of a sidecar a second, mean"), "223");
-    // Nothing was played at that size; what was measured is drawn on, and marked.
+    // Nothing was run at that size; measured figures are extrapolated and marked.
     assert!(table(&twice, "answer").iter().all(|row| row[1] != "played" || row[0].starts_with("added")));
     let list = row(&twice, "recovery", &["all sidecars anew"]);
     assert!(list[1].starts_with("558 KB and "), "{list:?}");
@@ -155,11 +155,11 @@
     assert!(whole[2].ends_with('†'), "{whole:?}");
 }
 
-/// Figures worked out by hand from the made-up lines: 3,100 known without the interest set, and with it 60 of
-/// the hub, 200 of the largest and 38 × 2,840 / 488 of other services: 481.1.
+/// Figures calculated by hand from the synthetic lines: 3,100 servers known without the interest set, and with it 60 of the
+/// hub, 200 of the largest and 38 × 2,840 / 488 of other services: 481.1.
 #[test]
-fn made_up_results_come_to_figures_worked_out_by_hand() {
-    let page = page(&plan(), &results(&made_up()));
+fn synthetic_results_give_figures_calculated_by_hand() {
+    let page = page(&plan(), &results(&synthetic_results()));
     // 5 MB + 6 KB × 3,100 = 23.6 MB; × 481.1: 7.89 MB. Limits of 128 MB: 5.42 and 16.2.
     let memory = row(&page, "role-follower", &["idle, the list held", "changes at mean"]);
     assert_eq!(memory[2], "5 MB + 6 KB × 3,100 = 23.6 MB");
@@ -170,17 +170,17 @@
     let draws = row(&page, "role-caller", &["windows and draws", "changes at mean", "windows 0.32%"]);
     assert!(draws[2].ends_with("= 14.1%"), "{draws:?}");
     assert!(draws[5].starts_with("**0.332 missed**, "), "{draws:?}");
-    // What isn't straight is read between its points and not off its line: 0.9% at 3,100.
+    // A figure that is not linear is interpolated between its points: 0.9% at 3,100.
     let control = row(&page, "role-follower", &["control without windows", "changes at mean"]);
     assert!(control[2].starts_with("idle 0.9% (0.9% by its points, at 3,100)"), "{control:?}");
-    // Past the points it isn't clear, and nothing is made of it: what is left of the sum is the least.
+    // Beyond the points its form is not clear, so it is left out and the rest of the sum is a lower bound.
     let grown = row(&page, "growth", &["a sidecar's processor time", "a zone at once"]);
     assert_eq!(grown[2], "4.28, 14.5");
     assert!(grown[3].starts_with("at most ") && grown[3].ends_with(", 12.4"), "{grown:?}");
-    // A watch opened anew: 100 + 90 × 3,100 bytes, a tenth of it each second of ten, and some for ordinary changes.
+    // A reopened watch: 100 + 90 × 3,100 bytes, a tenth of it each second for 10 s, plus ordinary changes.
     let anew = row(&page, "rank", &["", "a sidecar's bytes", "follower of discovery: a watch opened anew"]);
     assert_eq!((anew[5].as_str(), anew[6].as_str()), ("27.9 KB/s", "**0.358 missed**"));
-    // The whole process is the strictest reading: shown, and in no other table.
+    // The whole process is the strictest interpretation: shown here and in no other table.
     let whole = row(&page, "role-caller", &["the whole process", "changes at mean", "", "", "4.7%"]);
     assert!(whole[5].starts_with("**0.27 missed**"), "{whole:?}");
     let strict = row(&page, "role-follower", &["were it paced to the bytes allowed", "all sidecars anew"]);
@@ -193,8 +193,8 @@
 }
 
 #[test]
-fn played_figures_are_held_against_limits_and_void_ones_are_not() {
-    let page = page(&plan(), &results(&made_up()));
+fn run_figures_are_compared_with_limits_and_void_ones_are_not() {
+    let page = page(&plan(), &results(&synthetic_results()));
     let answer = |limit: &str, how: &str| row(&page, "answer", &[limit, how]);
     let bytes = answer("a sidecar's bytes", "played");
     assert_eq!(
@@ -212,23 +212,23 @@
         added[2..],
         ["3.2 ms, changes at mean", "**0.5 missed**", "1 ms, changes at mean", "1.6", "holds with it"]
     );
-    // In force is told in milliseconds and held against seconds.
+    // The time in force is recorded in milliseconds and compared in seconds.
     assert_eq!(answer("a change in force", "played")[2], "2.2 s, all sidecars anew");
     let restarts = row(&page, "failures", &["restarts of a day", "780 a day", "a sidecar's bytes"]);
     assert_eq!(restarts[4..8], ["900 B/s", "11.1", "void", "-"]);
     assert_eq!(restarts[8], "scale-before");
     let day = row(&page, "sizes", &["3,100", "with", "restarts", "3,092 hollow", "void"]);
     assert_eq!((day[4].as_str(), day[10].as_str()), ("void, void, void", "void"));
-    // A control machine's bytes: the most in a second.
+    // A control machine's bytes: the largest value in a second.
     let control = row(&page, "role-control", &["bytes out", "a zone at once"]);
     assert_eq!(control[2], "most of any in any second = 20 MB/s");
-    // Its reason is told, with its bar kept from ending the cell.
+    // Its reason is shown, with its bar escaped.
     let broken = row(&page, "verdicts", &["310", "without", "zone"]);
     assert_eq!(broken[5], "bytes-in: 10 KB/s, seed 1, at 3.2 s, h17 \\| first");
     assert_eq!(row(&page, "hollow-real", &["scale-before"])[1..3], ["41 and 41", "90,210 and 90,210: equal"]);
-    // A point of calls that is void has its counts and its reasons, and no figures; nor has the answer.
+    // A void point of calls shows its counts and reasons but no figures, and neither does the answer.
     let folder = tempfile::tempdir().unwrap();
-    let text = std::fs::read_to_string(made_up().join("added-before.json")).unwrap();
+    let text = std::fs::read_to_string(synthetic_results().join("added-before.json")).unwrap();
     let void = folder.path().join("added-void.json");
     std::fs::write(&void, text.replace("\"broken\"", "\"void\"")).unwrap();
     let void = self::page(&plan(), &[void.display().to_string()]);
@@ -236,7 +236,7 @@
     assert_eq!(point[4..8], ["void", "void", "void", "void"]);
     assert_eq!(point[9..11], ["97%; 30; 0", "void: added p99"]);
     assert_eq!(row(&void, "answer", &["added to a call"])[1..4], ["played", "void", "-"]);
-    // Ranked by the room without the mechanism.
+    // Ranked by the headroom without the mechanism.
     let rooms: Vec<f64> = table(&page, "rank")
         .iter()
         .filter_map(|row| row[6].trim_matches('*').split(' ').next()?.replace(',', "").parse().ok())
@@ -244,12 +244,12 @@
     assert!(rooms.len() > 10 && rooms.is_sorted(), "{rooms:?}");
 }
 
-/// A sum without one of its parts is told as the least that it can be; and what was measured on one side alone
-/// isn't held against another thing on the other.
+/// A sum without one of its parts is shown as a lower bound, and a quantity measured on one side only is not compared with
+/// another quantity on the other side.
 #[test]
-fn parts_that_were_not_measured_are_told_in_sums_and_verdicts() {
+fn unmeasured_parts_show_in_sums_and_verdicts() {
     let folder = tempfile::tempdir().unwrap();
-    let text = std::fs::read_to_string(made_up().join("slopes-before.json")).unwrap();
+    let text = std::fs::read_to_string(synthetic_results().join("slopes-before.json")).unwrap();
     let path = folder.path().join("slopes-parts.json");
     let text = text.replace("cpu-idle", "another").replace("memory-in-service", "state-by-services");
     assert!(text.contains("\"intercept\": 6000000.0"));
@@ -266,13 +266,13 @@
     assert_eq!(memory[6], "holds with it; what was most without it was not measured with it");
     let pools = row(&page, "role-caller", &["state, a pool for each service"]);
     assert_eq!(pools[3], "not measured (state-by-services)");
-    // It is of a fleet of the size measured alone, and doesn't stand still as the fleet grows.
+    // It applies to a fleet of the measured size only and must not stay constant as the fleet grows.
     let grown = row(&page, "growth", &["a sidecar's memory"]);
     assert_eq!(grown[2..4], ["5.42, 16.2", "3.03 †, 13.6"]);
 }
 
 #[test]
-fn what_has_no_result_is_told_as_not_measured() {
+fn figures_without_results_show_as_not_measured() {
     let page = page(&plan(), &[]);
     let answer = row(&page, "answer", &["added to a call"]);
     assert_eq!(answer[1..], ["-", "not measured", "-", "not measured", "-", "nothing can be said"]);
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_plan_at_fault_is_named_by_line_key_value_and_range() {
+fn invalid_plan_is_reported_by_line_key_value_and_range() {
     let folder = tempfile::tempdir().unwrap();
     for (from, to, said_is) in [
         ("endpoints = 3100", "endpoints = 3", "line 12: told.endpoints: 3 is not from 10 to 1000000"),
@@ -314,9 +314,9 @@
     ] {
         let path = changed(folder.path(), &[(from, to)]);
         let out = capacity(&path, &[], &[]);
-        assert_eq!(out.status.code(), Some(2), "{to}: {}", said(&out));
-        assert!(said(&out).contains(said_is), "{said_is}: {}", said(&out));
-        assert!(said(&out).contains("plan.toml"), "{}", said(&out));
+        assert_eq!(out.status.code(), Some(2), "{to}: {}", output_text(&out));
+        assert!(output_text(&out).contains(said_is), "{said_is}: {}", output_text(&out));
+        assert!(output_text(&out).contains("plan.toml"), "{}", output_text(&out));
     }
     let text = std::fs::read_to_string(plan()).unwrap();
     let reasons = text.matches("why = ").count();
@@ -326,15 +326,19 @@
         let path = folder.path().join("plan.toml");
         std::fs::write(&path, format!("{}why = \" \"{}", &text[..at], &text[end..])).unwrap();
         let out = capacity(&path, &[], &[]);
-        assert!(said(&out).contains(".why: it is empty; an assumption has a reason"), "{}", said(&out));
+        assert!(
+            output_text(&out).contains(".why: it is empty; an assumption has a reason"),
+            "{}",
+            output_text(&out)
+        );
     }
     assert!(reasons > 30);
 }
 
 #[test]
-fn results_at_fault_are_named_by_file() {
+fn invalid_results_are_reported_by_file() {
     let folder = tempfile::tempdir().unwrap();
-    let whole = std::fs::read_to_string(made_up().join("scale-before.json")).unwrap();
+    let whole = std::fs::read_to_string(synthetic_results().join("scale-before.json")).unwrap();
     for (name, text, named) in [
         ("kind.json", whole.replacen("\"scale\"", "\"scales\"", 1), "kind: 'scales' isn't known"),
         ("version.json", whole.replacen("\"v\": 1", "\"v\": 2", 1), "v: 2 is no version that is known"),
@@ -344,16 +348,20 @@
     ] {
         let path = folder.path().join(name);
         std::fs::write(&path, text).unwrap();
-        let mut files = results(&made_up());
+        let mut files = results(&synthetic_results());
         files.push(path.display().to_string());
         let out = capacity(&plan(), &files, &[]);
-        assert_eq!(out.status.code(), Some(2), "{name}: {}", said(&out));
-        assert!(said(&out).contains(name) && said(&out).contains(named), "{named}: {}", said(&out));
+        assert_eq!(out.status.code(), Some(2), "{name}: {}", output_text(&out));
+        assert!(
+            output_text(&out).contains(name) && output_text(&out).contains(named),
+            "{named}: {}",
+            output_text(&out)
+        );
     }
 }
 
 #[test]
-fn a_page_whose_marks_are_at_fault_is_named_by_line() {
+fn invalid_page_marks_are_reported_by_line() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("page.md");
     let shown = path.display().to_string();
@@ -367,8 +375,8 @@
     ] {
         std::fs::write(&path, &text).unwrap();
         let out = capacity(&plan(), &[], &["--page", &shown]);
-        assert_eq!(out.status.code(), Some(2), "{named}: {}", said(&out));
-        assert!(said(&out).contains(named), "{named}: {}", said(&out));
+        assert_eq!(out.status.code(), Some(2), "{named}: {}", output_text(&out));
+        assert!(output_text(&out).contains(named), "{named}: {}", output_text(&out));
         assert_eq!(std::fs::read_to_string(&path).unwrap(), text, "a page at fault was written");
     }
 }
--- a/crates/lab/tests/real.rs
+++ b/crates/lab/tests/real.rs
@@ -1,4 +1,4 @@
-//! Real sidecars beside stand-in servers, as `added` measures them: by counts alone, so that a busy machine tells the same.
+//! `added` with real sidecars beside stub servers, judged by counts only so that the load of the machine does not matter.
 
 mod common;
 
@@ -9,10 +9,10 @@
 use std::sync::LazyLock;
 use std::time::Duration;
 
-/// The sidecar, built once beside the lab.
+/// The sidecar's program, built once beside the lab.
 static SIDECAR: LazyLock<PathBuf> = LazyLock::new(|| program("dunlincleat-sidecar"));
-/// How long processes may take to begin and to end.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for processes to start and to exit.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn lab() -> Command {
     LazyLock::force(&SIDECAR);
@@ -24,19 +24,19 @@
 }
 
 fn points(out: &Path) -> Vec<Value> {
-    let told: Value = serde_json::from_str(&std::fs::read_to_string(out).unwrap()).unwrap();
-    assert_eq!((&told["v"], &told["kind"]), (&Value::from(1), &Value::from("added")));
-    told["points"].as_array().unwrap().clone()
+    let result: Value = serde_json::from_str(&std::fs::read_to_string(out).unwrap()).unwrap();
+    assert_eq!((&result["v"], &result["kind"]), (&Value::from(1), &Value::from("added")));
+    result["points"].as_array().unwrap().clone()
 }
 
 fn number(point: &Value, key: &str) -> u64 {
     point[key].as_u64().unwrap_or_else(|| panic!("{key} of {point}"))
 }
 
-/// Every call has one answer, each sidecar was told of every server (the run fails where one was not), and all that was
-/// started is gone when the run is.
+/// Every call has one response, each sidecar receives every server (the run fails otherwise), and all started processes
+/// exit with the run.
 #[test]
-fn each_call_has_one_answer_and_nothing_is_left_behind() {
+fn each_call_has_one_response_and_no_process_is_left() {
     let folder = tempfile::tempdir().unwrap();
     let out = folder.path().join("added.json");
     let run = lab()
@@ -47,9 +47,9 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let children = children(&run, 2 + 2, PATIENCE);
+    let children = children(&run, 2 + 2, TIMEOUT);
     let done = run.wait_with_output().unwrap();
-    all_end(&children, PATIENCE);
+    all_end(&children, TIMEOUT);
     let text = String::from_utf8_lossy(&done.stdout);
     assert_eq!(done.status.code(), Some(0), "{text}{}", String::from_utf8_lossy(&done.stderr));
     let points = points(&out);
@@ -57,7 +57,7 @@
     for point in &points {
         assert_eq!(point["verdict"], "kept", "{point}");
         assert_eq!(number(point, "lost"), 0, "{point}");
-        // The same seed has the same arrivals, whatever is known: some 50 a second of each of the two, for 2 s.
+        // The same seed gives the same arrivals for any number of servers: about 50 per second of each of the two, for 2 s.
         let answers = |point: &Value| number(point, "answered") + number(point, "refused");
         assert!(answers(point) > 100 && answers(point) == answers(&points[0]), "{point}");
         assert!(number(point, "answered") > 0 && number(point, "rss_bytes") > 1 << 20, "{point}");
@@ -65,24 +65,24 @@
     }
 }
 
-/// Planted: with no sidecar there is nothing to compare the direct way with, and that must not look kept.
+/// Without a sidecar there is nothing to compare direct calls with, so the verdict must not be `kept`.
 #[test]
-fn a_run_without_a_sidecar_is_void() {
+fn run_without_a_sidecar_is_void() {
     let folder = tempfile::tempdir().unwrap();
     let out = folder.path().join("added.json");
-    let told =
+    let arguments =
         ["--known", "60", "--real", "0", "--rate", "50", "--lasts", "2", "--rounds", "1", "--counts-only"];
-    let done = added(&out, &told);
+    let done = added(&out, &arguments);
     assert_eq!(done.status.code(), Some(2), "{}", String::from_utf8_lossy(&done.stderr));
     let points = points(&out);
     assert_eq!(points[0]["verdict"], "void");
     assert!(points[0]["why"][0].as_str().unwrap().contains("no call was served through a sidecar"));
-    assert!(points[0]["direct_p50_us"].as_f64().unwrap() > 0.0, "the direct way was played");
+    assert!(points[0]["direct_p50_us"].as_f64().unwrap() > 0.0, "direct calls were made");
 }
 
-/// A run that is killed takes its sidecars and stand-ins with it.
+/// The sidecars and stubs of a killed run exit with it.
 #[test]
-fn nothing_outlives_a_run_that_is_killed() {
+fn killed_run_leaves_no_processes() {
     let folder = tempfile::tempdir().unwrap();
     let mut run = lab()
         .args(["added", "--known", "6", "--real", "3", "--lasts", "60", "--out"])
@@ -90,15 +90,15 @@
         .stdout(Stdio::null())
         .spawn()
         .unwrap();
-    let children = children(&run, 3 + 2, PATIENCE);
+    let children = children(&run, 3 + 2, TIMEOUT);
     run.kill().unwrap();
     run.wait().unwrap();
-    all_end(&children, PATIENCE);
+    all_end(&children, TIMEOUT);
 }
 
-/// What can't be played is refused before anything starts, with the flag, its value and what would be right.
+/// Invalid options are rejected before anything starts, with the flag, its value and the expected range.
 #[test]
-fn what_cannot_be_played_is_named() {
+fn invalid_options_are_rejected_by_name() {
     let folder = tempfile::tempdir().unwrap();
     let out = folder.path().join("added.json");
     let refused = |arguments: &[&str], named: &[&str]| {
@@ -118,7 +118,7 @@
     refused(&["--rate", "1000", "--real", "5"], &["--rate 1000", "--real 5", "4000 or fewer"]);
     refused(&["--program", "/nowhere"], &["--program", "/nowhere is no program"]);
     refused(&["--known", "6", "--program", "/bin/true"], &["6 servers known, round 0: n0", "ended at once"]);
-    // Few descriptors: refused before a stand-in fails in the middle.
+    // Too few descriptors are rejected at the start, not by a stub that fails in the middle of the run.
     let few = "ulimit -n 2000 && exec \"$0\" added --known 3100 --out \"$1\"";
     let done =
         Command::new("sh").args(["-c", few]).arg(env!("CARGO_BIN_EXE_dunlincleat-lab")).arg(&out).output();
--- a/crates/lab/tests/slopes.rs
+++ b/crates/lab/tests/slopes.rs
@@ -1,7 +1,7 @@
-//! Slopes: the fit names planted forms and says where it can't, and the command measures, in a short form that is judged
-//! by counts alone.
+//! `slopes`: the fit identifies known forms and reports unclear ones, and the command runs with tiny sizes, where only
+//! counts are checked.
 
-// The lab is a program: its pure parts are taken in as they are.
+// The lab is a binary crate, so its pure modules are included by path.
 #[path = "../src/slopes/fit.rs"]
 mod fit;
 #[path = "../src/slopes/result.rs"]
@@ -15,18 +15,18 @@
 
 const SIZES: [f64; 5] = [6.0, 60.0, 200.0, 1000.0, 3100.0];
 
-/// Three rounds of a form, each value off by up to this part of it.
-fn planted(f: impl Fn(f64) -> f64, noise: f64, seed: u64) -> Vec<Point> {
+/// Three rounds of a form, with relative noise of up to `noise`.
+fn generated_points(f: impl Fn(f64) -> f64, noise: f64, seed: u64) -> Vec<Point> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut off = || 1.0 + noise * rng.random_range(-1.0..1.0);
     SIZES.map(|at| Point { at, values: (0..3).map(|_| f(at) * off()).collect() }).to_vec()
 }
 
-type Planted = (Form, fn(f64) -> f64);
+type GeneratedForm = (Form, fn(f64) -> f64);
 
 #[test]
-fn planted_forms_are_named_through_noise() {
-    let forms: [Planted; 6] = [
+fn known_forms_are_identified_despite_noise() {
+    let forms: [GeneratedForm; 6] = [
         (Form::Constant, |_| 42.0),
         (Form::Linear, |n| 0.1 * n),
         (Form::Linear, |n| 5e6 + 6000.0 * n),
@@ -36,43 +36,47 @@
     ];
     for (form, f) in forms {
         for seed in 0..50 {
-            let found = fit::fit(&planted(f, 0.02, seed), 1);
+            let found = fit::fit(&generated_points(f, 0.02, seed), 1);
             assert_eq!(found.form, form, "at 3100: {}, seed {seed}: {found:?}", f(3100.0));
         }
     }
 }
 
 #[test]
-fn a_line_is_found_with_its_interval_and_without_residual_where_there_is_none() {
-    let exact = fit::fit(&planted(|n| 7.0 + 0.25 * n, 0.0, 1), 1);
+fn line_has_its_interval_and_no_residual_on_exact_points() {
+    let exact = fit::fit(&generated_points(|n| 7.0 + 0.25 * n, 0.0, 1), 1);
     assert!((exact.intercept - 7.0).abs() < 1e-6 && (exact.slope - 0.25).abs() < 1e-9, "{exact:?}");
     assert!(exact.residual < 1e-9 && exact.slope_low == exact.slope_high, "{exact:?}");
     for seed in 0..50 {
-        let found = fit::fit(&planted(|n| 7.0 + 0.25 * n, 0.05, seed), 1);
+        let found = fit::fit(&generated_points(|n| 7.0 + 0.25 * n, 0.05, seed), 1);
         assert!(found.slope_low <= found.slope && found.slope <= found.slope_high, "{found:?}");
         assert!((0.23..0.27).contains(&found.slope) && found.residual < 0.1, "{found:?}");
-        assert_eq!(found, fit::fit(&planted(|n| 7.0 + 0.25 * n, 0.05, seed), 1), "the same each time");
+        assert_eq!(
+            found,
+            fit::fit(&generated_points(|n| 7.0 + 0.25 * n, 0.05, seed), 1),
+            "the same each time"
+        );
     }
 }
 
-/// Guards the page from forms that nothing bears out.
+/// A form must not be named on the capacity page without support from the points.
 #[test]
-fn noise_and_too_few_sizes_are_not_clear() {
+fn noise_and_too_few_sizes_give_no_clear_form() {
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut any = || f64::exp(rng.random_range(-2.0..2.0));
         let noise = SIZES.map(|at| Point { at, values: vec![any(), any(), any()] }).to_vec();
         assert_eq!(fit::fit(&noise, 1).form, Form::NotClear, "seed {seed}: {noise:?}");
     }
-    let few = planted(|n| n, 0.0, 1);
-    assert_eq!(fit::fit(&few[..3], 1).form, Form::NotClear, "three sizes bear more than one form");
-    // Between two forms: neither is named.
-    let between = fit::fit(&planted(|n| n.powf(1.07), 0.0, 1), 1);
+    let few = generated_points(|n| n, 0.0, 1);
+    assert_eq!(fit::fit(&few[..3], 1).form, Form::NotClear, "three sizes fit more than one form");
+    // Growth between two forms is named as neither.
+    let between = fit::fit(&generated_points(|n| n.powf(1.07), 0.0, 1), 1);
     assert_eq!(between.form, Form::NotClear, "{between:?}");
-    let falls = fit::fit(&planted(|n| 1000.0 / n, 0.0, 1), 1);
+    let falls = fit::fit(&generated_points(|n| 1000.0 / n, 0.0, 1), 1);
     assert_eq!(falls.form, Form::NotClear, "{falls:?}");
-    assert_eq!(fit::fit(&[], 1).form, Form::NotClear, "nothing was measured");
-    let zeros = fit::fit(&planted(|_| 0.0, 0.0, 1), 1);
+    assert_eq!(fit::fit(&[], 1).form, Form::NotClear, "no points");
+    let zeros = fit::fit(&generated_points(|_| 0.0, 0.0, 1), 1);
     assert_eq!((zeros.form, zeros.slope), (Form::Constant, 0.0), "{zeros:?}");
 }
 
@@ -80,15 +84,15 @@
     Command::new(env!("CARGO_BIN_EXE_dunlincleat-lab")).args(arguments).output().unwrap()
 }
 
-/// A short run of these figures, read as the page's writer reads it.
-fn measured(figures: &[&str]) -> Slopes {
+/// Runs these figures with tiny sizes and reads the result file.
+fn run_short(figures: &[&str]) -> Slopes {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("slopes.json");
     let mut arguments = vec!["slopes", "--small", "--rounds", "1", "--out", path.to_str().unwrap()];
     figures.iter().for_each(|name| arguments.extend(["--only", name]));
     let out = lab(&arguments);
-    let said = String::from_utf8_lossy(&out.stderr);
-    assert_eq!(out.status.code(), Some(0), "{said}");
+    let stderr = String::from_utf8_lossy(&out.stderr);
+    assert_eq!(out.status.code(), Some(0), "{stderr}");
     let read: Slopes = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
     assert_eq!((read.v, read.kind.as_str(), read.rounds), (VERSION, KIND, 1));
     assert!(
@@ -96,7 +100,10 @@
         "{read:?}"
     );
     let names: Vec<&str> = read.figures.iter().map(|figure| figure.name.as_str()).collect();
-    assert!(figures.is_empty() || names == figures, "what was asked for, in the table's order: {names:?}");
+    assert!(
+        figures.is_empty() || names == figures,
+        "the selected figures, in the order of the table: {names:?}"
+    );
     for figure in &read.figures {
         assert!(figure.points.len() >= 4, "{}", figure.name);
         let values = || figure.points.iter().flat_map(|point| &point.values);
@@ -110,17 +117,16 @@
     figure.points.iter().map(|point| point.values[0]).collect()
 }
 
-/// What is counted is the same each time: lists grow by the server, changes do not, and a broken watch brings the whole
-/// list.
+/// Counts are deterministic: a list grows with the servers, a change does not, and a reconnect transfers the whole list.
 #[test]
-fn counts_grow_as_they_must() {
-    let read = measured(&["change-bytes", "whole-list-bytes", "reconnect-bytes", "reconnect-messages"]);
+fn counted_figures_grow_with_their_drivers() {
+    let read = run_short(&["change-bytes", "whole-list-bytes", "reconnect-bytes", "reconnect-messages"]);
     let [change, list, reconnect, messages] = &read.figures[..] else { panic!("four figures") };
     assert_eq!((change.form, change.unit), (Form::Constant, Unit::Bytes));
     assert_eq!((list.form, list.driver.as_str()), (Form::Linear, "known-servers"));
     assert!((100.0..200.0).contains(&list.slope) && list.residual < 0.02, "bytes a server: {list:?}");
     for (all, one) in values(reconnect).iter().zip(values(list)) {
-        assert!(*all >= one, "the whole list comes with it: {all} of {one}");
+        assert!(*all >= one, "a reconnect transfers the whole list: {all} bytes, list {one}");
     }
     assert_eq!(
         (messages.form, values(messages)[0]),
@@ -129,25 +135,32 @@
     );
 }
 
-/// Voters have those that ask spread their asking, so what a duty costs grows slower than its members.
+/// Voters spread the requests of the candidates for a duty, so the cost of a duty grows slower than its members. A probe
+/// round finds an idle server within a few probes, and sends more where none is idle.
 #[test]
 fn probes_and_leases_are_counted() {
-    let read = measured(&["probe-round", "probe-round-busy", "lease-messages", "lease-bytes"]);
+    let read = run_short(&["probe-round", "probe-round-busy", "lease-messages", "lease-bytes"]);
     for figure in &read.figures {
         assert!(values(figure).iter().all(|value| *value > 0.0), "{figure:?}");
     }
     let [some, busy, ..] = &read.figures[..] else { panic!("four figures") };
-    assert!(values(some).iter().all(|probes| *probes <= 6.0), "an idle one is found soon: {some:?}");
-    assert!(values(busy).last() > values(busy).first(), "where none is idle all are asked: {busy:?}");
+    assert!(
+        values(some).iter().all(|probes| *probes <= 6.0),
+        "an idle server is found within a few probes: {some:?}"
+    );
+    assert!(
+        values(busy).last() > values(busy).first(),
+        "without an idle server, more servers get more probes: {busy:?}"
+    );
 }
 
-/// Every figure of the crates, and the program itself beside its stand-ins, in the short form.
+/// Every figure is measured with tiny sizes, including those of the sidecar's program beside stubs.
 #[test]
 fn every_figure_is_measured_in_the_short_form() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_dunlincleat-lab")).with_file_name("dunlincleat-sidecar");
     let build = ["build", "--locked", "-p", "dunlincleat-sidecar"];
     assert!(Command::new(env!("CARGO")).args(build).status().unwrap().success() && program.is_file());
-    let read = measured(&[]);
+    let read = run_short(&[]);
     let figure = |name: &str| {
         read.figures.iter().find(|figure| figure.name == name).unwrap_or_else(|| panic!("{name}"))
     };
@@ -162,7 +175,7 @@
         assert!(values(figure(name)).iter().all(|value| *value > 0.0), "{name}: {:?}", figure(name));
     }
     let state = values(figure("state"));
-    assert!(state.is_sorted() && state[0] < state[3], "each server known is held: {state:?}");
+    assert!(state.is_sorted() && state[0] < state[3], "state grows with the known servers: {state:?}");
     for name in ["memory-idle", "memory-in-service", "memory-by-calls-60", "memory-by-calls-3100"] {
         let memory = values(figure(name));
         assert!(memory.iter().all(|bytes| *bytes > 1e6), "{name} of a running program: {memory:?}");
@@ -171,19 +184,19 @@
 }
 
 #[test]
-fn an_unknown_figure_is_told_with_those_that_are_known() {
+fn unknown_figure_is_rejected_with_the_known_names() {
     let out = lab(&["slopes", "--only", "memory", "--out", "/nonexistent/slopes.json"]);
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert_eq!(out.status.code(), Some(2), "{said}");
+    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert_eq!(out.status.code(), Some(2), "{stderr}");
     assert!(
-        said.contains("--only: 'memory' is no figure; right would be one of decision, window-step"),
-        "{said}"
+        stderr.contains("--only: unknown figure 'memory'; expected one of decision, window-step"),
+        "{stderr}"
     );
     let out =
         lab(&["slopes", "--only", "memory-idle", "--program", "/nonexistent/sidecar", "--out", "x.json"]);
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
-        out.status.code() == Some(2) && said.contains("--program: /nonexistent/sidecar is no program"),
-        "{said}"
+        out.status.code() == Some(2) && stderr.contains("--program: /nonexistent/sidecar is no program"),
+        "{stderr}"
     );
 }
