--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -39,7 +39,7 @@
     let results = Results::read(&wanted.results)?;
     let tables = tables::all(&plan, &results);
     let Some(path) = &wanted.page else {
-        crate::say(page::filled(PAGE, &tables)?.0.trim_end());
+        crate::print_line(page::filled(PAGE, &tables)?.0.trim_end());
         return Ok(ExitCode::SUCCESS);
     };
     let shown = path.display().to_string();
@@ -53,7 +53,7 @@
         return Ok(ExitCode::SUCCESS);
     }
     for name in &differ {
-        crate::say(&format!("{shown}: table '{name}' is not what the plan and the results give"));
+        crate::print_line(&format!("{shown}: table '{name}' is not what the plan and the results give"));
     }
     Ok(if differ.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
--- a/crates/lab/src/html.rs
+++ b/crates/lab/src/html.rs
@@ -6,7 +6,7 @@
 use plotters::prelude::*;
 use std::fmt::Write;
 
-const SIZE: (u32, u32) = (900, 260);
+const PLOT_SIZE: (u32, u32) = (900, 260);
 const COLOURS: [RGBColor; 7] = [
     RGBColor(120, 60, 140),
     RGBColor(220, 130, 30),
@@ -18,7 +18,7 @@
 ];
 
 /// Text that is safe in the page.
-fn safe(text: &str) -> String {
+fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
@@ -49,8 +49,8 @@
             page,
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{:.3}</td><td>{largest}</td><td>{recovery}</td><td>{:.3}</td><td>{:.3}</td>\
              <td>{:.2}</td><td>{:.2}</td><td{bad}>{broken}</td></tr>",
-            safe(&day.scenario),
-            safe(&day.policy),
+            escape(&day.scenario),
+            escape(&day.policy),
             day.seed,
             day.worth,
             day.connections,
@@ -67,17 +67,23 @@
                 "<p class=\"bad\">Partial: {} of {} days of {} ({}) are here; the run was interrupted.</p>",
                 run.days.len(),
                 run.plan.seeds.len(),
-                safe(&run.plan.plan),
-                safe(&run.plan.policy)
+                escape(&run.plan.plan),
+                escape(&run.plan.policy)
             )?;
         }
         for day in run.days.iter().filter(|day| !day.seconds.is_empty()) {
-            write!(page, "<h2>{}, {}, seed {}</h2>", safe(&day.scenario), safe(&day.policy), day.seed)?;
+            write!(page, "<h2>{}, {}, seed {}</h2>", escape(&day.scenario), escape(&day.policy), day.seed)?;
             for (title, plot) in [
-                ("Goodput, as a part of what was wanted; faults are marked", goodput(day)?),
-                ("Worth lost by cause, as a part of what was wanted", losses(day)?),
-                ("Connections opened and probes sent a second over the fleet, calls for lists", costs(day)?),
-                ("Attempts that arrived at each node: time to the right, nodes upwards", heat(&day.seconds)?),
+                ("Goodput, as a part of what was wanted; faults are marked", goodput_chart(day)?),
+                ("Worth lost by cause, as a part of what was wanted", losses_chart(day)?),
+                (
+                    "Connections opened and probes sent a second over the fleet, calls for lists",
+                    costs_chart(day)?,
+                ),
+                (
+                    "Attempts that arrived at each node: time to the right, nodes upwards",
+                    load_heat_map(&day.seconds)?,
+                ),
             ] {
                 write!(page, "<h3>{title}</h3>{plot}")?;
             }
@@ -87,40 +93,45 @@
     Ok(page)
 }
 
-fn fault(error: impl std::fmt::Display) -> anyhow::Error {
+fn plot_error(error: impl std::fmt::Display) -> anyhow::Error {
     anyhow!("a plot could not be drawn: {error}")
 }
 
-type Line<'a> = (&'a str, RGBColor, Vec<f64>);
+struct Series<'a> {
+    name: &'a str,
+    colour: RGBColor,
+    values: Vec<f64>,
+}
 
 /// Lines over the seconds, with the faults marked behind them.
-fn lines(day: &Report, lines: &[Line]) -> Result<String> {
+fn line_chart(day: &Report, series: &[Series]) -> Result<String> {
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        let most = lines.iter().flat_map(|(_, _, values)| values).copied().fold(0.0, f64::max).max(1e-9);
-        let lasts = day.seconds.len() as f64;
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
+        let max = series.iter().flat_map(|line| &line.values).copied().fold(0.0, f64::max).max(1e-9);
+        let duration_s = day.seconds.len() as f64;
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..lasts.max(1.0), 0.0..most * 1.05)
-            .map_err(fault)?;
-        chart.configure_mesh().disable_x_mesh().x_desc("s").draw().map_err(fault)?;
+            .build_cartesian_2d(0.0..duration_s.max(1.0), 0.0..max * 1.05)
+            .map_err(plot_error)?;
+        chart.configure_mesh().disable_x_mesh().x_desc("s").draw().map_err(plot_error)?;
         for mark in &day.marks {
-            let over = [(mark.from_s, 0.0), (mark.to_s.max(mark.from_s + 0.1).min(lasts), most * 1.05)];
+            let corners =
+                [(mark.from_s, 0.0), (mark.to_s.max(mark.from_s + 0.1).min(duration_s), max * 1.05)];
             let style = RGBColor(200, 60, 60).mix(0.09).filled();
-            chart.draw_series([Rectangle::new(over, style)]).map_err(fault)?;
-            let place = (mark.from_s, most * 1.04);
-            let label = Text::new(mark.name.clone(), place, ("sans-serif", 11));
-            chart.draw_series([label]).map_err(fault)?;
+            chart.draw_series([Rectangle::new(corners, style)]).map_err(plot_error)?;
+            let position = (mark.from_s, max * 1.04);
+            let label = Text::new(mark.name.clone(), position, ("sans-serif", 11));
+            chart.draw_series([label]).map_err(plot_error)?;
         }
-        for (name, colour, values) in lines {
+        for Series { name, colour, values } in series {
             let points = values.iter().enumerate().map(|(n, value)| (n as f64 + 0.5, *value));
             let colour = *colour;
             chart
                 .draw_series(LineSeries::new(points, colour.stroke_width(2)))
-                .map_err(fault)?
+                .map_err(plot_error)?
                 .label(*name)
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2)));
         }
@@ -130,55 +141,58 @@
             .background_style(WHITE.mix(0.8))
             .border_style(RGBColor(200, 200, 200))
             .draw()
-            .map_err(fault)?;
-        area.present().map_err(fault)?;
+            .map_err(plot_error)?;
+        area.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
 
-fn goodput(day: &Report) -> Result<String> {
+fn goodput_chart(day: &Report) -> Result<String> {
     let served = day.seconds.iter().map(|s| s.served / s.wanted.max(1e-9)).collect();
-    lines(day, &[("served", RGBColor(30, 110, 60), served)])
+    line_chart(day, &[Series { name: "served", colour: RGBColor(30, 110, 60), values: served }])
 }
 
-fn losses(day: &Report) -> Result<String> {
+fn losses_chart(day: &Report) -> Result<String> {
     let of = |name: &str| -> Vec<f64> {
         let lost = |s: &Second| s.lost.get(name).copied().unwrap_or(0.0) / s.wanted.max(1e-9);
         day.seconds.iter().map(lost).collect()
     };
-    let all: Vec<Line> =
-        Loss::ALL.iter().zip(COLOURS).map(|((_, name), colour)| (*name, colour, of(name))).collect();
-    lines(day, &all)
+    let series: Vec<Series> = Loss::ALL
+        .iter()
+        .zip(COLOURS)
+        .map(|((_, name), colour)| Series { name, colour, values: of(name) })
+        .collect();
+    line_chart(day, &series)
 }
 
-fn costs(day: &Report) -> Result<String> {
+fn costs_chart(day: &Report) -> Result<String> {
     let of = |figure: fn(&Second) -> u64| day.seconds.iter().map(|s| figure(s) as f64).collect();
-    lines(
+    line_chart(
         day,
         &[
-            ("connections opened", COLOURS[1], of(|s| s.opened)),
-            ("probes", COLOURS[2], of(|s| s.probes)),
-            ("calls for lists", COLOURS[4], of(|s| s.calls)),
+            Series { name: "connections opened", colour: COLOURS[1], values: of(|s| s.opened) },
+            Series { name: "probes", colour: COLOURS[2], values: of(|s| s.probes) },
+            Series { name: "calls for lists", colour: COLOURS[4], values: of(|s| s.calls) },
         ],
     )
 }
 
 /// Load by node: a cell for each node and second, darker where more arrived.
-fn heat(seconds: &[Second]) -> Result<String> {
+fn load_heat_map(seconds: &[Second]) -> Result<String> {
     let nodes = seconds.iter().map(|s| s.arrived.len()).max().unwrap_or(0);
-    let most = seconds.iter().flat_map(|s| &s.arrived).copied().max().unwrap_or(0).max(1);
+    let max = seconds.iter().flat_map(|s| &s.arrived).copied().max().unwrap_or(0).max(1);
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(56)
             .build_cartesian_2d(0..seconds.len().max(1), 0..nodes.max(1))
-            .map_err(fault)?;
-        chart.configure_mesh().disable_mesh().x_desc("s").draw().map_err(fault)?;
+            .map_err(plot_error)?;
+        chart.configure_mesh().disable_mesh().x_desc("s").draw().map_err(plot_error)?;
         // One cell for neighbours of one shade: two hundred nodes over a minute are twelve thousand else.
-        let shade = |count: u32| (count * 9).div_ceil(most);
+        let shade = |count: u32| (count * 9).div_ceil(max);
         for (at, second) in seconds.iter().enumerate() {
             let mut from = 0;
             for node in 1..=second.arrived.len() {
@@ -189,12 +203,12 @@
                 if level > 0 {
                     let style = RGBColor(20, 60, 130).mix(f64::from(level) / 9.0).filled();
                     let cell = Rectangle::new([(at, from), (at + 1, node)], style);
-                    chart.draw_series([cell]).map_err(fault)?;
+                    chart.draw_series([cell]).map_err(plot_error)?;
                 }
                 from = node;
             }
         }
-        area.present().map_err(fault)?;
+        area.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
--- a/crates/lab/src/html/tests.rs
+++ b/crates/lab/src/html/tests.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn a_page_stands_alone_and_says_what_is_partial() {
+fn page_is_self_contained_and_marks_partial_runs() {
     let seconds = (0..20)
         .map(|n| Second {
             wanted: 100.0,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,29 +4,29 @@
 #![forbid(unsafe_code)]
 
 mod capacity;
-mod days;
 mod demo;
 mod gate;
 mod html;
 mod memory;
 mod plan;
+mod processes;
 mod real;
 mod results;
-mod runs;
 mod scale;
+mod simulations;
 mod slopes;
 mod soak;
 mod trial;
 
 use anyhow::{Context, Result, bail};
 use clap::{Parser, Subcommand};
-use days::{Day, File, mean, part_of, play_all, policy_of};
 use dunlincleat_fleet::baseline::Choice;
 use dunlincleat_fleet::report::Report;
 use dunlincleat_fleet::world::Policy;
 use dunlincleat_trial::stubs::Stub;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use simulations::{ScenarioFile, Simulation, mean, parse_mechanism, parse_policy, simulate_all};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -44,9 +44,9 @@
 #[derive(Subcommand)]
 enum Command {
     /// Twenty seconds of the real sidecar on loopback, with a server stalled and one drained; exit 1 where a rule was broken
-    Demo(demo::Wanted),
+    Demo(demo::DemoArgs),
     /// Many processes of the program under faults; exit 0 where every property held, 1 broken, 2 nothing can be said
-    Trial(trial::Wanted),
+    Trial(trial::TrialArgs),
     /// Write the tables of a capacity page from a plan and the results of runs; with --check exit 1 where a page differs
     Capacity(capacity::Wanted),
     /// What a real sidecar adds to a call, by servers known; exit 0 where the limits are kept, 1 broken, 2 nothing can be said
@@ -65,7 +65,7 @@
     Stand {
         /// Which
         #[command(subcommand)]
-        stand: Stub,
+        stub: Stub,
     },
     /// Become a program that ends with the rig
     #[command(hide = true)]
@@ -156,55 +156,60 @@
     },
 }
 
-fn say(text: &str) {
+fn print_line(text: &str) {
     // A reader that has gone is no fault.
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
 /// The 95% interval of a mean, by drawing from the values again and again.
-fn interval(values: &[f64]) -> (f64, f64) {
+fn bootstrap_interval(values: &[f64]) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(1);
-    let drawn = |rng: &mut SmallRng| {
+    let resampled_mean = |rng: &mut SmallRng| {
         mean(&values.iter().map(|_| values[rng.random_range(0..values.len())]).collect::<Vec<_>>())
     };
-    let mut means: Vec<f64> = (0..2000).map(|_| drawn(&mut rng)).collect();
+    let mut means: Vec<f64> = (0..2000).map(|_| resampled_mean(&mut rng)).collect();
     means.sort_by(f64::total_cmp);
     (means[50], means[1949])
 }
 
-fn days_of(file: &File, policy: Policy, seeds: &[u64], scale: f64) -> Result<Vec<Day>> {
+fn simulations_for(
+    file: &ScenarioFile,
+    policy: Policy,
+    seeds: &[u64],
+    scale: f64,
+) -> Result<Vec<Simulation>> {
     if !(scale > 0.0 && scale <= 100.0) {
         bail!("--scale: {scale} is not over 0 and at most 100");
     }
-    let day = |seed: &u64| -> Result<Day> {
-        let scenario = file.drawn(*seed)?;
+    let simulation = |seed: &u64| -> Result<Simulation> {
+        let scenario = file.sample(*seed)?;
         let scenario = if scale == 1.0 { scenario } else { scenario.scaled(scale) };
-        Ok(Day { scenario, policy, seed: *seed })
+        Ok(Simulation { scenario, policy, seed: *seed })
     };
-    seeds.iter().map(day).collect()
+    seeds.iter().map(simulation).collect()
 }
 
 fn run() -> Result<ExitCode> {
     match Cli::parse().command {
-        Command::Demo(wanted) => demo::run(wanted),
-        Command::Trial(wanted) => trial::run(wanted),
+        Command::Demo(args) => demo::run(args),
+        Command::Trial(args) => trial::run(args),
         Command::Capacity(wanted) => capacity::run(&wanted),
         Command::Slopes(wanted) => slopes::run(wanted),
         Command::Added(wanted) => real::run(&wanted),
         Command::Scale(wanted) => scale::run(wanted),
         Command::Control => dunlincleat_trial::control::run().map(|()| ExitCode::SUCCESS),
         Command::Hollow => dunlincleat_hollow::run(memory::allocated).map(|()| ExitCode::SUCCESS),
-        Command::Stand { stand } => dunlincleat_trial::stubs::run(stand).map(|()| ExitCode::SUCCESS),
+        Command::Stand { stub } => dunlincleat_trial::stubs::run(stub).map(|()| ExitCode::SUCCESS),
         Command::Tether { parent, program } => match dunlincleat_trial::child::tether(parent, &program)? {},
         Command::Run { scenario, seed, seeds, policy, scale, seconds, out } => {
-            let (file, of) = (File::read(&scenario)?, policy_of(&policy)?);
+            let (file, policy_under_test) = (ScenarioFile::read(&scenario)?, parse_policy(&policy)?);
             let all: Vec<u64> = (seed..seed.saturating_add(seeds)).collect();
-            let days = days_of(&file, of, &all, scale)?;
+            let days = simulations_for(&file, policy_under_test, &all, scale)?;
             let reports = match out {
                 None => {
-                    let reports = play_all(&days, seconds, |_, _| {})?;
+                    let reports = simulate_all(&days, seconds, |_, _| {})?;
                     for report in &reports {
-                        say(&serde_json::to_string(report)?);
+                        print_line(&serde_json::to_string(report)?);
                     }
                     reports
                 }
@@ -212,7 +217,7 @@
                     let plan = scenario.display().to_string();
                     let writer = Mutex::new(results::Writer::begin(&path, &plan, &policy, &all)?);
                     let fault = Mutex::new(None);
-                    let reports = play_all(&days, seconds, |_, report| {
+                    let reports = simulate_all(&days, seconds, |_, report| {
                         let written = writer.lock().map(|mut writer| writer.line(report));
                         if let (Ok(Err(error)), Ok(mut fault)) = (written, fault.lock()) {
                             *fault = Some(error);
@@ -231,33 +236,34 @@
             if seeds < 2 {
                 bail!("--seeds: at least 2, or there is no interval");
             }
-            let file = File::read(&scenario)?;
+            let file = ScenarioFile::read(&scenario)?;
             let seeds: Vec<u64> = (1..=seeds).collect();
-            let played = |name: &str| -> Result<Vec<Report>> {
-                play_all(&days_of(&file, policy_of(name)?, &seeds, scale)?, false, |_, _| {})
+            let simulated = |name: &str| -> Result<Vec<Report>> {
+                simulate_all(&simulations_for(&file, parse_policy(name)?, &seeds, scale)?, false, |_, _| {})
             };
-            let (first, second) = (played(&a)?, played(&b)?);
-            let differ: Vec<f64> = first.iter().zip(&second).map(|(a, b)| a.worth - b.worth).collect();
-            let (low, high) = interval(&differ);
-            let worths = |reports: &[Report]| mean(&reports.iter().map(|r| r.worth).collect::<Vec<_>>());
-            say(&format!(
+            let (first, second) = (simulated(&a)?, simulated(&b)?);
+            let differences: Vec<f64> = first.iter().zip(&second).map(|(a, b)| a.worth - b.worth).collect();
+            let (low, high) = bootstrap_interval(&differences);
+            let mean_worth = |reports: &[Report]| mean(&reports.iter().map(|r| r.worth).collect::<Vec<_>>());
+            print_line(&format!(
                 "{}: {a} {:.3}, {b} {:.3}; difference {:+.3}, 95% from {low:+.3} to {high:+.3} ({} paired seeds)",
                 first.first().map_or("", |report| &report.scenario),
-                worths(&first),
-                worths(&second),
-                mean(&differ),
+                mean_worth(&first),
+                mean_worth(&second),
+                mean(&differences),
                 seeds.len()
             ));
             Ok(ExitCode::SUCCESS)
         }
         Command::Table { folder, seeds, scale } => table(&folder, seeds, scale),
         Command::Gate { folder, without } => {
-            let policy = without.map_or(Ok(Policy::Module), |name| part_of(&name).map(Policy::Without))?;
-            let (shown, fails) = gate::gate(&folder, policy)?;
-            shown.iter().for_each(|line| say(line));
-            fails.iter().for_each(|line| say(&format!("FAILED: {line}")));
-            say(if fails.is_empty() { "gate passed" } else { "gate failed" });
-            Ok(if fails.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(1) })
+            let policy =
+                without.map_or(Ok(Policy::Module), |name| parse_mechanism(&name).map(Policy::Without))?;
+            let (summary, failures) = gate::run_gate(&folder, policy)?;
+            summary.iter().for_each(|line| print_line(line));
+            failures.iter().for_each(|line| print_line(&format!("FAILED: {line}")));
+            print_line(if failures.is_empty() { "gate passed" } else { "gate failed" });
+            Ok(if failures.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(1) })
         }
         Command::Report { folder, out } => {
             let entries = std::fs::read_dir(&folder).with_context(|| folder.display().to_string())?;
@@ -267,33 +273,33 @@
             let runs = paths.iter().map(|path| results::read(path)).collect::<Result<Vec<_>>>()?;
             let page = html::page(&runs.concat()).with_context(|| folder.display().to_string())?;
             match out {
-                None => say(&page),
+                None => print_line(&page),
                 Some(path) => std::fs::write(&path, page).with_context(|| path.display().to_string())?,
             }
             Ok(ExitCode::SUCCESS)
         }
         Command::Size { scenario, scale, seed } => {
-            let file = File::read(&scenario)?;
-            let day = days_of(&file, Policy::Module, &[seed], scale)?.remove(0);
-            let begun = Instant::now();
-            let report = play_all(std::slice::from_ref(&day), false, |_, _| {})?.remove(0);
-            let took = begun.elapsed();
-            let held = memory::an_instance(&day.scenario, Policy::Module, seed)?;
-            let instances = day.scenario.traffic.instances;
+            let file = ScenarioFile::read(&scenario)?;
+            let simulation = simulations_for(&file, Policy::Module, &[seed], scale)?.remove(0);
+            let started = Instant::now();
+            let report = simulate_all(std::slice::from_ref(&simulation), false, |_, _| {})?.remove(0);
+            let elapsed = started.elapsed();
+            let instance_bytes = memory::mean_instance_bytes(&simulation.scenario, Policy::Module, seed)?;
+            let instances = simulation.scenario.traffic.instances;
             let attempts = report.attempts * report.wanted as f64;
-            say(
+            print_line(
                 "| instances | nodes | requests | real time | peak memory | an instance | an attempt | worth | rules |",
             );
-            say("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-            say(&format!(
+            print_line("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+            print_line(&format!(
                 "| {instances} | {} | {} | {:.1} s | {:.0} MiB | {:.1} KiB, {:.1} ms | {:.2} us | {:.3} | {} |",
-                day.scenario.fleet.nodes,
+                simulation.scenario.fleet.nodes,
                 report.wanted,
-                took.as_secs_f64(),
-                memory::peak() as f64 / f64::from(1 << 20),
-                held / 1024.0,
-                took.as_secs_f64() * 1e3 / instances as f64,
-                took.as_secs_f64() * 1e6 / attempts.max(1.0),
+                elapsed.as_secs_f64(),
+                memory::peak_bytes() as f64 / f64::from(1 << 20),
+                instance_bytes / 1024.0,
+                elapsed.as_secs_f64() * 1e3 / instances as f64,
+                elapsed.as_secs_f64() * 1e6 / attempts.max(1.0),
                 report.worth,
                 if report.broken.is_empty() { "kept" } else { "BROKEN" }
             ));
@@ -303,20 +309,20 @@
 }
 
 fn table(folder: &Path, seeds: u64, scale: f64) -> Result<ExitCode> {
-    let files = File::folder(folder)?;
+    let files = ScenarioFile::read_folder(folder)?;
     let seeds: Vec<u64> = (1..=seeds).collect();
     let mut policies = vec![("module", Policy::Module)];
     policies.extend(Choice::ALL.map(|(name, choice)| (name, Policy::Baseline(choice))));
-    let mut days = Vec::new();
+    let mut simulations = Vec::new();
     for file in &files {
         for (_, policy) in &policies {
-            days.extend(days_of(file, *policy, &seeds, scale)?);
+            simulations.extend(simulations_for(file, *policy, &seeds, scale)?);
         }
     }
-    let reports = play_all(&days, false, |_, _| {})?;
+    let reports = simulate_all(&simulations, false, |_, _| {})?;
     let names: Vec<&str> = policies.iter().map(|(name, _)| *name).collect();
-    say(&format!("| scenario | {} |", names.join(" | ")));
-    say(&format!("| --- |{}", " --- |".repeat(names.len())));
+    print_line(&format!("| scenario | {} |", names.join(" | ")));
+    print_line(&format!("| --- |{}", " --- |".repeat(names.len())));
     let mut broken = false;
     for of_scenario in reports.chunks(policies.len() * seeds.len()) {
         let cells = of_scenario.chunks(seeds.len()).map(|days| {
@@ -326,7 +332,7 @@
         });
         let cells: Vec<String> = cells.collect();
         broken |= of_scenario[..seeds.len()].iter().any(|day| !day.broken.is_empty());
-        say(&format!("| {} | {} |", of_scenario[0].scenario, cells.join(" | ")));
+        print_line(&format!("| {} | {} |", of_scenario[0].scenario, cells.join(" | ")));
     }
     Ok(if broken { ExitCode::from(1) } else { ExitCode::SUCCESS })
 }
--- a/crates/lab/src/memory.rs
+++ b/crates/lab/src/memory.rs
@@ -15,12 +15,12 @@
 }
 
 /// Bytes that an instance holds at the end of a day, in the mean. Nothing else may run meanwhile.
-pub fn an_instance(scenario: &Scenario, policy: Policy, seed: u64) -> Result<f64> {
+pub fn mean_instance_bytes(scenario: &Scenario, policy: Policy, seed: u64) -> Result<f64> {
     let memory = instance_memory(scenario, policy, seed, allocated)?;
     Ok(memory.bytes as f64 / memory.instances.max(1) as f64)
 }
 
 /// The most that was ever allocated, in bytes.
-pub fn peak() -> usize {
+pub fn peak_bytes() -> usize {
     ALLOCATOR.max_allocated()
 }
--- a/crates/lab/src/runs.rs
+++ b/crates/lab/src/processes.rs
@@ -6,9 +6,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// This program, and the one under test.
-pub fn programs(name: &str, flag: &str, told: Option<&Path>) -> Result<(PathBuf, PathBuf)> {
+pub fn locate_programs(name: &str, flag: &str, given: Option<&Path>) -> Result<(PathBuf, PathBuf)> {
     let lab = std::env::current_exe()?;
-    let program = told.map_or_else(|| lab.with_file_name(name), Path::to_path_buf);
+    let program = given.map_or_else(|| lab.with_file_name(name), Path::to_path_buf);
     if !program.is_file() {
         bail!(
             "{flag}: {} is no program; `cargo build --release` builds it beside this one",
@@ -19,13 +19,13 @@
 }
 
 /// Works to the end; none where that was ended by hand, and all that it started with it.
-pub fn or_stopped<T>(work: impl Future<Output = Result<T>>) -> Result<Option<T>> {
+pub fn run_until_signal<T>(work: impl Future<Output = Result<T>>) -> Result<Option<T>> {
     actix_rt::System::new().block_on(async move {
         tokio::select! {
-            done = work => done.map(Some),
-            stopped = told_to_end() => {
-                stopped.context("signals")?;
-                crate::say("stopped by hand");
+            result = work => result.map(Some),
+            signal = termination_signal() => {
+                signal.context("signals")?;
+                crate::print_line("stopped by hand");
                 Ok(None)
             }
         }
@@ -33,9 +33,9 @@
 }
 
 /// The first of the signals that end a program: so that what was started is ended in order.
-pub async fn told_to_end() -> std::io::Result<()> {
-    let mut end = [SignalKind::interrupt(), SignalKind::terminate(), SignalKind::hangup()].map(signal);
-    let [Ok(interrupt), Ok(terminate), Ok(hangup)] = &mut end else {
+pub async fn termination_signal() -> std::io::Result<()> {
+    let mut signals = [SignalKind::interrupt(), SignalKind::terminate(), SignalKind::hangup()].map(signal);
+    let [Ok(interrupt), Ok(terminate), Ok(hangup)] = &mut signals else {
         return Err(std::io::Error::other("they can't be waited for"));
     };
     tokio::select! {
@@ -47,23 +47,23 @@
 }
 
 /// One line of a time line.
-pub fn line(event: &Event, start: u64) -> String {
-    let at = event.at as f64 - start as f64;
+pub fn timeline_line(event: &Event, start: u64) -> String {
+    let elapsed_us = event.at as f64 - start as f64;
     let what = match &event.what {
         EventKind::FaultInjected { fault } => fault.to_string(),
         EventKind::Up { process, pid } => format!("{process} serves, process {pid}"),
-        EventKind::Down { process, how, expected: told } => {
-            format!("{process} {how}{}", if *told { "" } else { ", by itself" })
+        EventKind::Down { process, how, expected } => {
+            format!("{process} {how}{}", if *expected { "" } else { ", by itself" })
         }
         other => serde_json::to_string(other).unwrap_or_default(),
     };
-    format!("{:8.3} s  {what}", at / 1e6)
+    format!("{:8.3} s  {what}", elapsed_us / 1e6)
 }
 
 /// Proves that a flag's value is within its range.
-pub fn ranged(flag: &str, value: u64, least: u64, most: u64) -> Result<()> {
-    if !(least..=most).contains(&value) {
-        bail!("--{flag}: {value} is not from {least} to {most}");
+pub fn check_range(flag: &str, value: u64, min: u64, max: u64) -> Result<()> {
+    if !(min..=max).contains(&value) {
+        bail!("--{flag}: {value} is not from {min} to {max}");
     }
     Ok(())
 }
--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -1,7 +1,7 @@
 //! What a sidecar adds to a call, by the servers that it knows: real sidecars beside stand-in servers, each call paired with
 //! one the direct way in the same run. Also the result file, that pages are written from.
 
-use crate::runs::{or_stopped, programs, ranged};
+use crate::processes::{check_range, locate_programs, run_until_signal};
 use anyhow::{Context, Result, bail};
 use clap::Args;
 use dunlincleat_trial::audit::{Bounds, Verdict};
@@ -155,13 +155,13 @@
 /// Runs it: 0 where every point is kept, 1 where one is broken, 2 where one is void, 130 where it was ended by hand.
 pub fn run(wanted: &Wanted) -> Result<ExitCode> {
     for known in &wanted.known {
-        ranged("known", *known as u64, CALLED_SERVERS as u64, 10_000)?;
+        check_range("known", *known as u64, CALLED_SERVERS as u64, 10_000)?;
     }
-    ranged("real", wanted.real as u64, 0, 16)?;
-    ranged("rate", wanted.rate, 1, 1000)?;
-    ranged("depth", wanted.depth, 1, 1)?;
-    ranged("lasts", wanted.lasts, 2, 120)?;
-    ranged("rounds", wanted.rounds, 1, 20)?;
+    check_range("real", wanted.real as u64, 0, 16)?;
+    check_range("rate", wanted.rate, 1, 1000)?;
+    check_range("depth", wanted.depth, 1, 1)?;
+    check_range("lasts", wanted.lasts, 2, 120)?;
+    check_range("rounds", wanted.rounds, 1, 20)?;
     if wanted.rate * wanted.real as u64 > MOST_PER_S {
         bail!(
             "--rate {} with --real {}: {} calls a second; right would be {MOST_PER_S} or fewer",
@@ -177,7 +177,7 @@
     if wanted.out.is_dir() || folder.is_some_and(|folder| !folder.is_dir()) {
         bail!("--out: {}: right would be a file in a folder that is there", wanted.out.display());
     }
-    let (lab, program) = programs("dunlincleat-sidecar", "--program", wanted.program.as_deref())?;
+    let (lab, program) = locate_programs("dunlincleat-sidecar", "--program", wanted.program.as_deref())?;
     let callers = |known: usize, seed: u64| Callers {
         lab: lab.clone(),
         program: program.clone(),
@@ -208,7 +208,7 @@
                 let found = callers(known, wanted.seed.wrapping_mul(1000).wrapping_add(round)).run().await;
                 let found = found.with_context(|| format!("{known} servers known, round {round}"))?;
                 let sum = |of: &dyn Fn(&SecondSample) -> u64| -> u64 { found.seconds.iter().map(of).sum() };
-                crate::say(&format!(
+                crate::print_line(&format!(
                     "round {round}: {known} known, {} of {} calls served through sidecars, {} of {} directly",
                     sum(&|second| served(&second.via_sidecar)),
                     sum(&|second| second.via_sidecar.due),
@@ -220,7 +220,7 @@
         }
         Ok(seen)
     };
-    let Some(seen) = or_stopped(work)? else { return Ok(ExitCode::from(130)) };
+    let Some(seen) = run_until_signal(work)? else { return Ok(ExitCode::from(130)) };
     let points: Vec<Point> =
         wanted.known.iter().zip(&seen).map(|(known, rounds)| point(wanted, *known, rounds)).collect();
     table(&points);
@@ -252,14 +252,14 @@
 }
 
 fn table(points: &[Point]) {
-    crate::say(
+    crate::print_line(
         "| known | direct p50, p99 us | through p50, p99 us | added p50 us | added p99 us (95%) | processor us a call \
          | resident MB | served, refused, lost | verdict |",
     );
-    crate::say("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    crate::print_line("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for p in points {
         let said = format!("{:?}", p.verdict).to_lowercase();
-        crate::say(&format!(
+        crate::print_line(&format!(
             "| {} | {:.0}, {:.0} | {:.0}, {:.0} | {:.0} | {:.0} ({:.0} to {:.0}) | {:.0} | {:.1} | {}, {}, {} | {said} |",
             p.known,
             p.direct_p50_us,
@@ -278,7 +278,7 @@
         ));
     }
     for p in points {
-        p.why.iter().for_each(|why| crate::say(&format!("{} known: {why}", p.known)));
+        p.why.iter().for_each(|why| crate::print_line(&format!("{} known: {why}", p.known)));
     }
 }
 
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -6,7 +6,7 @@
 pub mod play;
 pub mod result;
 
-use crate::runs::{programs, told_to_end};
+use crate::processes::{locate_programs, termination_signal};
 use anyhow::{Context, Result, anyhow, bail};
 use clap::Args;
 use fleet::Figures;
@@ -265,7 +265,7 @@
         days = DayName::ALL.iter().map(|(_, day)| *day).collect();
     }
     let (lab, program) = if wanted.real > 0 {
-        programs("dunlincleat-sidecar", "--program", wanted.program.as_deref())?
+        locate_programs("dunlincleat-sidecar", "--program", wanted.program.as_deref())?
     } else {
         (std::env::current_exe()?, PathBuf::new())
     };
@@ -308,9 +308,9 @@
     let played = actix_rt::System::new().block_on(async {
         tokio::select! {
             played = all(&plays, &days, &wanted) => played.map(Some),
-            stopped = told_to_end() => {
+            stopped = termination_signal() => {
                 stopped.context("signals")?;
-                crate::say("stopped by hand");
+                crate::print_line("stopped by hand");
                 Ok(None)
             }
         }
@@ -334,20 +334,20 @@
 async fn all(plays: &[Play], days: &[DayName], wanted: &Wanted) -> Result<ScaleResult> {
     let mut runs = Vec::new();
     for of in plays {
-        crate::say(&format!(
+        crate::print_line(&format!(
             "{} endpoints, {} hollow and {} real sidecars, {} control machines",
             of.size, of.hollow, of.real, of.controls
         ));
         let told = |day: &DayResult| {
-            crate::say(&line(of.size, day));
-            day.why.iter().for_each(|why| crate::say(&format!("      {why}")));
+            crate::print_line(&line(of.size, day));
+            day.why.iter().for_each(|why| crate::print_line(&format!("      {why}")));
         };
         runs.push(play(of, days, told).await?);
     }
     let mut hollow_real = None;
     if let (true, Some(first)) = (wanted.real > 0, plays.first()) {
         let told = hollow_against_real(first).await?;
-        crate::say(&format!(
+        crate::print_line(&format!(
             "hollow against real: messages {} and {}, bytes {} and {}, processor time {:.2}, memory {:.2} of the real \
              one's{}",
             told.messages[0],
--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab/src/slopes/mod.rs
@@ -403,7 +403,10 @@
     let groups = wanted_groups(&wanted.only)?;
     let rounds = wanted.rounds as usize;
     let program = match groups.iter().any(|group| group.program) {
-        true => crate::runs::programs("dunlincleat-sidecar", "--program", wanted.program.as_deref())?.1,
+        true => {
+            crate::processes::locate_programs("dunlincleat-sidecar", "--program", wanted.program.as_deref())?
+                .1
+        }
         false => PathBuf::new(),
     };
     let (effort, many) = if wanted.small { (1000.0, 96) } else { (50_000.0, 3100) };
@@ -458,7 +461,7 @@
         }
     }
     for figure in &figures {
-        crate::say(&told(figure));
+        crate::print_line(&told(figure));
     }
     // Where a machine keeps its files is nothing that a result should tell.
     let name = |told: String| match PathBuf::from(&told).is_absolute() {
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -18,54 +18,60 @@
     if let Some(out) = out {
         std::fs::create_dir_all(out).with_context(|| out.display().to_string())?;
     }
-    let (mut broken, mut void) = (0, 0);
+    let (mut broken_seeds, mut void_seeds) = (0, 0);
     for seed in seeds {
         let log = out.map(|out| out.join(format!("soak-{seed}.log")));
         let soak = Soak { lab: lab.to_owned(), program: program.to_owned(), seed, bounds, log };
-        let Some(soaked) = crate::runs::or_stopped(soak.run())? else { return Ok(ExitCode::from(130)) };
-        tell(&soaked, seed);
-        match &soaked.verdict {
+        let Some(outcome) = crate::processes::run_until_signal(soak.run())? else {
+            return Ok(ExitCode::from(130));
+        };
+        print_outcome(&outcome, seed);
+        match &outcome.verdict {
             Verdict::Kept => {}
-            Verdict::Broken(_) => broken += 1,
-            Verdict::Void(_) => void += 1,
+            Verdict::Broken(_) => broken_seeds += 1,
+            Verdict::Void(_) => void_seeds += 1,
         }
         if let Some(out) = out {
-            let lines: Vec<String> =
-                soaked.history.iter().map(|event| crate::runs::line(event, soaked.start)).collect();
+            let lines: Vec<String> = outcome
+                .history
+                .iter()
+                .map(|event| crate::processes::timeline_line(event, outcome.start))
+                .collect();
             std::fs::write(out.join(format!("soak-{seed}.txt")), lines.join("\n") + "\n")?;
         }
     }
-    crate::say(&format!("{broken} seeds broken, {void} void"));
-    Ok(ExitCode::from(if broken > 0 {
+    crate::print_line(&format!("{broken_seeds} seeds broken, {void_seeds} void"));
+    Ok(ExitCode::from(if broken_seeds > 0 {
         1
-    } else if void > 0 {
+    } else if void_seeds > 0 {
         2
     } else {
         0
     }))
 }
 
-fn tell(soaked: &SoakOutcome, seed: u64) {
-    let SoakOutcome { plan, verdict, counts, start, .. } = soaked;
-    let mut drawn = vec![format!("deadline {} ms", plan.max_deadline.as_millis())];
-    let ills = [("crowd", plan.crowd), ("discovery down", plan.discovery_down)];
-    drawn.extend(ills.into_iter().filter(|(_, is)| *is).map(|(ill, _)| ill.to_owned()));
+fn print_outcome(outcome: &SoakOutcome, seed: u64) {
+    let SoakOutcome { plan, verdict, counts, start, .. } = outcome;
+    let mut conditions = vec![format!("deadline {} ms", plan.max_deadline.as_millis())];
+    let drawn_faults = [("crowd", plan.crowd), ("discovery down", plan.discovery_down)];
+    conditions
+        .extend(drawn_faults.into_iter().filter(|(_, active)| *active).map(|(name, _)| name.to_owned()));
     let (hung, slow, signals) = (plan.hung.len(), plan.slow.len(), plan.signals.len());
-    drawn.push(format!("{hung} hung, {slow} slow, {signals} signals"));
-    let said = match verdict {
+    conditions.push(format!("{hung} hung, {slow} slow, {signals} signals"));
+    let verdict_text = match verdict {
         Verdict::Kept => "KEPT".to_owned(),
         Verdict::Void(late) => format!("VOID, the rig ran {} ms late", late / 1000),
         Verdict::Broken(broken) => format!("BROKEN {} times", broken.len()),
     };
-    let audit = format!(
+    let counts_text = format!(
         "{} asked, {} served, {} refused, {} failed, {} crossed a close, {} left",
         counts.asked, counts.served, counts.refused, counts.failed, counts.crossed, counts.left
     );
-    crate::say(&format!("seed {seed}: {said}: {audit} ({})", drawn.join(", ")));
+    crate::print_line(&format!("seed {seed}: {verdict_text}: {counts_text} ({})", conditions.join(", ")));
     if let Verdict::Broken(broken) = verdict {
-        for fault in broken.iter().take(10) {
-            let at = fault.at.saturating_sub(*start) as f64 / 1e6;
-            crate::say(&format!("  BROKEN {}: at {at:.3} s: {}", fault.property, fault.what));
+        for violation in broken.iter().take(10) {
+            let at = violation.at.saturating_sub(*start) as f64 / 1e6;
+            crate::print_line(&format!("  BROKEN {}: at {at:.3} s: {}", violation.property, violation.what));
         }
     }
 }
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// The program of this name, built beside the lab.
-pub fn program(name: &str) -> PathBuf {
+pub fn build_program(name: &str) -> PathBuf {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_dunlincleat-lab")).with_file_name(name);
     let build = ["build", "--locked", "-p", "dunlincleat-sidecar"];
     let built = Command::new(env!("CARGO")).args(build).status().unwrap();
@@ -20,13 +20,13 @@
 }
 
 /// Plays a trial; one that is void, as the machine was too busy, says nothing and is played again, twice at the most.
-pub fn played(arguments: &[&str]) -> Output {
-    program("dunlincleat");
-    let play = || lab().args(arguments).output().unwrap();
-    let mut out = play();
+pub fn run_trial(arguments: &[&str]) -> Output {
+    build_program("dunlincleat");
+    let run = || lab().args(arguments).output().unwrap();
+    let mut out = run();
     for _ in 0..2 {
         if out.status.code() == Some(2) && String::from_utf8_lossy(&out.stdout).contains("VOID") {
-            out = play();
+            out = run();
         }
     }
     out
@@ -34,7 +34,7 @@
 
 /// The processes that a run has started, once there are so many.
 pub fn children(run: &Child, wanted: usize, within: Duration) -> Vec<String> {
-    let end = Instant::now() + within;
+    let deadline = Instant::now() + within;
     loop {
         let path = format!("/proc/{0}/task/{0}/children", run.id());
         let found = std::fs::read_to_string(path).unwrap_or_default();
@@ -42,22 +42,22 @@
         if found.len() == wanted {
             return found;
         }
-        assert!(Instant::now() < end, "{} of {wanted} processes", found.len());
+        assert!(Instant::now() < deadline, "{} of {wanted} processes", found.len());
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn lives(id: &str) -> bool {
-    let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
+fn is_running(pid: &str) -> bool {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     stat.rsplit(')').next().is_some_and(|rest| !rest.is_empty() && !rest.trim().starts_with('Z'))
 }
 
 /// Waits until none of them runs.
-pub fn all_end(children: &[String], within: Duration) {
-    let end = Instant::now() + within;
-    while children.iter().any(|id| lives(id)) {
-        let still: Vec<&String> = children.iter().filter(|id| lives(id)).collect();
-        assert!(Instant::now() < end, "{still:?} still run");
+pub fn wait_for_exit(children: &[String], within: Duration) {
+    let deadline = Instant::now() + within;
+    while children.iter().any(|pid| is_running(pid)) {
+        let running: Vec<&String> = children.iter().filter(|pid| is_running(pid)).collect();
+        assert!(Instant::now() < deadline, "{running:?} still run");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/lab/tests/real.rs
+++ b/crates/lab/tests/real.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{all_end, children, program};
+use common::{build_program, children, wait_for_exit};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The sidecar, built once beside the lab.
-static SIDECAR: LazyLock<PathBuf> = LazyLock::new(|| program("dunlincleat-sidecar"));
+static SIDECAR: LazyLock<PathBuf> = LazyLock::new(|| build_program("dunlincleat-sidecar"));
 /// How long processes may take to begin and to end.
 const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -49,7 +49,7 @@
         .unwrap();
     let children = children(&run, 2 + 2, PATIENCE);
     let done = run.wait_with_output().unwrap();
-    all_end(&children, PATIENCE);
+    wait_for_exit(&children, PATIENCE);
     let text = String::from_utf8_lossy(&done.stdout);
     assert_eq!(done.status.code(), Some(0), "{text}{}", String::from_utf8_lossy(&done.stderr));
     let points = points(&out);
@@ -93,7 +93,7 @@
     let children = children(&run, 3 + 2, PATIENCE);
     run.kill().unwrap();
     run.wait().unwrap();
-    all_end(&children, PATIENCE);
+    wait_for_exit(&children, PATIENCE);
 }
 
 /// What can't be played is refused before anything starts, with the flag, its value and what would be right.
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{all_end, children, lab, program};
+use common::{build_program, children, lab, wait_for_exit};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -21,7 +21,7 @@
 /// the whole list, each message that control wrote was taken, and a hollow one is sent what a real one is.
 #[test]
 fn a_hundred_sidecars_have_every_change_in_force() {
-    program("dunlincleat-sidecar");
+    build_program("dunlincleat-sidecar");
     let common = ["scale", "--counts", "--sizes", "102", "--hollow", "100", "--real", "2", "--lasts", "4"];
     let days = ["--days", "changes-peak,restarts,zone,control-killed,reconnects", "--waits", "60"];
     let out = lab().args(common).args(days).output().unwrap();
@@ -67,7 +67,7 @@
 /// A rig that is killed leaves nothing behind.
 #[test]
 fn nothing_outlives_a_scale_run_that_is_killed() {
-    program("dunlincleat-sidecar");
+    build_program("dunlincleat-sidecar");
     let mut rig = lab()
         .args(["scale", "--sizes", "12", "--hollow", "10", "--real", "2", "--lasts", "60"])
         .args(["--days", "all-anew,changes-peak"])
@@ -80,7 +80,7 @@
     let children = children(&rig, 8, PATIENCE);
     rig.kill().unwrap();
     rig.wait().unwrap();
-    all_end(&children, PATIENCE);
+    wait_for_exit(&children, PATIENCE);
 }
 
 /// A control machine, told what the rig would tell it.
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -3,13 +3,13 @@
 
 mod common;
 
-use common::{all_end, children, lab, played, program};
+use common::{build_program, children, lab, run_trial, wait_for_exit};
 use std::process::Stdio;
 use std::time::Duration;
 
 /// Plays these seeds one after another; every one of them has to be kept.
-fn kept(first: u64, seeds: u64) {
-    let out = played(&["trial", "soak", "--seed", &first.to_string(), "--seeds", &seeds.to_string()]);
+fn assert_kept(first_seed: u64, seeds: u64) {
+    let out = run_trial(&["trial", "soak", "--seed", &first_seed.to_string(), "--seeds", &seeds.to_string()]);
     let text = String::from_utf8_lossy(&out.stdout);
     assert_eq!(out.status.code(), Some(0), "{text}{}", String::from_utf8_lossy(&out.stderr));
     assert_eq!(text.matches(": KEPT: ").count() as u64, seeds, "{text}");
@@ -18,21 +18,21 @@
 /// No request is lost, nothing runs twice or after its client has left, and the process ends by itself, in order and in time:
 /// eight plans, some with a crowd of idle clients, hung and slow servers, discovery down.
 #[test]
-fn nothing_is_lost_from_the_start_to_the_kill() {
+fn no_request_is_lost_between_start_and_kill() {
     std::thread::scope(|scope| {
-        scope.spawn(|| kept(1, 4));
-        kept(5, 4);
+        scope.spawn(|| assert_kept(1, 4));
+        assert_kept(5, 4);
     });
 }
 
 /// A rig that is killed leaves nothing running: the sidecar, four servers, of which some stand still, and the list.
 #[test]
-fn nothing_outlives_a_soak_that_is_killed() {
-    program("dunlincleat");
+fn killed_soak_leaves_no_process_behind() {
+    build_program("dunlincleat");
     // A seed with hung servers.
     let mut rig = lab().args(["trial", "soak", "--seed", "3"]).stdout(Stdio::null()).spawn().unwrap();
     let started = children(&rig, 1 + 4 + 1, Duration::from_secs(20));
     rig.kill().unwrap();
     rig.wait().unwrap();
-    all_end(&started, Duration::from_secs(20));
+    wait_for_exit(&started, Duration::from_secs(20));
 }
--- a/crates/lab/tests/trial.rs
+++ b/crates/lab/tests/trial.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{all_end, lab, played, program};
+use common::{build_program, lab, run_trial, wait_for_exit};
 use std::io::{BufRead, BufReader};
 use std::process::Stdio;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 /// Requests through three sidecars of which one is killed and one told to end while a server stands still and ways are cut:
 /// the schedule is the seed's, so the same faults come each time.
 #[test]
-fn the_rules_hold_while_sidecars_die_and_ways_are_cut() {
-    let out = played(&["trial", "requests", "--instances", "3", "--seed", "1", "--lasts", "10"]);
+fn properties_hold_while_sidecars_crash_and_links_are_cut() {
+    let out = run_trial(&["trial", "requests", "--instances", "3", "--seed", "1", "--lasts", "10"]);
     let text = String::from_utf8_lossy(&out.stdout);
     assert_eq!(out.status.code(), Some(0), "{text}{}", String::from_utf8_lossy(&out.stderr));
     assert!(text.contains("is killed") && text.contains("is cut") && text.contains("KEPT"), "{text}");
@@ -19,8 +19,8 @@
 
 /// A rig that was killed left its sidecar running.
 #[test]
-fn nothing_outlives_a_rig_that_is_killed() {
-    program("dunlincleat");
+fn killed_rig_leaves_no_process_behind() {
+    build_program("dunlincleat");
     let mut rig = lab()
         .args(["trial", "requests", "--instances", "3", "--lasts", "60"])
         .stdout(Stdio::piped())
@@ -34,15 +34,15 @@
     assert_eq!(children.len(), 3 + 4 + 1, "instances, servers, the list");
     rig.kill().unwrap();
     rig.wait().unwrap();
-    all_end(&children, Duration::from_secs(20));
+    wait_for_exit(&children, Duration::from_secs(20));
 }
 
 /// A duty that one of five alone may hold, while holders and voters die with their memory, stand still across the lease and are
 /// cut off one way: its effect is carried out once a period, under fences that rise, and goes on when all is mended.
 #[test]
-fn a_duty_has_its_effect_once_a_period_whatever_fails() {
+fn duty_takes_effect_once_per_period_under_faults() {
     let out =
-        played(&["trial", "duties", "--instances", "5", "--seed", "1", "--lasts", "20", "--rate", "10"]);
+        run_trial(&["trial", "duties", "--instances", "5", "--seed", "1", "--lasts", "20", "--rate", "10"]);
     let text = String::from_utf8_lossy(&out.stdout);
     assert_eq!(out.status.code(), Some(0), "{text}{}", String::from_utf8_lossy(&out.stderr));
     let effects =
@@ -52,7 +52,7 @@
 
 /// A receiver that takes any fence lets a holder that stood still with its effect in hand come after the next one.
 #[test]
-fn a_receiver_that_takes_any_fence_is_found() {
+fn receiver_that_accepts_any_fence_is_detected() {
     let folder = tempfile::tempdir().unwrap();
     let case = folder.path().join("case.toml");
     // Whoever holds it sends an effect within the 1.2 s before it stands still, which comes 2.5 s late; by then the next holder, there
@@ -61,20 +61,21 @@
     for n in 0..3 {
         let begin = n * 5000 + 2000;
         let step = |at: u64, what: &str| format!("[[step]]\nat_ms = {at}\ndo = {{ {what} }}\n");
-        let way = |ill: &str| format!("way = {{ from = \"n{n}\", to = \"s0\", ill = {{ {ill} }} }}");
-        schedule += &step(begin, &way("delay_ms = 2500"));
+        let link =
+            |impairment: &str| format!("way = {{ from = \"n{n}\", to = \"s0\", ill = {{ {impairment} }} }}");
+        schedule += &step(begin, &link("delay_ms = 2500"));
         schedule += &step(begin + 1200, &format!("stop = {{ who = \"n{n}\" }}"));
         schedule += &step(begin + 3200, &format!("go = {{ who = \"n{n}\" }}"));
-        schedule += &step(begin + 4500, &way(""));
+        schedule += &step(begin + 4500, &link(""));
     }
     std::fs::write(&case, schedule).unwrap();
     let case = case.display().to_string();
     let common = ["trial", "duties", "--instances", "3", "--lasts", "18", "--rate", "5", "--schedule", &case];
-    let planted: Vec<&str> = common.iter().copied().chain(["--plant", "any-fence"]).collect();
+    let faulty: Vec<&str> = common.iter().copied().chain(["--plant", "any-fence"]).collect();
     // Side by side: neither says anything of the other.
     let (kept, found) = std::thread::scope(|scope| {
-        let found = scope.spawn(|| played(&planted));
-        (played(&common), found.join().unwrap())
+        let found = scope.spawn(|| run_trial(&faulty));
+        (run_trial(&common), found.join().unwrap())
     });
     let text = String::from_utf8_lossy(&found.stdout);
     assert!(text.contains("BROKEN fences rise"), "{text}");
