--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -2,7 +2,7 @@
 //! beside stub servers, and each call is paired with a direct one in the same run. The capacity page is written from the
 //! result file.
 
-use crate::runs::{or_stopped, programs, ranged};
+use crate::processes::{check_range, locate_programs, run_until_signal};
 use anyhow::{Context, Result, bail};
 use clap::Args;
 use dunlincleat_trial::audit::{Bounds, Verdict};
@@ -158,13 +158,13 @@
 /// interrupted.
 pub fn run(options: &Options) -> Result<ExitCode> {
     for known in &options.known {
-        ranged("known", *known as u64, CALLED_SERVERS as u64, 10_000)?;
+        check_range("known", *known as u64, CALLED_SERVERS as u64, 10_000)?;
     }
-    ranged("real", options.real as u64, 0, 16)?;
-    ranged("rate", options.rate, 1, 1000)?;
-    ranged("depth", options.depth, 1, 1)?;
-    ranged("lasts", options.lasts, 2, 120)?;
-    ranged("rounds", options.rounds, 1, 20)?;
+    check_range("real", options.real as u64, 0, 16)?;
+    check_range("rate", options.rate, 1, 1000)?;
+    check_range("depth", options.depth, 1, 1)?;
+    check_range("lasts", options.lasts, 2, 120)?;
+    check_range("rounds", options.rounds, 1, 20)?;
     if options.rate * options.real as u64 > MAX_CALLS_PER_S {
         bail!(
             "--rate {} with --real {}: {} calls per second; expected {MAX_CALLS_PER_S} or fewer",
@@ -180,7 +180,7 @@
     if options.out.is_dir() || folder.is_some_and(|folder| !folder.is_dir()) {
         bail!("--out: {}: expected a file in an existing folder", options.out.display());
     }
-    let (lab, program) = programs("dunlincleat-sidecar", "--program", options.program.as_deref())?;
+    let (lab, program) = locate_programs("dunlincleat-sidecar", "--program", options.program.as_deref())?;
     let callers = |known: usize, seed: u64| Callers {
         lab: lab.clone(),
         program: program.clone(),
@@ -211,7 +211,7 @@
                 let found = callers(known, options.seed.wrapping_mul(1000).wrapping_add(round)).run().await;
                 let found = found.with_context(|| format!("{known} servers known, round {round}"))?;
                 let sum = |of: &dyn Fn(&SecondSample) -> u64| -> u64 { found.seconds.iter().map(of).sum() };
-                crate::say(&format!(
+                crate::print_line(&format!(
                     "round {round}: {known} known, {} of {} calls served through sidecars, {} of {} directly",
                     sum(&|second| served(&second.via_sidecar)),
                     sum(&|second| second.via_sidecar.due),
@@ -223,7 +223,7 @@
         }
         Ok(measurements)
     };
-    let Some(measurements) = or_stopped(work)? else { return Ok(ExitCode::from(130)) };
+    let Some(measurements) = run_until_signal(work)? else { return Ok(ExitCode::from(130)) };
     let points: Vec<Point> = options
         .known
         .iter()
@@ -260,14 +260,14 @@
 }
 
 fn print_table(points: &[Point]) {
-    crate::say(
+    crate::print_line(
         "| known | direct p50, p99 us | through p50, p99 us | added p50 us | added p99 us (95%) | processor us a call \
          | resident MB | served, refused, lost | verdict |",
     );
-    crate::say("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    crate::print_line("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for p in points {
         let verdict = format!("{:?}", p.verdict).to_lowercase();
-        crate::say(&format!(
+        crate::print_line(&format!(
             "| {} | {:.0}, {:.0} | {:.0}, {:.0} | {:.0} | {:.0} ({:.0} to {:.0}) | {:.0} | {:.1} | {}, {}, {} | {verdict} |",
             p.known,
             p.direct_p50_us,
@@ -286,7 +286,7 @@
         ));
     }
     for p in points {
-        p.why.iter().for_each(|why| crate::say(&format!("{} known: {why}", p.known)));
+        p.why.iter().for_each(|why| crate::print_line(&format!("{} known: {why}", p.known)));
     }
 }
 
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -6,7 +6,7 @@
 pub mod result;
 pub mod rig;
 
-use crate::runs::{programs, told_to_end};
+use crate::processes::{locate_programs, termination_signal};
 use anyhow::{Context, Result, anyhow, bail};
 use clap::Args;
 use fleet::FleetFigures;
@@ -272,7 +272,7 @@
         days = Scenario::ALL.iter().map(|(_, day)| *day).collect();
     }
     let (lab, program) = if options.real > 0 {
-        programs("dunlincleat-sidecar", "--program", options.program.as_deref())?
+        locate_programs("dunlincleat-sidecar", "--program", options.program.as_deref())?
     } else {
         (std::env::current_exe()?, PathBuf::new())
     };
@@ -319,9 +319,9 @@
     let results = actix_rt::System::new().block_on(async {
         tokio::select! {
             results = run_specs(&specs, &days, &options) => results.map(Some),
-            stopped = told_to_end() => {
+            stopped = termination_signal() => {
                 stopped.context("signals")?;
-                crate::say("stopped by hand");
+                crate::print_line("stopped by hand");
                 Ok(None)
             }
         }
@@ -348,20 +348,20 @@
 async fn run_specs(specs: &[RunSpec], days: &[Scenario], options: &Options) -> Result<ScaleResult> {
     let mut runs = Vec::new();
     for of in specs {
-        crate::say(&format!(
+        crate::print_line(&format!(
             "{} endpoints, {} hollow and {} real sidecars, {} control machines",
             of.size, of.hollow, of.real, of.controls
         ));
         let report = |day: &ScenarioResult| {
-            crate::say(&summary_line(of.size, day));
-            day.why.iter().for_each(|why| crate::say(&format!("      {why}")));
+            crate::print_line(&summary_line(of.size, day));
+            day.why.iter().for_each(|why| crate::print_line(&format!("      {why}")));
         };
         runs.push(run_all_scenarios(of, days, report).await?);
     }
     let mut hollow_real = None;
     if let (true, Some(first)) = (options.real > 0, specs.first()) {
         let comparison = compare_hollow_with_real(first).await?;
-        crate::say(&format!(
+        crate::print_line(&format!(
             "hollow against real: messages {} and {}, bytes {} and {}, processor time {:.2}, memory {:.2} of the real \
              one's{}",
             comparison.messages[0],
--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab/src/slopes/mod.rs
@@ -416,7 +416,10 @@
     let groups = selected_groups(&options.only)?;
     let rounds = options.rounds as usize;
     let program = match groups.iter().any(|group| group.runs_sidecar) {
-        true => crate::runs::programs("dunlincleat-sidecar", "--program", options.program.as_deref())?.1,
+        true => {
+            crate::processes::locate_programs("dunlincleat-sidecar", "--program", options.program.as_deref())?
+                .1
+        }
         false => PathBuf::new(),
     };
     let (cpu_budget_us, default_servers) = if options.small { (1000.0, 96) } else { (50_000.0, 3100) };
@@ -479,7 +482,7 @@
         }
     }
     for figure in &figures {
-        crate::say(&summary_line(figure));
+        crate::print_line(&summary_line(figure));
     }
     // Paths of the local machine do not belong in a result that is published.
     let name = |told: String| match PathBuf::from(&told).is_absolute() {
--- a/crates/lab/tests/real.rs
+++ b/crates/lab/tests/real.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{all_end, children, program};
+use common::{build_program, children, wait_for_exit};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The sidecar's program, built once beside the lab.
-static SIDECAR: LazyLock<PathBuf> = LazyLock::new(|| program("dunlincleat-sidecar"));
+static SIDECAR: LazyLock<PathBuf> = LazyLock::new(|| build_program("dunlincleat-sidecar"));
 /// Time limit for processes to start and to exit.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -49,7 +49,7 @@
         .unwrap();
     let children = children(&run, 2 + 2, TIMEOUT);
     let done = run.wait_with_output().unwrap();
-    all_end(&children, TIMEOUT);
+    wait_for_exit(&children, TIMEOUT);
     let text = String::from_utf8_lossy(&done.stdout);
     assert_eq!(done.status.code(), Some(0), "{text}{}", String::from_utf8_lossy(&done.stderr));
     let points = points(&out);
@@ -93,7 +93,7 @@
     let children = children(&run, 3 + 2, TIMEOUT);
     run.kill().unwrap();
     run.wait().unwrap();
-    all_end(&children, TIMEOUT);
+    wait_for_exit(&children, TIMEOUT);
 }
 
 /// Invalid options are rejected before anything starts, with the flag, its value and the expected range.
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{all_end, children, lab, program};
+use common::{build_program, children, lab, wait_for_exit};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -22,7 +22,7 @@
 /// real one.
 #[test]
 fn hundred_sidecars_apply_every_change() {
-    program("dunlincleat-sidecar");
+    build_program("dunlincleat-sidecar");
     let common = ["scale", "--counts", "--sizes", "102", "--hollow", "100", "--real", "2", "--lasts", "4"];
     let days = ["--days", "changes-peak,restarts,zone,control-killed,reconnects", "--waits", "60"];
     let out = lab().args(common).args(days).output().unwrap();
@@ -69,7 +69,7 @@
 /// A killed run leaves no processes behind.
 #[test]
 fn killed_scale_run_leaves_no_processes() {
-    program("dunlincleat-sidecar");
+    build_program("dunlincleat-sidecar");
     let mut rig = lab()
         .args(["scale", "--sizes", "12", "--hollow", "10", "--real", "2", "--lasts", "60"])
         .args(["--days", "all-anew,changes-peak"])
@@ -82,7 +82,7 @@
     let children = children(&rig, 8, TIMEOUT);
     rig.kill().unwrap();
     rig.wait().unwrap();
-    all_end(&children, TIMEOUT);
+    wait_for_exit(&children, TIMEOUT);
 }
 
 /// A control machine that receives the commands of a rig.
