--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,6 +1,6 @@
-//! A first look: one of the trial's schedules. The real sidecar between a stand-in application, four stand-in servers and a
-//! stand-in list, all on loopback; one server stalls, one is drained; what happened is told by second, and the rules are
-//! audited from outside.
+//! The demo: a trial with a fixed schedule. It runs the real sidecar on loopback between a stub application, four stub
+//! servers and a stub discovery service; one server stalls and another drains. Figures are printed each second, and the
+//! recorded history is audited against the rules.
 
 use crate::trial::{report_verdict, run_in_foreground};
 use anyhow::{Result, bail};
@@ -14,27 +14,27 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// What is wanted of the demo.
+/// Options of the demo.
 #[derive(Args)]
 pub struct DemoArgs {
-    /// For how many seconds, from 4 to 600
+    /// Duration in seconds, from 4 to 600
     #[arg(long = "lasts", value_name = "LASTS", default_value_t = 20)]
     duration_s: u64,
-    /// Requests a second, from 1 to 2000
+    /// Requests per second, from 1 to 2000
     #[arg(long, default_value_t = 200)]
     rate: u64,
-    /// The sidecar's program; that beside this one where it is not told
+    /// The sidecar binary; by default `dunlincleat-sidecar` in the directory of this one
     #[arg(long)]
     sidecar: Option<PathBuf>,
-    /// What each time limit may be over, in milliseconds: more than the rules' 50 where the machine is busy
+    /// Slack on each time limit, in milliseconds: the rules' 50, or more on a busy machine
     #[arg(long, default_value_t = 50)]
     slack_ms: u64,
-    /// The seed of arrivals and of the servers' times
+    /// Seed of the arrivals and of the servers' service times
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Runs it; 1 where a rule was broken, 130 where it was ended by hand.
+/// Runs the demo and returns its exit code: 1 if a rule was broken, 130 if it was interrupted by a signal.
 pub fn run(args: DemoArgs) -> Result<ExitCode> {
     if !(4..=600).contains(&args.duration_s) {
         bail!("--lasts: {} is not from 4 to 600 seconds", args.duration_s);
@@ -44,7 +44,7 @@
     }
     let (lab, program) =
         crate::processes::locate_programs("dunlincleat-sidecar", "--sidecar", args.sidecar.as_deref())?;
-    // What goes wrong: a stall for a fifth of the time, then a drain, then that server is gone.
+    // One server stalls for a fifth of the run, at least 1 s; later another drains and is removed from the list 2 s after.
     let step = |at_s: u64, fault| Step { at_ms: at_s * 1000, fault };
     let (stall_s, drain_s) = (args.duration_s * 3 / 10, args.duration_s * 6 / 10);
     let (east, south) = ("east".to_owned(), "south".to_owned());
@@ -96,6 +96,7 @@
     Ok(report_verdict(&outcome, args.seed))
 }
 
+/// Prints the figures of one second as a row.
 fn print_second(progress: &Progress<'_>) {
     let Progress { second, requests, starts_per_server, faults } = progress;
     let starts: Vec<String> = starts_per_server.iter().map(|(name, n)| format!("{name} {n}")).collect();
--- a/crates/lab/src/gate.rs
+++ b/crates/lab/src/gate.rs
@@ -1,5 +1,5 @@
-//! Whether days at size still go as they did: each figure of each seed against a stored band, and the worth against that
-//! of the baselines on the same seeds. The band is a file beside the scenarios, `gate.toml`.
+//! The regression gate for simulated scenarios: compares each figure of each seed with stored bounds, and the mean worth with
+//! that of the baselines on the same seeds. The bounds are in `gate.toml` in the directory of the scenarios.
 
 use crate::memory;
 use crate::simulations::{ScenarioFile, Simulation, mean, parse_policy, simulate_all};
@@ -12,34 +12,35 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The file of bands.
+/// The contents of `gate.toml`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct GateConfig {
-    /// The part of the fleet that is played.
+    /// Scale of the fleet.
     scale: f64,
-    /// The seeds of each scenario.
+    /// Seeds of each scenario.
     seeds: Vec<u64>,
     #[serde(rename = "day")]
     scenarios: Vec<ScenarioBand>,
 }
 
-/// What one scenario has to keep to.
+/// The bounds of one scenario.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ScenarioBand {
-    /// The scenario's file, without its ending.
+    /// Name of the scenario file, without its extension.
     scenario: String,
-    /// The part of the fleet that is played, where it is another.
+    /// Scale of the fleet, if it differs from that of the file.
     scale: Option<f64>,
-    /// The policies that it serves at least as well as, in the mean of the seeds.
+    /// Policies whose mean worth over the seeds the policy under test must reach.
     #[serde(default, rename = "beats")]
     baselines: Vec<String>,
-    /// Bounds, by figure.
+    /// Bounds by name of the figure.
     #[serde(rename = "band")]
     bounds: BTreeMap<String, Bound>,
 }
 
+/// The bounds of a figure, inclusive; at least one is set.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Bound {
@@ -49,7 +50,7 @@
     max: Option<f64>,
 }
 
-/// A figure of a report and of the memory that was measured beside it; nothing where it was not seen.
+/// Extracts a figure from a report, or from the memory of an instance in KiB; `None` if it was not observed.
 type Figure = fn(&Report, Option<f64>) -> Option<f64>;
 
 const FIGURES: [(&str, Figure); 12] = [
@@ -72,6 +73,7 @@
 }
 
 impl GateConfig {
+    /// Reads and validates the file; errors name the line and the key.
     fn read(path: &Path) -> Result<GateConfig> {
         let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
         let config: GateConfig = toml::from_str(&text).with_context(|| path.display().to_string())?;
@@ -83,7 +85,7 @@
             return invalid("scale".into(), format!("{} is not from 0.005 to 1", config.scale));
         }
         if config.seeds.is_empty() {
-            return invalid("seeds".into(), "none; there is at least one".into());
+            return invalid("seeds".into(), "none; at least one is required".into());
         }
         for (n, band) in config.scenarios.iter().enumerate() {
             if band.scale.is_some_and(|scale| !(0.005..=1.0).contains(&scale)) {
@@ -99,10 +101,10 @@
             for (name, bound) in &band.bounds {
                 let key = format!("day[{n}].band.{name}");
                 if figure(name).is_none() {
-                    return invalid(key, format!("no such figure; right would be one of {known}"));
+                    return invalid(key, format!("unknown figure; must be one of {known}"));
                 }
                 if bound.min.is_none() && bound.max.is_none() {
-                    return invalid(key, "neither least nor most; there is one of them at the least".into());
+                    return invalid(key, "neither least nor most; at least one is required".into());
                 }
             }
         }
@@ -110,7 +112,7 @@
     }
 }
 
-/// Plays the gate of a folder. Gives what it shows, line by line, and what fails.
+/// Simulates the scenarios of the directory's gate. Returns a summary line for each scenario, and the failures.
 pub fn run_gate(folder: &Path, policy: Policy) -> Result<(Vec<String>, Vec<String>)> {
     let path = folder.join("gate.toml");
     let config = GateConfig::read(&path)?;
@@ -131,7 +133,7 @@
         first_indices.push(first);
     }
     if simulations.is_empty() {
-        bail!("{}: day: none; there is at least one", path.display());
+        bail!("{}: day: none; at least one is required", path.display());
     }
     let reports = simulate_all(&simulations, false, |_, _| {})?;
     let (mut summary, mut failures) = (Vec::new(), Vec::new());
--- a/crates/lab/src/html.rs
+++ b/crates/lab/src/html.rs
@@ -1,4 +1,4 @@
-//! Results as one page that opens from disk: plots in it as SVG, nothing fetched.
+//! Renders results as one self-contained HTML page with inline SVG plots; the page loads no external resources.
 
 use crate::results::Run;
 use anyhow::{Result, anyhow, bail};
@@ -6,6 +6,7 @@
 use plotters::prelude::*;
 use std::fmt::Write;
 
+/// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 260);
 const COLOURS: [RGBColor; 7] = [
     RGBColor(120, 60, 140),
@@ -17,17 +18,15 @@
     RGBColor(40, 90, 60),
 ];
 
-/// Text that is safe in the page.
+/// Escapes text for HTML content and attribute values.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// The page of some runs.
+/// Renders the page of the given runs.
 pub fn page(runs: &[Run]) -> Result<String> {
     if runs.iter().all(|run| run.days.is_empty()) {
-        bail!(
-            "no day in these results; right would be a folder of files that `run --out FILE --seconds` wrote"
-        );
+        bail!("no results found; expected a directory of files written by `run --out FILE --seconds`");
     }
     let mut page = String::from(
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>dunlincleat: simulated days</title><style>\
@@ -97,13 +96,14 @@
     anyhow!("a plot could not be drawn: {error}")
 }
 
+/// A line of a chart: one value per second.
 struct Series<'a> {
     name: &'a str,
     colour: RGBColor,
     values: Vec<f64>,
 }
 
-/// Lines over the seconds, with the faults marked behind them.
+/// Draws lines over the seconds of a run, with the faults shaded behind them.
 fn line_chart(day: &Report, series: &[Series]) -> Result<String> {
     let mut svg = String::new();
     {
@@ -147,11 +147,13 @@
     Ok(svg)
 }
 
+/// Plots the worth served as a fraction of the worth wanted.
 fn goodput_chart(day: &Report) -> Result<String> {
     let served = day.seconds.iter().map(|s| s.served / s.wanted.max(1e-9)).collect();
     line_chart(day, &[Series { name: "served", colour: RGBColor(30, 110, 60), values: served }])
 }
 
+/// Plots the worth lost by cause as a fraction of the worth wanted.
 fn losses_chart(day: &Report) -> Result<String> {
     let of = |name: &str| -> Vec<f64> {
         let lost = |s: &Second| s.lost.get(name).copied().unwrap_or(0.0) / s.wanted.max(1e-9);
@@ -165,6 +167,7 @@
     line_chart(day, &series)
 }
 
+/// Plots connections opened, probes sent and calls for lists.
 fn costs_chart(day: &Report) -> Result<String> {
     let of = |figure: fn(&Second) -> u64| day.seconds.iter().map(|s| figure(s) as f64).collect();
     line_chart(
@@ -177,7 +180,7 @@
     )
 }
 
-/// Load by node: a cell for each node and second, darker where more arrived.
+/// Draws a heat map of the load: a cell for each node and second, darker where more attempts arrived.
 fn load_heat_map(seconds: &[Second]) -> Result<String> {
     let nodes = seconds.iter().map(|s| s.arrived.len()).max().unwrap_or(0);
     let max = seconds.iter().flat_map(|s| &s.arrived).copied().max().unwrap_or(0).max(1);
@@ -191,7 +194,7 @@
             .build_cartesian_2d(0..seconds.len().max(1), 0..nodes.max(1))
             .map_err(plot_error)?;
         chart.configure_mesh().disable_mesh().x_desc("s").draw().map_err(plot_error)?;
-        // One cell for neighbours of one shade: two hundred nodes over a minute are twelve thousand else.
+        // Neighbouring nodes of the same shade share a rectangle: 200 nodes over a minute would otherwise need 12,000.
         let shade = |count: u32| (count * 9).div_ceil(max);
         for (at, second) in seconds.iter().enumerate() {
             let mut from = 0;
--- a/crates/lab/src/html/tests.rs
+++ b/crates/lab/src/html/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `html.rs`.
+//! Tests of the HTML page.
 
 use super::*;
 use crate::results::Plan;
@@ -31,7 +31,7 @@
     assert_eq!(page.matches("<svg").count(), 4);
     assert!(page.contains("a &lt;b&gt;") && !page.contains("a <b>"));
     assert!(page.contains("Partial: 1 of 2 days") && page.contains(">cut<") || page.contains("cut\n"));
-    // Nothing is fetched: no address but the name of the format.
+    // No external resources are loaded: the only URL is the SVG namespace.
     let addresses = page.replace("http://www.w3.org/2000/svg", "");
     assert!(!addresses.contains("http") && !addresses.contains("src=") && !addresses.contains("<script"));
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! `dunlincleat-lab`: plays scenarios in simulated time, and a first look on loopback around the real sidecar. Every figure
-//! of the first kind is simulated.
+//! `dunlincleat-lab`: runs scenarios in simulated time, and demos, trials and measurements with real processes on loopback.
+//! Figures from scenarios are simulated, not measured.
 
 #![forbid(unsafe_code)]
 
@@ -33,7 +33,7 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Experiments in simulated time, and a first look.
+/// Experiments in simulated time, and with real processes on loopback.
 #[derive(Parser)]
 #[command(name = "dunlincleat-lab", version, about)]
 struct Cli {
@@ -43,111 +43,114 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Twenty seconds of the real sidecar on loopback, with a server stalled and one drained; exit 1 where a rule was broken
+    /// Run the real sidecar on loopback for twenty seconds while one server stalls and one drains; exit 1 if a rule is broken
     Demo(demo::DemoArgs),
-    /// Many processes of the program under faults; exit 0 where every property held, 1 broken, 2 nothing can be said
+    /// Run several instances of the program under injected faults; exit 0 if every property held, 1 if one was broken, 2 if
+    /// the result is void
     Trial(trial::TrialArgs),
-    /// Write the tables of a capacity page from a plan and the results of runs; with --check exit 1 where a page differs
+    /// Write the tables of a capacity page from a plan and the results of runs; with --check exit 1 if a page differs
     Capacity(capacity::Wanted),
-    /// What a real sidecar adds to a call, by servers known; exit 0 where the limits are kept, 1 broken, 2 nothing can be said
+    /// Measure the latency that a real sidecar adds to a call, by number of known servers; exit 0 if the limits are kept, 1 if
+    /// one is broken, 2 if the result is void
     Added(real::Wanted),
-    /// Control machines, hollow sidecars and real ones at size; exit 0 where every limit was kept, 1 broken, 2 nothing can be
-    /// said
+    /// Run control machines, hollow sidecars and real sidecars at full size; exit 0 if every limit was kept, 1 if one was
+    /// broken, 2 if the result is void
     Scale(scale::Wanted),
-    /// A control machine of a scale run
+    /// Run a control machine of a scale run
     #[command(hide = true)]
     Control,
-    /// Hollow sidecars of a scale run
+    /// Run hollow sidecars of a scale run
     #[command(hide = true)]
     Hollow,
-    /// A stand-in of a trial
+    /// Run a stub process of a trial
     #[command(hide = true)]
     Stand {
-        /// Which
+        /// The kind of stub
         #[command(subcommand)]
         stub: Stub,
     },
-    /// Become a program that ends with the rig
+    /// Execute a program that is terminated when the rig exits
     #[command(hide = true)]
     Tether {
-        /// The rig's process
+        /// The process id of the rig
         parent: u32,
         /// The program and its arguments
         #[arg(last = true)]
         program: Vec<std::ffi::OsString>,
     },
-    /// Play a scenario: one JSON line a seed; exit 1 where a rule was broken
+    /// Simulate a scenario: one JSON line per seed; exit 1 if a rule was broken
     Run {
-        /// The scenario
+        /// The scenario file
         scenario: PathBuf,
         /// The first seed
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..))]
         seeds: u64,
         /// module, a baseline (random, round-robin, least-in-hand, two-choices, peak-delay) or without-PART
         #[arg(long, default_value = "module")]
         policy: String,
-        /// Play a part of the fleet
+        /// Scale of the fleet; 0.1 simulates a tenth of it
         #[arg(long, default_value_t = 1.0)]
         scale: f64,
-        /// Keep each second, for `report`
+        /// Record figures for each second, for `report`
         #[arg(long)]
         seconds: bool,
-        /// A file to which the lines are added as days are done, instead of standard output
+        /// Append each line to this file as its run completes, instead of writing to standard output
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Compare two policies on the same seeds: the mean difference of worth and its 95% interval
+    /// Compare two policies on the same seeds: the mean difference of worth and its 95% confidence interval
     Compare {
-        /// The scenario
+        /// The scenario file
         scenario: PathBuf,
         /// The first policy
         a: String,
-        /// The second
+        /// The second policy
         b: String,
-        /// How many seeds
+        /// Number of seeds, at least 2
         #[arg(long, default_value_t = 8)]
         seeds: u64,
-        /// Play a part of the fleet
+        /// Scale of the fleet; 0.1 simulates a tenth of it
         #[arg(long, default_value_t = 1.0)]
         scale: f64,
     },
-    /// All scenarios of a folder against all policies, as a table
+    /// Simulate all scenarios of a directory with all policies and print a table
     Table {
-        /// The folder
+        /// The directory of scenario files
         folder: PathBuf,
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..))]
         seeds: u64,
-        /// Play a part of the fleet
+        /// Scale of the fleet; 0.1 simulates a tenth of it
         #[arg(long, default_value_t = 1.0)]
         scale: f64,
     },
-    /// Hold a folder's scenarios against its band, gate.toml; exit 1 with each scenario, seed and figure outside it
+    /// Check a directory's scenarios against the bounds in its gate.toml; exit 1 and print each figure outside them, with
+    /// its scenario and seed
     Gate {
-        /// The folder
+        /// The directory of scenario files and gate.toml
         folder: PathBuf,
-        /// Take something out, to see that the gate tells: turns, few-servers or worth
+        /// Disable a mechanism, to verify that the gate detects its absence: turns, few-servers or worth
         #[arg(long)]
         without: Option<String>,
     },
-    /// Results of a folder as one HTML page with plots, on standard output or in a file
+    /// Write the results in a directory as one HTML page with plots, to standard output or a file
     Report {
-        /// The folder of files that `run --out FILE --seconds` wrote
+        /// The directory of files that `run --out FILE --seconds` wrote
         folder: PathBuf,
-        /// The file
+        /// The output file
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// What a sidecar costs against one driver at a time, with the line through each figure's points, as JSON
+    /// Measure how a sidecar's costs grow with one load parameter at a time, and fit a line to each figure, as JSON
     Slopes(slopes::Wanted),
-    /// What a day at size costs: real time, memory and both for each instance
+    /// Measure what a simulation costs: real time, peak memory, and both per instance
     Size {
-        /// The scenario
+        /// The scenario file
         scenario: PathBuf,
-        /// Play a part of the fleet, or a multiple
+        /// Scale of the fleet, at most 100; 0.1 simulates a tenth of it
         #[arg(long, default_value_t = 1.0)]
         scale: f64,
         /// The seed
@@ -156,12 +159,12 @@
     },
 }
 
+/// Prints a line to standard output, ignoring write errors: the reader may have closed the pipe.
 fn print_line(text: &str) {
-    // A reader that has gone is no fault.
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-/// The 95% interval of a mean, by drawing from the values again and again.
+/// Returns the 95% confidence interval of the mean, from 2000 bootstrap resamples with a fixed seed.
 fn bootstrap_interval(values: &[f64]) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(1);
     let resampled_mean = |rng: &mut SmallRng| {
@@ -172,6 +175,7 @@
     (means[50], means[1949])
 }
 
+/// Samples the scenario at each seed and scales its fleet; `scale` is over 0 and at most 100.
 fn simulations_for(
     file: &ScenarioFile,
     policy: Policy,
@@ -179,7 +183,7 @@
     scale: f64,
 ) -> Result<Vec<Simulation>> {
     if !(scale > 0.0 && scale <= 100.0) {
-        bail!("--scale: {scale} is not over 0 and at most 100");
+        bail!("--scale: {scale} is out of range: must be over 0 and at most 100");
     }
     let simulation = |seed: &u64| -> Result<Simulation> {
         let scenario = file.sample(*seed)?;
@@ -234,7 +238,7 @@
         }
         Command::Compare { scenario, a, b, seeds, scale } => {
             if seeds < 2 {
-                bail!("--seeds: at least 2, or there is no interval");
+                bail!("--seeds: must be at least 2 to compute a confidence interval");
             }
             let file = ScenarioFile::read(&scenario)?;
             let seeds: Vec<u64> = (1..=seeds).collect();
@@ -308,6 +312,7 @@
     }
 }
 
+/// Prints the mean worth of each scenario under each policy; exit code 1 if the module broke a rule.
 fn table(folder: &Path, seeds: u64, scale: f64) -> Result<ExitCode> {
     let files = ScenarioFile::read_folder(folder)?;
     let seeds: Vec<u64> = (1..=seeds).collect();
--- a/crates/lab/src/processes.rs
+++ b/crates/lab/src/processes.rs
@@ -1,11 +1,12 @@
-//! What commands share that start processes: which programs, how a run ends by hand, and how its time line is told.
+//! Shared by commands that start processes: locating programs, stopping on a signal, and formatting timelines.
 
 use anyhow::{Context, Result, bail};
 use dunlincleat_trial::history::{Event, EventKind};
 use std::path::{Path, PathBuf};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// This program, and the one under test.
+/// Returns the paths of this program and of the program under test, which is `given` or the file `name` in the same
+/// directory.
 pub fn locate_programs(name: &str, flag: &str, given: Option<&Path>) -> Result<(PathBuf, PathBuf)> {
     let lab = std::env::current_exe()?;
     let program = given.map_or_else(|| lab.with_file_name(name), Path::to_path_buf);
@@ -18,13 +19,14 @@
     Ok((lab, program))
 }
 
-/// Works to the end; none where that was ended by hand, and all that it started with it.
+/// Runs the work to completion; returns `None` if a signal interrupted it. Dropping the work terminates the processes that
+/// it started.
 pub fn run_until_signal<T>(work: impl Future<Output = Result<T>>) -> Result<Option<T>> {
     actix_rt::System::new().block_on(async move {
         tokio::select! {
             result = work => result.map(Some),
             signal = termination_signal() => {
-                signal.context("signals")?;
+                signal.context("waiting for termination signals")?;
                 crate::print_line("stopped by hand");
                 Ok(None)
             }
@@ -32,11 +34,11 @@
     })
 }
 
-/// The first of the signals that end a program: so that what was started is ended in order.
+/// Waits for the first SIGINT, SIGTERM or SIGHUP. Handling them lets started processes be terminated in an orderly way.
 pub async fn termination_signal() -> std::io::Result<()> {
     let mut signals = [SignalKind::interrupt(), SignalKind::terminate(), SignalKind::hangup()].map(signal);
     let [Ok(interrupt), Ok(terminate), Ok(hangup)] = &mut signals else {
-        return Err(std::io::Error::other("they can't be waited for"));
+        return Err(std::io::Error::other("signal handlers could not be installed"));
     };
     tokio::select! {
         _ = interrupt.recv() => {}
@@ -46,7 +48,7 @@
     Ok(())
 }
 
-/// One line of a time line.
+/// Formats an event as a line of the timeline; `start` and event times are microseconds.
 pub fn timeline_line(event: &Event, start: u64) -> String {
     let elapsed_us = event.at as f64 - start as f64;
     let what = match &event.what {
@@ -60,7 +62,7 @@
     format!("{:8.3} s  {what}", elapsed_us / 1e6)
 }
 
-/// Proves that a flag's value is within its range.
+/// Checks that a flag's value is within its inclusive range.
 pub fn check_range(flag: &str, value: u64, min: u64, max: u64) -> Result<()> {
     if !(min..=max).contains(&value) {
         bail!("--{flag}: {value} is not from {min} to {max}");
--- a/crates/lab/src/simulations.rs
+++ b/crates/lab/src/simulations.rs
@@ -1,4 +1,4 @@
-//! Days played on all cores, in the order in which they were asked for; what is read and written of them.
+//! Reads scenario files and simulates them on all cores; reports are returned in the order of the simulations.
 
 use anyhow::{Context, Result, anyhow, bail};
 use dunlincleat_fleet::baseline::Choice;
@@ -10,26 +10,26 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A day that is to be played.
+/// A simulation to be run.
 #[derive(Clone)]
 pub struct Simulation {
-    /// What happens.
+    /// The scenario, sampled and scaled.
     pub scenario: Scenario,
-    /// What is under test.
+    /// The policy under test.
     pub policy: Policy,
-    /// The seed.
+    /// Seed of the simulation.
     pub seed: u64,
 }
 
-/// A scenario's file, with ranges.
+/// A scenario file, whose values may be ranges.
 pub struct ScenarioFile {
-    /// Where it stands.
+    /// Path of the file.
     pub path: PathBuf,
     template: Template,
 }
 
 impl ScenarioFile {
-    /// Reads a file; its ranges hold at both ends.
+    /// Reads a file and checks that the scenario is valid with all ranges at their lower and at their upper bounds.
     pub fn read(path: &Path) -> Result<ScenarioFile> {
         let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
         let at = || path.display().to_string();
@@ -40,26 +40,26 @@
         Ok(ScenarioFile { path: path.to_owned(), template })
     }
 
-    /// The files of a folder, by name.
+    /// Reads the scenario files of a directory, sorted by path; `gate.toml` is skipped.
     pub fn read_folder(folder: &Path) -> Result<Vec<ScenarioFile>> {
         let entries = std::fs::read_dir(folder).with_context(|| folder.display().to_string())?;
         let mut paths: Vec<PathBuf> = entries.filter_map(|e| Some(e.ok()?.path())).collect();
         paths.retain(|path| path.extension().is_some_and(|e| e == "toml") && !path.ends_with("gate.toml"));
         paths.sort();
         if paths.is_empty() {
-            bail!("{}: no scenario in it, a file that ends with .toml", folder.display());
+            bail!("{}: contains no scenario file (*.toml)", folder.display());
         }
         paths.iter().map(|path| ScenarioFile::read(path)).collect()
     }
 
-    /// The scenario that a seed draws.
+    /// Samples the scenario's ranges with a seed.
     pub fn sample(&self, seed: u64) -> Result<Scenario> {
         let text = self.template.sample(seed);
         Scenario::read_without_ranges(&text).with_context(|| format!("{}, seed {seed}", self.path.display()))
     }
 }
 
-/// The policy of this name.
+/// Parses the name of a policy: `module`, a baseline, or `without-` and a mechanism.
 pub fn parse_policy(name: &str) -> Result<Policy> {
     if name == "module" {
         return Ok(Policy::Module);
@@ -71,18 +71,17 @@
     let ablations = Mechanism::ALL.map(|(name, _)| format!("without-{name}")).join(", ");
     Choice::named(name)
         .map(Policy::Baseline)
-        .ok_or_else(|| anyhow!("no policy '{name}': right would be one of module, {known}, {ablations}"))
+        .ok_or_else(|| anyhow!("unknown policy '{name}': must be one of module, {known}, {ablations}"))
 }
 
-/// What is to be taken out, by name.
+/// Parses the name of a mechanism that can be disabled.
 pub fn parse_mechanism(name: &str) -> Result<Mechanism> {
     let known = Mechanism::ALL.map(|(name, _)| name).join(", ");
     let mechanism = Mechanism::ALL.iter().find(|(known, _)| *known == name).map(|(_, mechanism)| *mechanism);
-    mechanism
-        .ok_or_else(|| anyhow!("nothing called '{name}' can be taken out: right would be one of {known}"))
+    mechanism.ok_or_else(|| anyhow!("unknown mechanism '{name}': must be one of {known}"))
 }
 
-/// Plays days; `told` is handed each with its number as it is done, in any order.
+/// Runs simulations on all cores. `on_report` is called with the index and report of each as it completes, in any order.
 pub fn simulate_all(
     simulations: &[Simulation],
     keep_seconds: bool,
@@ -113,11 +112,11 @@
             });
         }
     });
-    let reports = reports.into_inner().map_err(|_| anyhow!("a day ended in a fault of the tool"))?;
-    reports.into_iter().map(|report| report.context("a day was not played")?).collect()
+    let reports = reports.into_inner().map_err(|_| anyhow!("a simulation thread panicked"))?;
+    reports.into_iter().map(|report| report.context("a simulation was not run")?).collect()
 }
 
-/// The mean of some figures.
+/// Returns the mean of the values, or 0 if there are none.
 pub fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,4 +1,4 @@
-//! The soak from the command line: one line a seed, and what was broken.
+//! The `trial soak` command: prints one line per seed, followed by its violations.
 
 use anyhow::{Context, Result};
 use dunlincleat_trial::audit::{Bounds, Verdict};
@@ -7,7 +7,8 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Runs the soak of each seed: 0 where every property held, 1 where one was broken, 2 where of some seed nothing can be said.
+/// Runs the soak of each seed and returns the exit code: 0 if every property held, 1 if one was broken, 2 if none was broken
+/// but some seed is void, 130 if a signal interrupted it.
 pub fn run(
     lab: &Path,
     program: &Path,
@@ -50,6 +51,7 @@
     }))
 }
 
+/// Prints the verdict, counts and drawn conditions of a seed, and up to ten violations.
 fn print_outcome(outcome: &SoakOutcome, seed: u64) {
     let SoakOutcome { plan, verdict, counts, start, .. } = outcome;
     let mut conditions = vec![format!("deadline {} ms", plan.max_deadline.as_millis())];
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -1,4 +1,4 @@
-//! Trials from the command line: many processes of the program under a schedule of faults, and the auditor's verdict.
+//! The `trial` command: runs several processes of the program under a schedule of faults and reports the auditor's verdict.
 
 use crate::processes::{check_range, locate_programs, run_until_signal, timeline_line};
 use anyhow::{Context, Result, bail};
@@ -14,84 +14,85 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Which trial.
+/// The kinds of trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum TrialKind {
-    /// Requests while sidecars die, stand still and are cut off
+    /// Requests while sidecars are killed, stopped and cut off from the network
     Requests,
-    /// The same, with a duty that one of them alone may hold
+    /// The same, with a duty that only one instance may hold at a time
     Duties,
-    /// One sidecar from its start to the kill, signalled again and again; --seeds of them, one after another
+    /// One sidecar from start to kill under repeated signals; runs --seeds of them one after another
     Soak,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum OutputFormat {
-    /// For persons
+    /// Human-readable text
     Text,
-    /// For programs
+    /// One JSON object
     Json,
 }
 
-/// The lease of a trial's fleet, in milliseconds; its duty is due every two of them.
+/// Lease of a trial's fleet, in milliseconds; the duty's period is two leases.
 const LEASE_MS: u64 = 500;
 
-/// What is wanted of a trial.
+/// Options of a trial.
 #[derive(Args)]
 pub struct TrialArgs {
-    /// Which
+    /// The kind of trial
     #[arg(value_enum, value_name = "NAME")]
     kind: TrialKind,
-    /// How many instances of the program, from 1 to 50
+    /// Number of instances of the program, from 1 to 50
     #[arg(long, default_value_t = 3)]
     instances: usize,
-    /// How many stand-in servers, from 1 to 50
+    /// Number of stub servers, from 1 to 50
     #[arg(long, default_value_t = 4)]
     servers: usize,
-    /// The seed of all that is drawn
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Of a soak: how many seeds, from 1 to 1000
+    /// Number of seeds of a soak, from 1 to 1000
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// For how many seconds, from 4 to 600
+    /// Duration in seconds, from 4 to 600
     #[arg(long = "lasts", value_name = "LASTS", default_value_t = 20)]
     duration_s: u64,
-    /// Requests of each instance a second, from 1 to 500
+    /// Requests per second to each instance, from 1 to 500
     #[arg(long, default_value_t = 20)]
     rate: u64,
-    /// Play this schedule in place of the one that the seed draws
+    /// Use this schedule instead of the one drawn from the seed
     #[arg(long, value_name = "FILE")]
     schedule: Option<PathBuf>,
-    /// Print the schedule as a file that --schedule takes, and play nothing
+    /// Print the schedule in the format that --schedule reads, without running the trial
     #[arg(long)]
     show: bool,
-    /// What each time limit may be over, in milliseconds
+    /// Slack on each time limit, in milliseconds
     #[arg(long, default_value_t = 250)]
     slack_ms: u64,
-    /// By how many milliseconds the rig's own timers may be late for its verdict to count
+    /// Lateness of the rig's own timers, in milliseconds, beyond which the trial is void
     #[arg(long = "late-ms", value_name = "LATE_MS", default_value_t = 150)]
     timer_lateness_ms: u64,
-    /// Plant a fault: any-fence in the receiver, another in a program that is built with the feature `plant`
+    /// Inject a fault: any-fence in the receiver, any other in a program built with the cargo feature `plant`
     #[arg(long = "plant", value_name = "PLANT")]
     injected_fault: Option<String>,
-    /// How to tell what came of it
+    /// Output format of the result
     #[arg(long, value_enum, default_value = "text")]
     format: OutputFormat,
-    /// Where the time line, the verdict and each process's log are kept
+    /// Directory for the timeline, the verdict and the log of each process
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// The program under test; `dunlincleat` beside this one where it is not told
+    /// The program under test; by default `dunlincleat` in the directory of this one
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// Plays a trial; none where it was ended by hand, and all that it started with it.
+/// Runs a trial; returns `None` if a signal interrupted it, after its processes were terminated.
 pub fn run_in_foreground(trial: &Trial, on_progress: impl FnMut(&Progress<'_>)) -> Result<Option<Outcome>> {
     run_until_signal(run_trial(trial, on_progress))
 }
 
-/// Says what came of it: 0 kept, 1 broken, 2 void.
+/// Prints the verdict and returns its exit code: 0 kept, 1 broken, 2 void. A broken verdict lists up to 20 violations and
+/// the last ten events up to the first of them.
 pub fn report_verdict(outcome: &Outcome, seed: u64) -> ExitCode {
     match &outcome.verdict {
         Verdict::Kept => {
@@ -128,7 +129,8 @@
     }
 }
 
-/// Runs it: 0 where every property held, 1 where one was broken, 2 where nothing can be said.
+/// Runs a trial and returns its exit code: 0 if every property held, 1 if one was broken, 2 if the trial is void, 130 if it
+/// was interrupted by a signal.
 pub fn run(args: TrialArgs) -> Result<ExitCode> {
     check_range("instances", args.instances as u64, 1, 50)?;
     check_range("servers", args.servers as u64, 1, 50)?;
@@ -173,14 +175,15 @@
     }
     let voters = match args.instances {
         0..3 if peers => {
-            bail!("--instances: {} can't be a fleet; right would be 3 or more", args.instances)
+            bail!("--instances: {} is too few for a fleet: must be 3 or more", args.instances)
         }
         0..5 => 3,
         5..7 => 5,
         _ => 7,
     };
     let fleet = FleetConfig { voters, lease_ms: LEASE_MS, period_ms: 2 * LEASE_MS };
-    // Voters that lost their memory are silent for five leases at the most; then a lease, and two periods.
+    // Voters that lost their state stay silent for at most five leases. Then come one lease and two periods of two leases
+    // each: ten leases in all.
     let duty_recovery = if peers { 10 * LEASE_MS * 1000 } else { 0 };
     let load = LoadSpec {
         requests_per_s: args.rate as f64,
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What tests on real processes share: the lab with the program beside it, and what a run has started.
+//! Helpers for tests with real processes: building programs, running the lab, and tracking the processes that it starts.
 
 #![allow(dead_code)]
 
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Output};
 use std::time::{Duration, Instant};
 
-/// The program of this name, built beside the lab.
+/// Builds the program of this name in the directory of the lab's binary and returns its path.
 pub fn build_program(name: &str) -> PathBuf {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_dunlincleat-lab")).with_file_name(name);
     let build = ["build", "--locked", "-p", "dunlincleat-sidecar"];
@@ -15,11 +15,12 @@
     program
 }
 
+/// Returns a command that runs the lab's binary.
 pub fn lab() -> Command {
     Command::new(env!("CARGO_BIN_EXE_dunlincleat-lab"))
 }
 
-/// Plays a trial; one that is void, as the machine was too busy, says nothing and is played again, twice at the most.
+/// Runs a trial. A void result, on a machine that is too busy, is inconclusive, so the trial is repeated up to twice.
 pub fn run_trial(arguments: &[&str]) -> Output {
     build_program("dunlincleat");
     let run = || lab().args(arguments).output().unwrap();
@@ -32,7 +33,7 @@
     out
 }
 
-/// The processes that a run has started, once there are so many.
+/// Waits until a run has exactly `wanted` child processes and returns their ids.
 pub fn children(run: &Child, wanted: usize, within: Duration) -> Vec<String> {
     let deadline = Instant::now() + within;
     loop {
@@ -47,12 +48,13 @@
     }
 }
 
+/// Whether the process exists and is not a zombie.
 fn is_running(pid: &str) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     stat.rsplit(')').next().is_some_and(|rest| !rest.is_empty() && !rest.trim().starts_with('Z'))
 }
 
-/// Waits until none of them runs.
+/// Waits until none of the processes is running.
 pub fn wait_for_exit(children: &[String], within: Duration) {
     let deadline = Instant::now() + within;
     while children.iter().any(|pid| is_running(pid)) {
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,4 +1,4 @@
-//! The program as it is called: its gate, what its gate notices, its page, and the first look on loopback.
+//! Tests the lab's binary: the gate and what it detects, the HTML report, and the demo on loopback.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -15,7 +15,7 @@
     format!("{}{}", String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr))
 }
 
-/// What was mended for days at size stays mended: with a part taken out, the gate names its scenario and figure.
+/// Guards against regressions at full size: with a mechanism disabled, the gate names the scenario and figure that suffer.
 #[test]
 fn gate_passes_and_names_the_figure_hurt_by_each_disabled_mechanism() {
     let folder = size_scenarios().display().to_string();
@@ -40,11 +40,7 @@
     let band =
         "scale = 0.1\nseeds = [1]\n[[day]]\nscenario = \"calm\"\n[day.band]\nworth = { least = 0.1 }\n";
     for (from, to, message) in [
-        (
-            "worth =",
-            "worht =",
-            "gate.toml: line 6: day[0].band.worht: no such figure; right would be one of worth",
-        ),
+        ("worth =", "worht =", "gate.toml: line 6: day[0].band.worht: unknown figure; must be one of worth"),
         ("{ least = 0.1 }", "{}", "line 6: day[0].band.worth: neither least nor most"),
         ("scale = 0.1", "scale = 7", "line 1: scale: 7 is not from 0.005 to 1"),
         ("[1]", "[]", "line 2: seeds: none"),
@@ -73,7 +69,7 @@
     assert!(page.contains("black_hole") && !page.contains("Partial"));
 }
 
-/// The limits of time are loose here, as the machine may be busy; what no rule allows at any time is not.
+/// Time limits are loose because the machine may be busy; all other rules are checked strictly.
 #[test]
 fn demo_keeps_the_rules_and_exits() {
     let program = Path::new(env!("CARGO_BIN_EXE_dunlincleat-lab")).with_file_name("dunlincleat-sidecar");
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,5 +1,5 @@
-//! The soak: one sidecar from its start to the kill at the page's earliest, while clients go on using their open connections
-//! and signals come in series. `dunlincleat-lab trial soak --seed N --seeds M` plays more of them by hand.
+//! The soak: one sidecar from its start to the earliest documented kill, while clients keep using their open connections and
+//! signals arrive in series. `dunlincleat-lab trial soak --seed N --seeds M` runs more seeds by hand.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-/// Plays these seeds one after another; every one of them has to be kept.
+/// Runs the soaks of these seeds one after another and checks that each verdict is KEPT.
 fn assert_kept(first_seed: u64, seeds: u64) {
     let out = run_trial(&["trial", "soak", "--seed", &first_seed.to_string(), "--seeds", &seeds.to_string()]);
     let text = String::from_utf8_lossy(&out.stdout);
@@ -15,8 +15,8 @@
     assert_eq!(text.matches(": KEPT: ").count() as u64, seeds, "{text}");
 }
 
-/// No request is lost, nothing runs twice or after its client has left, and the process ends by itself, in order and in time:
-/// eight plans, some with a crowd of idle clients, hung and slow servers, discovery down.
+/// No request is lost, none runs twice or starts after its client has left, and the process exits by itself, in order and in
+/// time. The eight plans include crowds of idle clients, hung and slow servers, and discovery outages.
 #[test]
 fn no_request_is_lost_between_start_and_kill() {
     std::thread::scope(|scope| {
@@ -25,11 +25,11 @@
     });
 }
 
-/// A rig that is killed leaves nothing running: the sidecar, four servers, of which some stand still, and the list.
+/// A killed rig leaves no process running: neither the sidecar, nor the four servers, some of which are stopped, nor the list.
 #[test]
 fn killed_soak_leaves_no_process_behind() {
     build_program("dunlincleat");
-    // A seed with hung servers.
+    // Seed 3 draws hung servers.
     let mut rig = lab().args(["trial", "soak", "--seed", "3"]).stdout(Stdio::null()).spawn().unwrap();
     let started = children(&rig, 1 + 4 + 1, Duration::from_secs(20));
     rig.kill().unwrap();
--- a/crates/lab/tests/trial.rs
+++ b/crates/lab/tests/trial.rs
@@ -1,4 +1,4 @@
-//! Trials by processes: several processes of the program, faults between and in them, judged from outside.
+//! Trials: several processes of the program under process and network faults, audited from outside.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-/// Requests through three sidecars of which one is killed and one told to end while a server stands still and ways are cut:
-/// the schedule is the seed's, so the same faults come each time.
+/// Requests go through three sidecars; one is killed and one is told to terminate while a server is stopped and links are
+/// cut. The schedule is drawn from the seed, so the faults are the same in each run.
 #[test]
 fn properties_hold_while_sidecars_crash_and_links_are_cut() {
     let out = run_trial(&["trial", "requests", "--instances", "3", "--seed", "1", "--lasts", "10"]);
@@ -17,7 +17,7 @@
     assert!(text.contains("is killed") && text.contains("is cut") && text.contains("KEPT"), "{text}");
 }
 
-/// A rig that was killed left its sidecar running.
+/// Regression test: a killed rig used to leave its sidecar running.
 #[test]
 fn killed_rig_leaves_no_process_behind() {
     build_program("dunlincleat");
@@ -28,7 +28,7 @@
         .unwrap();
     let lines = BufReader::new(rig.stdout.take().unwrap()).lines();
     let mut seconds = lines.map_while(Result::ok).skip_while(|line| !line.contains("asked served"));
-    assert!(seconds.nth(1).is_some(), "it plays");
+    assert!(seconds.nth(1).is_some(), "the trial did not start");
     let children = std::fs::read_to_string(format!("/proc/{0}/task/{0}/children", rig.id())).unwrap();
     let children: Vec<String> = children.split_whitespace().map(str::to_owned).collect();
     assert_eq!(children.len(), 3 + 4 + 1, "instances, servers, the list");
@@ -37,8 +37,9 @@
     wait_for_exit(&children, Duration::from_secs(20));
 }
 
-/// A duty that one of five alone may hold, while holders and voters die with their memory, stand still across the lease and are
-/// cut off one way: its effect is carried out once a period, under fences that rise, and goes on when all is mended.
+/// Only one of five instances may hold the duty, while holders and voters are killed and lose their state, are stopped for longer
+/// than the lease, or are cut off in one direction. The effect is carried out once per period with increasing fences, and
+/// resumes once the faults are over.
 #[test]
 fn duty_takes_effect_once_per_period_under_faults() {
     let out =
@@ -50,13 +51,13 @@
     assert!(effects.is_some_and(|n| n >= 5), "{text}");
 }
 
-/// A receiver that takes any fence lets a holder that stood still with its effect in hand come after the next one.
+/// A receiver that accepts any fence carries out the delayed effect of a stopped holder after that of the next holder.
 #[test]
 fn receiver_that_accepts_any_fence_is_detected() {
     let folder = tempfile::tempdir().unwrap();
     let case = folder.path().join("case.toml");
-    // Whoever holds it sends an effect within the 1.2 s before it stands still, which comes 2.5 s late; by then the next holder, there
-    // within 0.8 s, has had its own. Each is hit in turn, so the holder is.
+    // The holder sends an effect within the 1.2 s before it is stopped, and the effect arrives 2.5 s late. By then the next holder,
+    // which takes over within 0.8 s, has carried out its own. Each instance is stopped in turn, so one of them is the holder.
     let mut schedule = String::new();
     for n in 0..3 {
         let begin = n * 5000 + 2000;
@@ -72,7 +73,7 @@
     let case = case.display().to_string();
     let common = ["trial", "duties", "--instances", "3", "--lasts", "18", "--rate", "5", "--schedule", &case];
     let faulty: Vec<&str> = common.iter().copied().chain(["--plant", "any-fence"]).collect();
-    // Side by side: neither says anything of the other.
+    // The two trials are independent and run in parallel.
     let (kept, found) = std::thread::scope(|scope| {
         let found = scope.spawn(|| run_trial(&faulty));
         (run_trial(&common), found.join().unwrap())
