--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -3,14 +3,14 @@
 use crate::processes::{check_range, locate_programs, run_until_signal, timeline_line};
 use anyhow::{Context, Result, bail};
 use clap::{Args, ValueEnum};
-use dunlincleat_trial::audit::{Bounds, Verdict};
-use dunlincleat_trial::duty_stats::duty_stats;
+use dunlincleat_trial::audit::{Bounds, Verdict, Violation};
+use dunlincleat_trial::duty_stats::{DutyStats, duty_stats};
 use dunlincleat_trial::history::Event;
 use dunlincleat_trial::load::LoadSpec;
 use dunlincleat_trial::rig::{FleetConfig, Outcome, Progress, Trial, run_trial};
 use dunlincleat_trial::schedule::{Participants, Schedule};
 use serde_json::json;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
@@ -226,48 +226,75 @@
     };
     let Some(outcome) = run_in_foreground(&trial, print_second)? else { return Ok(ExitCode::from(130)) };
     if let Some(out) = &args.out {
-        let lines: Vec<String> =
-            outcome.history.iter().map(|event| timeline_line(event, outcome.start)).collect();
-        std::fs::write(out.join("timeline.txt"), lines.join("\n") + "\n")?;
-        let history: Result<Vec<String>, _> = outcome.history.iter().map(serde_json::to_string).collect();
-        std::fs::write(out.join("history.jsonl"), history?.join("\n") + "\n")?;
-        let verdict = match &outcome.verdict {
-            Verdict::Kept => "kept".to_owned(),
-            Verdict::Broken(broken) => format!("broken {} times", broken.len()),
-            Verdict::Void(late) => format!("void: the rig ran {} ms late", late / 1000),
-        };
         let title = format!("trial of {} instances, seed {}", args.instances, args.seed);
-        let page = dunlincleat_trial::page::page(&title, &verdict, &outcome.history, outcome.start);
-        std::fs::write(out.join("page.html"), page)?;
-        std::fs::write(out.join("schedule.toml"), toml::to_string(&trial.schedule)?)?;
+        write_files(out, &title, &trial.schedule, &outcome)?;
     }
     if text {
         if peers {
-            let stats = duty_stats(&outcome.history);
-            let takeovers: Vec<String> =
-                stats.takeovers_ms.iter().map(|(how, ms)| format!("{how:?} {ms:.0?} ms")).collect();
-            crate::print_line(&format!(
-                "duty: {} effects, {} refused for their fence, {} grants, held {:.3} of the time; next holder after {}",
-                stats.effects,
-                stats.fenced,
-                stats.grants,
-                stats.held_fraction,
-                takeovers.join(", ")
-            ));
+            print_duty_stats(&duty_stats(&outcome.history));
         }
         return Ok(report_verdict(&outcome, args.seed));
     }
+    Ok(print_json(&outcome, args.seed))
+}
+
+/// Writes the timeline, the history, the page and the schedule of a trial into a directory.
+fn write_files(out: &Path, title: &str, schedule: &Schedule, outcome: &Outcome) -> Result<()> {
+    let lines: Vec<String> =
+        outcome.history.iter().map(|event| timeline_line(event, outcome.start)).collect();
+    std::fs::write(out.join("timeline.txt"), lines.join("\n") + "\n")?;
+    let history: Result<Vec<String>, _> = outcome.history.iter().map(serde_json::to_string).collect();
+    std::fs::write(out.join("history.jsonl"), history?.join("\n") + "\n")?;
+    let verdict = match &outcome.verdict {
+        Verdict::Kept => "kept".to_owned(),
+        Verdict::Broken(broken) => format!("broken {} times", broken.len()),
+        Verdict::Void(late) => format!("void: the rig ran {} ms late", late / 1000),
+    };
+    let page = dunlincleat_trial::page::page(title, &verdict, &outcome.history, outcome.start);
+    std::fs::write(out.join("page.html"), page)?;
+    std::fs::write(out.join("schedule.toml"), toml::to_string(schedule)?)?;
+    Ok(())
+}
+
+/// Prints the figures of the duty on one line.
+fn print_duty_stats(stats: &DutyStats) {
+    let takeovers: Vec<String> =
+        stats.takeovers_ms.iter().map(|(how, ms)| format!("{how:?} {ms:.0?} ms")).collect();
+    crate::print_line(&format!(
+        "duty: {} effects, {} refused for their fence, {} grants, held {:.3} of the time; next holder after {}",
+        stats.effects,
+        stats.fenced,
+        stats.grants,
+        stats.held_fraction,
+        takeovers.join(", ")
+    ));
+}
+
+/// Prints the outcome as one JSON object and returns its exit code: 0 kept, 1 broken, 2 void.
+fn print_json(outcome: &Outcome, seed: u64) -> ExitCode {
     let broken = match &outcome.verdict {
         Verdict::Broken(broken) => broken.as_slice(),
         Verdict::Kept | Verdict::Void(_) => &[],
     };
-    let to_json = |violation: &dunlincleat_trial::audit::Violation| json!({"property": violation.property.to_string(), "at_us": violation.at.saturating_sub(outcome.start), "what": violation.what});
+    let to_json = |violation: &Violation| {
+        json!({
+            "property": violation.property.to_string(),
+            "at_us": violation.at.saturating_sub(outcome.start),
+            "what": violation.what,
+        })
+    };
     let (verdict, code) = match outcome.verdict {
         Verdict::Kept => ("kept", 0),
         Verdict::Broken(_) => ("broken", 1),
         Verdict::Void(_) => ("void", 2),
     };
     let broken: Vec<_> = broken.iter().map(to_json).collect();
-    crate::print_line(&json!({"seed": args.seed, "verdict": verdict, "broken": broken, "figures": duty_stats(&outcome.history)}).to_string());
-    Ok(ExitCode::from(code))
+    let result = json!({
+        "seed": seed,
+        "verdict": verdict,
+        "broken": broken,
+        "figures": duty_stats(&outcome.history),
+    });
+    crate::print_line(&result.to_string());
+    ExitCode::from(code)
 }
