--- a/crates/http/src/front.rs
+++ b/crates/http/src/front.rs
@@ -119,7 +119,7 @@
     malformed_log: LogLimiter,
 }
 
-/// Accepts and serves connections until the stage is `Closing` and every connection has ended.
+/// Accepts and serves connections until the stage is `ListenerClosed` and every connection has ended.
 pub async fn serve(
     listener: Listener,
     config: FrontConfig,
--- a/crates/sidecar/tests/gone.rs
+++ b/crates/sidecar/tests/gone.rs
@@ -2,7 +2,7 @@
 //! after the client has closed it. Each way to close is tested at each moment at which an attempt is still to
 //! come.
 //!
-//! `ClientState::cut` detects the close, and `Taken` notifies the engine, which withdraws attempts not yet
+//! `ClientConnection` detects the close, and `OpenRequest` notifies the engine, which withdraws attempts not yet
 //! begun. Without the first all of these tests fail; without the second all but those in which nothing of the
 //! request was accepted; without the third those in which a connection is being established, or is idle when
 //! the request is accepted late. That no further attempt follows is decided twice, by the decision module and
