--- a/crates/sidecar/tests/churn.rs
+++ b/crates/sidecar/tests/churn.rs
@@ -1,5 +1,5 @@
-//! Servers are replaced all day, under new names, some at the address of one that has gone: what the program
-//! holds levels off, and nothing of the old one passes to the new.
+//! Servers are replaced continuously under new names, some of them at the address of a removed one: memory
+//! and descriptors stay bounded, and no connection of the old server is used for the new one.
 
 mod common;
 
@@ -12,12 +12,12 @@
     let discovery = StubDiscovery::start();
     let mut setup = Setup::new(vec![]).discovery(&discovery).set("/sidecar/log", json!("info"));
     for class in 0..3 {
-        // So long may a request remember a server.
+        // A request may keep a server in memory for this long.
         setup = setup.set(&format!("/settings/classes/{class}/deadline"), json!(20_000));
     }
     let sidecar = setup.start();
     discovery.watches.wait(1, "watches");
-    // Long names, so that what is kept shows.
+    // Long names make retained memory visible.
     let name = |n: usize| format!("s-{n:08}-{}", "x".repeat(4000));
     let mut rev = 10;
     let mut replace = |from: usize, to: usize| {
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -411,7 +411,7 @@
     silent: AtomicBool,
 }
 
-/// Interval of the heartbeats on a watch; the sidecar is configured to expect one every 2 s.
+/// Interval of the heartbeats on a watch; the sidecar expects one every 2 s.
 const HEARTBEAT: Duration = Duration::from_millis(200);
 
 fn chunk(bytes: &str) -> Vec<u8> {
@@ -554,7 +554,7 @@
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// Settings with one class of each kind and no probes.
+/// Settings with one class of each kind, no probes and time for two attempts.
 pub fn settings() -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "aim": 400_000, "deadline": 1_000_000, "gain": 1.0, "group": "all",
@@ -709,8 +709,8 @@
         assert!(Command::new("kill").args(["-s", signal, &pid]).status().unwrap().success());
     }
 
-    /// Stops reading the log and fills its pipe, so that the process blocks in the middle of its work when it writes
-    /// its next log line. After the guard is dropped it finds all that happened meanwhile at one moment.
+    /// Stops reading the log and fills its pipe, so that the process blocks in the middle of its work when it
+    /// writes its next log line. After the guard is dropped it finds all that happened meanwhile at once.
     pub fn block_on_next_log_line(&self) -> MutexGuard<'_, ()> {
         let guard = self.log_reading.lock().unwrap();
         // Linux value; opening the pipe anew does not set the flag on the process's own end.
--- a/crates/sidecar/tests/regression.rs
+++ b/crates/sidecar/tests/regression.rs
@@ -1,4 +1,4 @@
-//! `deploy/regression.sh` against stand-in programs that print what a bench prints.
+//! Runs `deploy/regression.sh` with stub programs that print the output of a bench.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -9,7 +9,8 @@
 const SIMULATED: &str = "more/move/bin/lbsim";
 const PROGRAMS: [&str; 4] = [STANDING, "more/ops/bin/lbreal", "more/bin/lbreal", SIMULATED];
 
-/// Plays all panels, with one program that says `output` and exit_code with `exit_code`; the others say that all is passed.
+/// Runs all panels with one faulty program that prints `output` and exits with `exit_code`; the others
+/// succeed.
 fn run_script(faulty: &str, output: &str, exit_code: i32, args: &[&str]) -> Output {
     let kit = tempfile::tempdir().unwrap();
     for program in PROGRAMS {
@@ -31,7 +32,8 @@
     Command::new("sh").arg(script).arg(kit.path()).args(args).output().unwrap()
 }
 
-/// A broken rule was only a column of the table once, and the script ended with 0 whatever a panel output.
+/// Guards the exit code: a broken rule was once only a column of the table, and the script exited with 0
+/// whatever a panel reported.
 #[test]
 fn any_broken_rule_crash_or_failed_gate_exits_with_one() {
     let passed = "score of the real nodes 0.650\nGATE passed";
@@ -54,7 +56,7 @@
         let text = String::from_utf8_lossy(&finished.stdout);
         assert_eq!(finished.status.code(), Some(verdict), "{output}: {text}");
         assert!(text.contains(expected), "{output}: {text}");
-        // The others are played all the same, each to its name.
+        // The other panels are run all the same, each under its name.
         assert!(text.contains("== standing") && text.contains("== liga-ljubljana-later"), "{text}");
         assert!(text.contains("score ") && text.contains("--quick --why"), "{text}");
         for panel in ["brink-liga-ljubljana-1", "brink-oulu-render-25", "perth-convert", "narva-desk"] {
